--- a/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
@@ -14,44 +14,44 @@
  * <p>Not safe for use by several threads: the admission guards it.
  */
 final class AdaptiveLimit {
-    private static final double INITIAL = 8;
-    private static final double LEAST = 2;
-    private static final double SMOOTHING = 0.1;
-    private static final double SHRINK = 0.9;
-    private static final double CALM_FACTOR = 2.0;
-    private static final double CROWDED_FACTOR = 3.0;
-    private static final long SLACK_NANOS = Duration.ofMillis(4).toNanos();
-    private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
-    private static final double DEVIATIONS = 2.0;
+    private static final double INITIAL_LIMIT = 8;
+    private static final double MIN_LIMIT = 2;
+    private static final double SMOOTHING_FACTOR = 0.1;
+    private static final double SHRINK_FACTOR = 0.9;
+    private static final double GROW_LATENCY_FACTOR = 2.0;
+    private static final double SHRINK_LATENCY_FACTOR = 3.0;
+    private static final long LATENCY_SLACK_NANOS = Duration.ofMillis(4).toNanos();
+    private static final long MIN_LATENCY_WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final double EXPECTED_DEVIATIONS = 2.0;
 
-    private final int most;
+    private final int maxLimit;
     private double limit;
     private double smoothedNanos = Duration.ofMillis(10).toNanos();
     private double deviationNanos;
     private long shortestNanos = Long.MAX_VALUE;
-    private long shortestBeforeNanos = Long.MAX_VALUE;
+    private long previousShortestNanos = Long.MAX_VALUE;
     private long windowStartNanos = Long.MIN_VALUE;
-    private long shrunkAtNanos = Long.MIN_VALUE;
+    private long lastShrinkNanos = Long.MIN_VALUE;
 
     /**
      * Creates a limit that begins low.
      *
-     * @param most the highest limit, at least 1
+     * @param maxLimit the highest limit, at least 1
      */
-    AdaptiveLimit(int most) {
-        checkArgument(most > 0, "limit %s is not positive", most);
-        this.most = most;
-        this.limit = Math.min(INITIAL, most);
+    AdaptiveLimit(int maxLimit) {
+        checkArgument(maxLimit > 0, "limit %s is not positive", maxLimit);
+        this.maxLimit = maxLimit;
+        this.limit = Math.min(INITIAL_LIMIT, maxLimit);
     }
 
     /** Returns how many queries may be in flight. */
     int limit() {
-        return (int) Math.max(1, Math.min(most, limit));
+        return (int) Math.max(1, Math.min(maxLimit, limit));
     }
 
     /** Returns how long a query is to be expected to take at the most, in nanoseconds. */
     long expectedNanos() {
-        return (long) (smoothedNanos + DEVIATIONS * deviationNanos);
+        return (long) (smoothedNanos + EXPECTED_DEVIATIONS * deviationNanos);
     }
 
     /** Returns how long a query takes on average, in nanoseconds. */
@@ -63,33 +63,33 @@
      * Takes the end of a query.
      *
      * @param tookNanos from its beginning to its end
-     * @param ranOutOfTime true if its deadline ended it
+     * @param deadlineExceeded true if its deadline ended it
      * @param inFlight how many were in flight when it ended, itself included
      */
-    void observe(long tookNanos, boolean ranOutOfTime, int inFlight, long nowNanos) {
-        deviationNanos += SMOOTHING * (Math.abs(tookNanos - smoothedNanos) - deviationNanos);
-        smoothedNanos += SMOOTHING * (tookNanos - smoothedNanos);
+    void observe(long tookNanos, boolean deadlineExceeded, int inFlight, long nowNanos) {
+        deviationNanos += SMOOTHING_FACTOR * (Math.abs(tookNanos - smoothedNanos) - deviationNanos);
+        smoothedNanos += SMOOTHING_FACTOR * (tookNanos - smoothedNanos);
         observeShortest(tookNanos, nowNanos);
-        double baseNanos = Math.min(shortestNanos, shortestBeforeNanos);
-        if (ranOutOfTime || smoothedNanos > CROWDED_FACTOR * baseNanos + SLACK_NANOS) {
+        double baseNanos = Math.min(shortestNanos, previousShortestNanos);
+        if (deadlineExceeded || smoothedNanos > SHRINK_LATENCY_FACTOR * baseNanos + LATENCY_SLACK_NANOS) {
             shrink(nowNanos);
-        } else if (smoothedNanos < CALM_FACTOR * baseNanos + SLACK_NANOS && inFlight >= limit()) {
-            limit = Math.min(most, limit + 1 / limit);
+        } else if (smoothedNanos < GROW_LATENCY_FACTOR * baseNanos + LATENCY_SLACK_NANOS && inFlight >= limit()) {
+            limit = Math.min(maxLimit, limit + 1 / limit);
         }
     }
 
     private void shrink(long nowNanos) {
-        boolean lately = shrunkAtNanos != Long.MIN_VALUE && nowNanos - shrunkAtNanos < smoothedNanos;
-        if (!lately) {
-            shrunkAtNanos = nowNanos;
-            limit = Math.max(Math.min(LEAST, most), limit * SHRINK);
+        boolean shrunkRecently = lastShrinkNanos != Long.MIN_VALUE && nowNanos - lastShrinkNanos < smoothedNanos;
+        if (!shrunkRecently) {
+            lastShrinkNanos = nowNanos;
+            limit = Math.max(Math.min(MIN_LIMIT, maxLimit), limit * SHRINK_FACTOR);
         }
     }
 
     private void observeShortest(long tookNanos, long nowNanos) {
-        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= WINDOW_NANOS) {
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= MIN_LATENCY_WINDOW_NANOS) {
             windowStartNanos = nowNanos;
-            shortestBeforeNanos = shortestNanos;
+            previousShortestNanos = shortestNanos;
             shortestNanos = Long.MAX_VALUE;
         }
         shortestNanos = Math.min(shortestNanos, tookNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
@@ -25,11 +25,11 @@
  * time in proportion to the services with waiting queries.
  */
 public final class Admission {
-    private static final int RESERVED_DIVISOR = 8;
+    private static final int RESERVED_SHARE_DIVISOR = 8;
 
     private final int limit;
     private final Map<ServiceName, ServiceQueue> services = new TreeMap<>();
-    private final Map<String, Integer> inFlightOfPartner = new HashMap<>();
+    private final Map<String, Integer> inFlightByPartner = new HashMap<>();
     private int inFlight;
 
     /**
@@ -56,10 +56,10 @@
 
     /** Takes a new query. */
     public List<Decision> offer(Ticket ticket, long nowNanos) {
-        inFlightOfPartner.putIfAbsent(ticket.service().partner(), 0);
+        inFlightByPartner.putIfAbsent(ticket.service().partner(), 0);
         ServiceQueue queue = services.computeIfAbsent(ticket.service(), unused -> new ServiceQueue(limit));
         long waitNanos = queue.expectedWaitNanos(ticket.priority());
-        if (!queue.canFinish(ticket, waitNanos, nowNanos) || queue.isFull()) {
+        if (!queue.canMeetDeadline(ticket, waitNanos, nowNanos) || queue.isFull()) {
             return ImmutableList.of(refuse(ticket, queue));
         }
         queue.add(ticket);
@@ -74,9 +74,9 @@
     public List<Decision> onFinished(Ticket ticket, long tookNanos, long nowNanos) {
         ServiceQueue queue = services.get(ticket.service());
         checkArgument(queue != null && queue.inFlight() > 0, "no query of %s is in flight", ticket.service());
-        boolean ranOutOfTime = nowNanos - ticket.deadlineNanos() >= 0;
-        queue.finished(tookNanos, ranOutOfTime, nowNanos);
-        inFlightOfPartner.merge(ticket.service().partner(), -1, Integer::sum);
+        boolean deadlineExceeded = nowNanos - ticket.deadlineNanos() >= 0;
+        queue.onFinished(tookNanos, deadlineExceeded, nowNanos);
+        inFlightByPartner.merge(ticket.service().partner(), -1, Integer::sum);
         inFlight--;
         return admit(nowNanos);
     }
@@ -85,7 +85,7 @@
     public List<Decision> expire(long nowNanos) {
         List<Decision> decisions = new ArrayList<>();
         for (ServiceQueue queue : services.values()) {
-            queue.removeHopeless(nowNanos).forEach(ticket -> decisions.add(refuse(ticket, queue)));
+            queue.removeUnmeetable(nowNanos).forEach(ticket -> decisions.add(refuse(ticket, queue)));
         }
         return decisions;
     }
@@ -107,8 +107,8 @@
             if (next.isEmpty()) {
                 break;
             }
-            Ticket ticket = next.get().take();
-            inFlightOfPartner.merge(ticket.service().partner(), 1, Integer::sum);
+            Ticket ticket = next.get().takeNext();
+            inFlightByPartner.merge(ticket.service().partner(), 1, Integer::sum);
             inFlight++;
             decisions.add(new Decision.Admit(ticket));
         }
@@ -120,8 +120,9 @@
         Optional<ServiceQueue> best = Optional.empty();
         for (Map.Entry<ServiceName, ServiceQueue> candidate : services.entrySet()) {
             ServiceQueue queue = candidate.getValue();
-            int ofPartner = inFlightOfPartner.getOrDefault(candidate.getKey().partner(), 0);
-            boolean eligible = queue.mayTake() && ofPartner < mostPerPartner();
+            int partnerInFlight =
+                    inFlightByPartner.getOrDefault(candidate.getKey().partner(), 0);
+            boolean eligible = queue.canAdmit() && partnerInFlight < maxPerPartner();
             if (eligible && (best.isEmpty() || queue.inFlight() < best.get().inFlight())) {
                 best = Optional.of(queue);
             }
@@ -129,9 +130,9 @@
         return best;
     }
 
-    private int mostPerPartner() {
-        int others = Math.max(0, inFlightOfPartner.size() - 1);
-        return Math.max(1, limit - others * (limit / RESERVED_DIVISOR));
+    private int maxPerPartner() {
+        int otherPartners = Math.max(0, inFlightByPartner.size() - 1);
+        return Math.max(1, limit - otherPartners * (limit / RESERVED_SHARE_DIVISOR));
     }
 
     private static Decision refuse(Ticket ticket, ServiceQueue queue) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
@@ -34,8 +34,8 @@
     }
 
     /** Returns when the call counts as late. */
-    long hedgeDueNanos(long lateNanos) {
-        long dueNanos = sentNanos + lateNanos;
+    long hedgeDueNanos(long lateAfterNanos) {
+        long dueNanos = sentNanos + lateAfterNanos;
         return hedgeNotBeforeNanos - dueNanos > 0 ? hedgeNotBeforeNanos : dueNanos;
     }
 
@@ -43,7 +43,7 @@
         return failure == LeafFailure.HARMFUL;
     }
 
-    boolean foundVersionGone() {
+    boolean isVersionGone() {
         return failure == LeafFailure.VERSION_GONE || failure == LeafFailure.WRONG_VERSION;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -27,10 +27,10 @@
  */
 public final class OnceOnlyRequest {
     private static final int MAX_DISPATCHES = 3;
-    private static final int CANCEL_SHARE_DIVISOR = 8;
-    private static final long LONGEST_CANCEL_NANOS = Duration.ofMillis(500).toNanos();
-    private static final int SHARD_OF_A_POOL = 0;
-    private static final int SHARDS_OF_A_POOL = 1;
+    private static final int CANCEL_MARGIN_DIVISOR = 8;
+    private static final long MAX_CANCEL_MARGIN_NANOS = Duration.ofMillis(500).toNanos();
+    private static final int POOL_SHARD = 0;
+    private static final int POOL_SHARD_COUNT = 1;
 
     /** How far the attempt has come. */
     private enum Stage {
@@ -38,46 +38,46 @@
         DISPATCHED,
         CANCELLING,
         RECORDING,
-        OVER
+        DONE
     }
 
-    private final String callPrefix;
+    private final String callIdPrefix;
     private final ImmutableList<UpstreamName> pool;
     private final ServiceTables tables;
     private final RandomGenerator random;
     private final long deadlineNanos;
     private final long dispatchDeadlineNanos;
-    private final Set<UpstreamName> refused = new HashSet<>();
+    private final Set<UpstreamName> refusingUpstreams = new HashSet<>();
     private Stage stage = Stage.CLAIMING;
     private boolean claimed;
     private boolean answered;
-    private int dispatches;
+    private int dispatchCount;
     private long sentNanos;
     private @Nullable UpstreamName upstream;
-    private @Nullable OnceOnlyAction afterRecording;
+    private @Nullable OnceOnlyAction pendingAnswer;
 
     /**
      * Creates an attempt; nothing happens before {@link #start}.
      *
-     * @param callPrefix begins the identifiers of the calls; unique among all attempts of all processes
+     * @param callIdPrefix begins the identifiers of the calls; unique among all attempts of all processes
      * @param pool the upstreams that may run the request
      * @param nowNanos the present time
      * @param deadlineNanos when the caller must have its answer
      */
     public OnceOnlyRequest(
-            String callPrefix,
+            String callIdPrefix,
             ImmutableList<UpstreamName> pool,
             ServiceTables tables,
             RandomGenerator random,
             long nowNanos,
             long deadlineNanos) {
-        this.callPrefix = callPrefix;
+        this.callIdPrefix = callIdPrefix;
         this.pool = pool;
         this.tables = tables;
         this.random = random;
         this.deadlineNanos = deadlineNanos;
-        long cancelNanos = Math.min(LONGEST_CANCEL_NANOS, (deadlineNanos - nowNanos) / CANCEL_SHARE_DIVISOR);
-        this.dispatchDeadlineNanos = deadlineNanos - cancelNanos;
+        long cancelMarginNanos = Math.min(MAX_CANCEL_MARGIN_NANOS, (deadlineNanos - nowNanos) / CANCEL_MARGIN_DIVISOR);
+        this.dispatchDeadlineNanos = deadlineNanos - cancelMarginNanos;
     }
 
     /** Begins: asks for the claim. */
@@ -109,21 +109,22 @@
     /** Takes a reply as it arrived, in time or late. */
     public List<OnceOnlyAction> onReply(LeafReply reply, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
-        if (dispatches == 0) {
+        if (dispatchCount == 0) {
             return actions;
         }
-        Either<LeafFailure, CheckedReply> checked = CheckedReply.check(
-                reply, currentCallId(), reply.served().indexVersion(), SHARD_OF_A_POOL, SHARDS_OF_A_POOL);
+        Either<LeafFailure, CheckedReply> checked =
+                CheckedReply.check(reply, currentCallId(), reply.served().indexVersion(), POOL_SHARD, POOL_SHARD_COUNT);
         if (checked.isLeft()) {
             return onFailure(checked.getLeft(), nowNanos);
         }
         ByteString payload = checked.get().payload();
-        if (stage == Stage.OVER) {
+        if (stage == Stage.DONE) {
             actions.add(new OnceOnlyAction.RecordRan(payload));
         } else if (stage != Stage.RECORDING) {
             long tookNanos = nowNanos - sentNanos;
             evidence().ifPresent(known -> known.succeeded(tookNanos, nowNanos));
-            record(new OnceOnlyAction.RecordRan(payload), new OnceOnlyAction.DeliverRan(payload, false), actions);
+            startRecording(
+                    new OnceOnlyAction.RecordRan(payload), new OnceOnlyAction.DeliverRan(payload, false), actions);
         }
         return actions;
     }
@@ -144,10 +145,10 @@
             return actions;
         }
         if (upstream != null) {
-            refused.add(upstream);
+            refusingUpstreams.add(upstream);
         }
         if (stage == Stage.DISPATCHED
-                && dispatches < MAX_DISPATCHES
+                && dispatchCount < MAX_DISPATCHES
                 && tables.budget().tryWithdraw()) {
             dispatch(nowNanos, actions);
         } else {
@@ -159,8 +160,8 @@
     /** Takes the news that the outcome is agreed. */
     public List<OnceOnlyAction> onRecorded() {
         List<OnceOnlyAction> actions = new ArrayList<>();
-        if (stage == Stage.RECORDING && afterRecording != null) {
-            finish(afterRecording, actions);
+        if (stage == Stage.RECORDING && pendingAnswer != null) {
+            finish(pendingAnswer, actions);
         }
         return actions;
     }
@@ -207,16 +208,16 @@
             return;
         }
         Optional<UpstreamName> choice =
-                tables.upstreams().choose(pool, candidate -> !refused.contains(candidate), random, nowNanos);
+                tables.upstreams().choose(pool, candidate -> !refusingUpstreams.contains(candidate), random, nowNanos);
         if (choice.isEmpty()) {
             recordNotRun(RefusalKind.UPSTREAM_REFUSED, "no upstream is left that takes new work", actions);
             return;
         }
-        if (dispatches == 0) {
+        if (dispatchCount == 0) {
             tables.budget().deposit(1);
             actions.add(new OnceOnlyAction.Wake(dispatchDeadlineNanos));
         }
-        dispatches++;
+        dispatchCount++;
         stage = Stage.DISPATCHED;
         upstream = choice.get();
         sentNanos = nowNanos;
@@ -225,27 +226,27 @@
     }
 
     private void recordNotRun(RefusalKind kind, String reason, List<OnceOnlyAction> actions) {
-        record(
+        startRecording(
                 new OnceOnlyAction.RecordNotRun(reason),
                 new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; it did not run, send the request again")),
                 actions);
     }
 
     private void recordUnknown(String reason, List<OnceOnlyAction> actions) {
-        record(
+        startRecording(
                 new OnceOnlyAction.RecordUnknown(reason),
                 new OnceOnlyAction.Refuse(refusalFor(new ClaimResult.OutcomeUnknown(reason))),
                 actions);
     }
 
-    private void record(OnceOnlyAction outcome, OnceOnlyAction answer, List<OnceOnlyAction> actions) {
+    private void startRecording(OnceOnlyAction outcome, OnceOnlyAction answer, List<OnceOnlyAction> actions) {
         stage = Stage.RECORDING;
-        afterRecording = answer;
+        pendingAnswer = answer;
         actions.add(outcome);
     }
 
     private void finish(OnceOnlyAction answer, List<OnceOnlyAction> actions) {
-        stage = Stage.OVER;
+        stage = Stage.DONE;
         answered = true;
         actions.add(answer);
     }
@@ -255,7 +256,7 @@
     }
 
     private String currentCallId() {
-        return callPrefix + "-" + dispatches;
+        return callIdPrefix + "-" + dispatchCount;
     }
 
     private static Refusal refusalFor(ClaimResult verdict) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
@@ -27,8 +27,8 @@
 public final class Query {
     private static final int MAX_ATTEMPTS_PER_SHARD = 4;
     private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(10).toNanos();
-    private static final int SLOW_SERVICE_DIVISOR = 4;
-    private static final int LEAST_LATE_TO_SUSPECT = 3;
+    private static final int SLOW_SERVICE_SHARE_DIVISOR = 4;
+    private static final int MIN_LATE_SHARDS_OF_SLOW_SERVICE = 3;
 
     private final QuerySpec spec;
     private final ServiceTables tables;
@@ -40,7 +40,7 @@
     private int unfinished;
     private boolean restarted;
     private boolean over;
-    private long armedWakeNanos = Long.MAX_VALUE;
+    private long scheduledWakeNanos = Long.MAX_VALUE;
 
     /** Creates a query on a pinned version; nothing is asked before {@link #start}. */
     public Query(QuerySpec spec, ShardMap pinned, ServiceTables tables, RandomGenerator random) {
@@ -58,7 +58,7 @@
         checkState(attempts.isEmpty() && !over, "the query was started before");
         List<QueryAction> actions = new ArrayList<>(2 * pinned.shardCount() + 1);
         tables.budget().deposit(pinned.shardCount());
-        askEveryShard(nowNanos, actions);
+        callEveryShard(nowNanos, actions);
         return actions;
     }
 
@@ -80,7 +80,7 @@
             fail(attempt, checked.getLeft(), nowNanos, actions);
             return actions;
         }
-        cover(attempt, checked.get(), nowNanos, actions);
+        acceptReply(attempt, checked.get(), nowNanos, actions);
         return actions;
     }
 
@@ -100,15 +100,15 @@
         if (over) {
             return actions;
         }
-        armedWakeNanos = Long.MAX_VALUE;
+        scheduledWakeNanos = Long.MAX_VALUE;
         if (nowNanos - spec.deadlineNanos() >= 0) {
-            seal(nowNanos, actions);
+            finalizeAnswer(nowNanos, actions);
             return actions;
         }
-        retryDue(nowNanos, actions);
+        sendDueRetries(nowNanos, actions);
         if (!over) {
-            hedgeLate(nowNanos, actions);
-            armWake(nowNanos, actions);
+            hedgeLateShards(nowNanos, actions);
+            scheduleWake(nowNanos, actions);
         }
         return actions;
     }
@@ -133,7 +133,7 @@
         return pinned.indexVersion();
     }
 
-    private void askEveryShard(long nowNanos, List<QueryAction> actions) {
+    private void callEveryShard(long nowNanos, List<QueryAction> actions) {
         for (int shard = 0; shard < pinned.shardCount() && !over; shard++) {
             Optional<UpstreamName> choice =
                     tables.upstreams().choose(pinned.replicas().get(shard), upstream -> true, random, nowNanos);
@@ -141,18 +141,18 @@
                 actions.add(new QueryAction.Count(QueryCounter.FIRST_ATTEMPT));
                 send(shard, choice.get(), Attempt.Purpose.FIRST, nowNanos, actions);
             } else {
-                giveUp(shard, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
+                abandonShard(shard, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
             }
         }
         if (!over) {
-            armWake(nowNanos, actions);
+            scheduleWake(nowNanos, actions);
         }
     }
 
     private void send(
             int shard, UpstreamName upstream, Attempt.Purpose purpose, long nowNanos, List<QueryAction> actions) {
         int number = attempts.size();
-        Attempt attempt = new Attempt(shard, upstream, spec.callPrefix() + "-" + number, nowNanos, purpose);
+        Attempt attempt = new Attempt(shard, upstream, spec.callIdPrefix() + "-" + number, nowNanos, purpose);
         attempts.add(attempt);
         shards[shard].attempts.add(attempt);
         evidenceOf(upstream).ifPresent(UpstreamEvidence::started);
@@ -166,7 +166,7 @@
                 purpose != Attempt.Purpose.FIRST));
     }
 
-    private void cover(Attempt attempt, CheckedReply reply, long nowNanos, List<QueryAction> actions) {
+    private void acceptReply(Attempt attempt, CheckedReply reply, long nowNanos, List<QueryAction> actions) {
         long tookNanos = nowNanos - attempt.sentNanos;
         attempt.finished = true;
         evidenceOf(attempt.upstream).ifPresent(evidence -> evidence.succeeded(tookNanos, nowNanos));
@@ -182,7 +182,7 @@
             actions.add(new QueryAction.Count(QueryCounter.HEDGE_WON));
         }
         if (unfinished == 0) {
-            seal(nowNanos, actions);
+            finalizeAnswer(nowNanos, actions);
         }
     }
 
@@ -199,7 +199,7 @@
         }
         if (failure == LeafFailure.HARMFUL) {
             // No other upstream may have it either.
-            giveUp(attempt.shard, QueryCounter.DENIED_HARMFUL, nowNanos, actions);
+            abandonShard(attempt.shard, QueryCounter.DENIED_HARMFUL, nowNanos, actions);
             return;
         }
         retry(attempt.shard, nowNanos, actions);
@@ -210,17 +210,17 @@
         Optional<UpstreamName> untried = tables.upstreams()
                 .choose(pinned.replicas().get(shardNumber), upstream -> !shard.hasTried(upstream), random, nowNanos);
         if (untried.isPresent()) {
-            spendOnRetry(shardNumber, untried.get(), nowNanos, actions);
-        } else if (shard.isVersionGone()) {
-            restartOrGiveUp(shardNumber, nowNanos, actions);
+            retryWithinBudget(shardNumber, untried.get(), nowNanos, actions);
+        } else if (shard.isVersionGoneAtAllTried()) {
+            restartOrAbandon(shardNumber, nowNanos, actions);
         } else {
             retryLater(shardNumber, nowNanos, actions);
         }
     }
 
-    private void spendOnRetry(int shard, UpstreamName upstream, long nowNanos, List<QueryAction> actions) {
+    private void retryWithinBudget(int shard, UpstreamName upstream, long nowNanos, List<QueryAction> actions) {
         if (!tables.budget().tryWithdraw()) {
-            giveUp(shard, QueryCounter.RETRY_DENIED_BUDGET, nowNanos, actions);
+            abandonShard(shard, QueryCounter.RETRY_DENIED_BUDGET, nowNanos, actions);
             return;
         }
         actions.add(new QueryAction.Count(QueryCounter.RETRY));
@@ -231,48 +231,49 @@
     private void retryLater(int shardNumber, long nowNanos, List<QueryAction> actions) {
         ShardState shard = shards[shardNumber];
         if (shard.attempts.isEmpty() || shard.attempts.size() >= MAX_ATTEMPTS_PER_SHARD) {
-            giveUp(shardNumber, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
+            abandonShard(shardNumber, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
             return;
         }
         long backoffNanos = FIRST_BACKOFF_NANOS << (shard.attempts.size() - 1);
         long delayNanos = backoffNanos / 2 + random.nextLong(backoffNanos);
         if (nowNanos + delayNanos + tables.latency().medianNanos() - spec.deadlineNanos() >= 0) {
-            giveUp(shardNumber, QueryCounter.RETRY_DENIED_TIME, nowNanos, actions);
+            abandonShard(shardNumber, QueryCounter.RETRY_DENIED_TIME, nowNanos, actions);
             return;
         }
         shard.retryAtNanos = nowNanos + delayNanos;
-        shard.retryDue = true;
-        armWake(nowNanos, actions);
+        shard.retryScheduled = true;
+        scheduleWake(nowNanos, actions);
     }
 
-    private void retryDue(long nowNanos, List<QueryAction> actions) {
+    private void sendDueRetries(long nowNanos, List<QueryAction> actions) {
         for (int number = 0; number < shards.length && !over; number++) {
             ShardState shard = shards[number];
-            if (!shard.finished && shard.retryDue && nowNanos - shard.retryAtNanos >= 0) {
-                shard.retryDue = false;
+            if (!shard.finished && shard.retryScheduled && nowNanos - shard.retryAtNanos >= 0) {
+                shard.retryScheduled = false;
                 Optional<UpstreamName> choice = tables.upstreams()
                         .choose(
                                 pinned.replicas().get(number),
-                                upstream -> !shard.foundVersionGoneAt(upstream),
+                                upstream -> !shard.isVersionGoneAt(upstream),
                                 random,
                                 nowNanos);
                 if (choice.isPresent()) {
-                    spendOnRetry(number, choice.get(), nowNanos, actions);
+                    retryWithinBudget(number, choice.get(), nowNanos, actions);
                 } else {
-                    giveUp(number, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
+                    abandonShard(number, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
                 }
             }
         }
     }
 
-    private void hedgeLate(long nowNanos, List<QueryAction> actions) {
-        long lateNanos = tables.latency().lateNanos();
+    private void hedgeLateShards(long nowNanos, List<QueryAction> actions) {
+        long lateAfterNanos = tables.latency().lateNanos();
         List<Attempt> late = new ArrayList<>();
         for (ShardState shard : shards) {
-            shard.lateAttempt(lateNanos, nowNanos).ifPresent(late::add);
+            shard.lateAttempt(lateAfterNanos, nowNanos).ifPresent(late::add);
         }
-        late.forEach(attempt -> attempt.hedgeNotBeforeNanos = nowNanos + lateNanos / 2);
-        if (late.size() >= LEAST_LATE_TO_SUSPECT && late.size() * SLOW_SERVICE_DIVISOR > shards.length) {
+        late.forEach(attempt -> attempt.hedgeNotBeforeNanos = nowNanos + lateAfterNanos / 2);
+        if (late.size() >= MIN_LATE_SHARDS_OF_SLOW_SERVICE
+                && late.size() * SLOW_SERVICE_SHARE_DIVISOR > shards.length) {
             actions.add(new QueryAction.Count(QueryCounter.HEDGE_DENIED_SLOW_SERVICE));
             return;
         }
@@ -296,12 +297,12 @@
         }
     }
 
-    private void restartOrGiveUp(int shard, long nowNanos, List<QueryAction> actions) {
+    private void restartOrAbandon(int shard, long nowNanos, List<QueryAction> actions) {
         Optional<ShardMap> newer =
                 restarted ? Optional.empty() : tables.versions().newestAfter(pinned.indexVersion());
         boolean inTime = nowNanos + tables.latency().quantileNanos() - spec.deadlineNanos() < 0;
         if (newer.isEmpty() || !inTime) {
-            giveUp(shard, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
+            abandonShard(shard, QueryCounter.RETRY_DENIED_NO_REPLICA, nowNanos, actions);
             return;
         }
         restarted = true;
@@ -311,19 +312,19 @@
         shards = newShards(pinned.shardCount());
         unfinished = pinned.shardCount();
         actions.add(new QueryAction.Count(QueryCounter.RESTART));
-        askEveryShard(nowNanos, actions);
+        callEveryShard(nowNanos, actions);
     }
 
-    private void giveUp(int shard, QueryCounter reason, long nowNanos, List<QueryAction> actions) {
+    private void abandonShard(int shard, QueryCounter reason, long nowNanos, List<QueryAction> actions) {
         actions.add(new QueryAction.Count(reason));
         shards[shard].finished = true;
         unfinished--;
         if (unfinished == 0) {
-            seal(nowNanos, actions);
+            finalizeAnswer(nowNanos, actions);
         }
     }
 
-    private void seal(long nowNanos, List<QueryAction> actions) {
+    private void finalizeAnswer(long nowNanos, List<QueryAction> actions) {
         over = true;
         cancelAll(nowNanos, actions);
         Coverage coverage = answer.coverage();
@@ -370,15 +371,15 @@
         actions.add(new QueryAction.CancelLeaf(attempt.callId, attempt.upstream));
     }
 
-    private void armWake(long nowNanos, List<QueryAction> actions) {
+    private void scheduleWake(long nowNanos, List<QueryAction> actions) {
         long next = spec.deadlineNanos();
-        long lateNanos = tables.latency().lateNanos();
+        long lateAfterNanos = tables.latency().lateNanos();
         for (ShardState shard : shards) {
-            next = earlier(next, shard.nextLookNanos(lateNanos).orElse(next));
+            next = earlier(next, shard.nextCheckNanos(lateAfterNanos).orElse(next));
         }
         next = nowNanos - next > 0 ? nowNanos : next;
-        if (armedWakeNanos == Long.MAX_VALUE || next - armedWakeNanos < 0) {
-            armedWakeNanos = next;
+        if (scheduledWakeNanos == Long.MAX_VALUE || next - scheduledWakeNanos < 0) {
+            scheduledWakeNanos = next;
             actions.add(new QueryAction.Wake(next));
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/QuerySpec.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/QuerySpec.java
@@ -8,9 +8,9 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param callPrefix begins the identifiers of all calls of the query; unique among all queries of all processes
+ * @param callIdPrefix begins the identifiers of all calls of the query; unique among all queries of all processes
  * @param service the service to query
  * @param preference what to do when the time runs out
  * @param deadlineNanos when the answer must be sealed
  */
-public record QuerySpec(String callPrefix, ServiceName service, Preference preference, long deadlineNanos) {}
+public record QuerySpec(String callIdPrefix, ServiceName service, Preference preference, long deadlineNanos) {}
--- a/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
@@ -12,7 +12,7 @@
  * @param value 1 to 128 letters, digits and the signs {@code . _ : -}
  */
 public record RequestId(String value) {
-    private static final Pattern FORM = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
+    private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
     /** Refuses a value of another form. */
     public RequestId {
@@ -21,7 +21,7 @@
 
     /** Returns true if the text is a request identifier. */
     public static boolean isValid(String text) {
-        return FORM.matcher(text).matches();
+        return PATTERN.matcher(text).matches();
     }
 
     @Override
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ServiceQueue.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ServiceQueue.java
@@ -18,10 +18,10 @@
     private final Deque<Admission.Ticket> normal = new ArrayDeque<>();
     private final AdaptiveLimit limit;
     private int inFlight;
-    private int sinceNormal;
+    private int urgentSinceNormal;
 
-    ServiceQueue(int most) {
-        this.limit = new AdaptiveLimit(most);
+    ServiceQueue(int maxLimit) {
+        this.limit = new AdaptiveLimit(maxLimit);
     }
 
     void add(Admission.Ticket ticket) {
@@ -40,23 +40,23 @@
         return inFlight;
     }
 
-    boolean mayTake() {
+    boolean canAdmit() {
         return waiting() > 0 && inFlight < limit.limit();
     }
 
-    Admission.Ticket take() {
+    Admission.Ticket takeNext() {
         inFlight++;
-        boolean turnOfNormal = !normal.isEmpty() && sinceNormal >= NORMAL_EVERY - 1;
-        if (urgent.isEmpty() || turnOfNormal) {
-            sinceNormal = 0;
+        boolean normalDue = !normal.isEmpty() && urgentSinceNormal >= NORMAL_EVERY - 1;
+        if (urgent.isEmpty() || normalDue) {
+            urgentSinceNormal = 0;
             return normal.removeFirst();
         }
-        sinceNormal++;
+        urgentSinceNormal++;
         return urgent.removeFirst();
     }
 
-    void finished(long tookNanos, boolean ranOutOfTime, long nowNanos) {
-        limit.observe(tookNanos, ranOutOfTime, inFlight, nowNanos);
+    void onFinished(long tookNanos, boolean deadlineExceeded, long nowNanos) {
+        limit.observe(tookNanos, deadlineExceeded, inFlight, nowNanos);
         inFlight--;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Returns true unless the query would end after its deadline; one that need not wait is always let in. */
-    boolean canFinish(Admission.Ticket ticket, long waitNanos, long nowNanos) {
+    boolean canMeetDeadline(Admission.Ticket ticket, long waitNanos, long nowNanos) {
         long neededNanos = waitNanos == 0 ? 0 : waitNanos + limit.expectedNanos();
         return nowNanos + neededNanos - ticket.deadlineNanos() < 0;
     }
@@ -78,20 +78,20 @@
      * Removes and returns the queries that would end after their deadline even if they began now. If none is in flight
      * the expectation is not believed: only a query that is let in can show that it is wrong.
      */
-    List<Admission.Ticket> removeHopeless(long nowNanos) {
+    List<Admission.Ticket> removeUnmeetable(long nowNanos) {
         List<Admission.Ticket> removed = new ArrayList<>();
-        long latestNanos = inFlight == 0 ? nowNanos : nowNanos + limit.expectedNanos();
-        removeHopeless(urgent, latestNanos, removed);
-        removeHopeless(normal, latestNanos, removed);
+        long expectedEndNanos = inFlight == 0 ? nowNanos : nowNanos + limit.expectedNanos();
+        removeUnmeetable(urgent, expectedEndNanos, removed);
+        removeUnmeetable(normal, expectedEndNanos, removed);
         return removed;
     }
 
-    private static void removeHopeless(
-            Deque<Admission.Ticket> queue, long latestNanos, List<Admission.Ticket> removed) {
+    private static void removeUnmeetable(
+            Deque<Admission.Ticket> queue, long expectedEndNanos, List<Admission.Ticket> removed) {
         Iterator<Admission.Ticket> tickets = queue.iterator();
         while (tickets.hasNext()) {
             Admission.Ticket ticket = tickets.next();
-            if (latestNanos - ticket.deadlineNanos() >= 0) {
+            if (expectedEndNanos - ticket.deadlineNanos() >= 0) {
                 tickets.remove();
                 removed.add(ticket);
             }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
@@ -23,13 +23,13 @@
     /** The quantile of the leaf latency after which a reply is late. */
     public static final double LATE_QUANTILE_PERCENT = 97;
 
-    private static final Duration INITIAL_LATE = Duration.ofMillis(50);
-    private static final int BUDGET_RESERVE = 20;
+    private static final Duration INITIAL_LATE_THRESHOLD = Duration.ofMillis(50);
+    private static final int RETRY_BUDGET_RESERVE = 20;
 
     /** Returns tables that keep what was learned and have a fresh budget of the given limits. */
     public ServiceTables withLimits(UpstreamLimits limits) {
         return new ServiceTables(
-                upstreams, versions, latency, RetryBudget.create(limits.extraLoadPercent(), BUDGET_RESERVE));
+                upstreams, versions, latency, RetryBudget.create(limits.extraLoadPercent(), RETRY_BUDGET_RESERVE));
     }
 
     /** Creates empty tables for a service. */
@@ -37,7 +37,7 @@
         return new ServiceTables(
                 upstreams,
                 new VersionRegistry(),
-                new LatencyTracker(LATE_QUANTILE_PERCENT, INITIAL_LATE),
-                RetryBudget.create(limits.extraLoadPercent(), BUDGET_RESERVE));
+                new LatencyTracker(LATE_QUANTILE_PERCENT, INITIAL_LATE_THRESHOLD),
+                RetryBudget.create(limits.extraLoadPercent(), RETRY_BUDGET_RESERVE));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
@@ -9,7 +9,7 @@
 final class ShardState {
     final List<Attempt> attempts = new ArrayList<>(2);
     boolean finished;
-    boolean retryDue;
+    boolean retryScheduled;
     long retryAtNanos;
 
     boolean hasAttemptInFlight() {
@@ -30,9 +30,9 @@
         return false;
     }
 
-    boolean foundVersionGoneAt(UpstreamName upstream) {
+    boolean isVersionGoneAt(UpstreamName upstream) {
         for (Attempt attempt : attempts) {
-            if (attempt.upstream.equals(upstream) && attempt.foundVersionGone()) {
+            if (attempt.upstream.equals(upstream) && attempt.isVersionGone()) {
                 return true;
             }
         }
@@ -40,23 +40,25 @@
     }
 
     /** Returns true if every replica that was asked no longer serves the version. */
-    boolean isVersionGone() {
-        return !attempts.isEmpty() && attempts.stream().allMatch(Attempt::foundVersionGone);
+    boolean isVersionGoneAtAllTried() {
+        return !attempts.isEmpty() && attempts.stream().allMatch(Attempt::isVersionGone);
     }
 
     /** Returns the only attempt if it counts as late. */
-    Optional<Attempt> lateAttempt(long lateNanos, long nowNanos) {
+    Optional<Attempt> lateAttempt(long lateAfterNanos, long nowNanos) {
         return onlyAttempt()
                 .filter(only -> !finished && !only.finished)
-                .filter(only -> nowNanos - only.hedgeDueNanos(lateNanos) >= 0);
+                .filter(only -> nowNanos - only.hedgeDueNanos(lateAfterNanos) >= 0);
     }
 
     /** Returns when to look at the shard again, if time alone can change anything about it. */
-    Optional<Long> nextLookNanos(long lateNanos) {
+    Optional<Long> nextCheckNanos(long lateAfterNanos) {
         if (finished) {
             return Optional.empty();
         }
-        return retryDue ? Optional.of(retryAtNanos) : onlyAttempt().map(only -> only.hedgeDueNanos(lateNanos));
+        return retryScheduled
+                ? Optional.of(retryAtNanos)
+                : onlyAttempt().map(only -> only.hedgeDueNanos(lateAfterNanos));
     }
 
     private Optional<Attempt> onlyAttempt() {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
@@ -24,7 +24,7 @@
  *       as long as it is less than {@link #LAG_THRESHOLD} behind. So room never stands free while a request waits.
  *   <li>Ranks go in their order, but a quarter of the room, in calls, goes to lower ranks as long as they wait, the
  *       longest waiting first. So no class gets less than a quarter of its share by demand.
- *   <li>Within a rank those go first that can still be in time, then teams take turns ({@link TeamTurns}).
+ *   <li>Within a rank those go first that can still be in time, then teams take turns ({@link FairTeamQueue}).
  *   <li>What could not be answered before its caller's limit, by the work that goes before it, is refused at once.
  * </ul>
  *
@@ -41,30 +41,30 @@
     public static final Duration LAG_THRESHOLD = Duration.ofMillis(20);
 
     /** Every which call of the room goes to lower ranks that wait. */
-    private static final int LOWER_RANKS_DIVISOR = 4;
+    private static final int LOWER_RANKS_SHARE_DIVISOR = 4;
     /** How many may wait; beyond that the last in order is refused, whatever its limit. */
-    private static final int MAX_WAITING = 512;
+    private static final int MAX_QUEUED = 512;
     /** How fast the estimate of the time from one beginning to the next follows what is seen. */
-    private static final double SMOOTHING = 0.2;
+    private static final double START_INTERVAL_SMOOTHING = 0.2;
 
-    private static final Duration LEAST_RETRY = Duration.ofMillis(50);
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(50);
     /** Callers come back if they are told a time within a third of what they have left. */
-    private static final int OBEYED_DIVISOR = 3;
+    private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
     private final RandomGenerator random;
-    private final List<Waiting<T>> waiting = new ArrayList<>();
-    private final TeamTurns turns = new TeamTurns();
-    private final long callNanos;
+    private final List<Entry<T>> entries = new ArrayList<>();
+    private final FairTeamQueue teamQueue = new FairTeamQueue();
+    private final long callCostNanos;
     /** From one beginning to the next while requests wait. */
-    private double turnNanos = LAG_THRESHOLD.toNanos();
+    private double startIntervalNanos = LAG_THRESHOLD.toNanos();
 
-    private long lookedNanos;
+    private long lastDrainNanos;
     /** Calls that lower ranks are owed: a part of those begun before them. */
-    private double owedToLower;
+    private double lowerRankCredit;
 
-    private long lastNumber;
+    private long lastSequence;
 
-    private record Waiting<T>(QueuedRequest<T> applicant, long number) {}
+    private record Entry<T>(QueuedRequest<T> queued, long sequence) {}
 
     /**
      * Creates a room of which nothing is taken.
@@ -73,8 +73,8 @@
      * @param callCost what a call to a leaf takes of this host's time
      */
     public EntryAdmission(long nowNanos, Duration callCost, RandomGenerator random) {
-        this.lookedNanos = nowNanos - LAG_THRESHOLD.toNanos();
-        this.callNanos = callCost.toNanos();
+        this.lastDrainNanos = nowNanos - LAG_THRESHOLD.toNanos();
+        this.callCostNanos = callCost.toNanos();
         this.random = random;
     }
 
@@ -83,132 +83,132 @@
      *
      * @param lagNanos how far this host is behind with what has arrived
      */
-    public ImmutableList<AdmissionAction<T>> offer(QueuedRequest<T> applicant, long lagNanos, long nowNanos) {
+    public ImmutableList<AdmissionAction<T>> offer(QueuedRequest<T> request, long lagNanos, long nowNanos) {
         ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
-        boolean begunOfLate = nowNanos - lookedNanos < LAG_THRESHOLD.toNanos();
-        if (waiting.isEmpty() && (lagNanos < LAG_THRESHOLD.toNanos() || !begunOfLate)) {
-            turns.begin(applicant.team(), applicant.weight(), applicant.calls());
-            lookedNanos = lagNanos < LAG_THRESHOLD.toNanos() ? lookedNanos : nowNanos;
-            actions.add(new AdmissionAction.Start<>(applicant.request()));
+        boolean drainedRecently = nowNanos - lastDrainNanos < LAG_THRESHOLD.toNanos();
+        if (entries.isEmpty() && (lagNanos < LAG_THRESHOLD.toNanos() || !drainedRecently)) {
+            teamQueue.recordStart(request.team(), request.weight(), request.calls());
+            lastDrainNanos = lagNanos < LAG_THRESHOLD.toNanos() ? lastDrainNanos : nowNanos;
+            actions.add(new AdmissionAction.Start<>(request.request()));
             return actions.build();
         }
-        waiting.add(new Waiting<>(applicant, ++lastNumber));
-        refuseHopeless(nowNanos, actions);
+        entries.add(new Entry<>(request, ++lastSequence));
+        refuseUnmeetable(nowNanos, actions);
         return actions.build();
     }
 
     /** Begins what there is room for; to be called regularly while requests wait. */
     public ImmutableList<AdmissionAction<T>> drain(long lagNanos, long nowNanos) {
         ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
-        long busyNanos = lagNanos;
-        int begun = 0;
-        while (!waiting.isEmpty() && (begun == 0 || busyNanos < LAG_THRESHOLD.toNanos())) {
-            Waiting<T> next = next(nowNanos);
-            begun++;
-            begin(next, actions);
-            busyNanos += next.applicant().calls() * callNanos;
+        long expectedLagNanos = lagNanos;
+        int started = 0;
+        while (!entries.isEmpty() && (started == 0 || expectedLagNanos < LAG_THRESHOLD.toNanos())) {
+            Entry<T> next = selectNext(nowNanos);
+            started++;
+            start(next, actions);
+            expectedLagNanos += next.queued().calls() * callCostNanos;
         }
-        if (!waiting.isEmpty()) {
-            turnNanos += SMOOTHING * ((nowNanos - lookedNanos) / (double) begun - turnNanos);
+        if (!entries.isEmpty()) {
+            startIntervalNanos +=
+                    START_INTERVAL_SMOOTHING * ((nowNanos - lastDrainNanos) / (double) started - startIntervalNanos);
         }
-        lookedNanos = nowNanos;
-        refuseHopeless(nowNanos, actions);
+        lastDrainNanos = nowNanos;
+        refuseUnmeetable(nowNanos, actions);
         return actions.build();
     }
 
     /** Forgets a request whose caller went away. */
     public void withdraw(T request) {
-        waiting.removeIf(each -> each.applicant().request().equals(request));
+        entries.removeIf(entry -> entry.queued().request().equals(request));
     }
 
     /** Returns true if a request has neither begun nor been refused. */
     public boolean isQueued(T request) {
-        return waiting.stream().anyMatch(each -> each.applicant().request().equals(request));
+        return entries.stream().anyMatch(entry -> entry.queued().request().equals(request));
     }
 
     /** Returns how many requests wait. */
     public int queuedCount() {
-        return waiting.size();
+        return entries.size();
     }
 
     /** Returns how long it takes from one beginning to the next, for a log line. */
     public Duration startInterval() {
-        return Duration.ofNanos((long) turnNanos);
+        return Duration.ofNanos((long) startIntervalNanos);
     }
 
-    private void begin(Waiting<T> next, ImmutableList.Builder<AdmissionAction<T>> actions) {
-        waiting.remove(next);
-        turns.begin(
-                next.applicant().team(),
-                next.applicant().weight(),
-                next.applicant().calls());
-        payLower(next.applicant());
-        actions.add(new AdmissionAction.Start<>(next.applicant().request()));
+    private void start(Entry<T> entry, ImmutableList.Builder<AdmissionAction<T>> actions) {
+        entries.remove(entry);
+        teamQueue.recordStart(
+                entry.queued().team(), entry.queued().weight(), entry.queued().calls());
+        updateLowerRankCredit(entry.queued());
+        actions.add(new AdmissionAction.Start<>(entry.queued().request()));
     }
 
     /** Keeps what lower ranks are owed: as long as one waits, a part of what goes before it. */
-    private void payLower(QueuedRequest<T> begun) {
-        boolean lowerWaits = waiting.stream().anyMatch(each -> each.applicant().rank() > begun.rank());
-        boolean higherWaits = waiting.stream().anyMatch(each -> each.applicant().rank() < begun.rank());
-        if (lowerWaits) {
-            owedToLower += begun.calls() / (double) (LOWER_RANKS_DIVISOR - 1);
-        } else if (!higherWaits) {
-            owedToLower = 0;
+    private void updateLowerRankCredit(QueuedRequest<T> started) {
+        boolean lowerQueued = entries.stream().anyMatch(entry -> entry.queued().rank() > started.rank());
+        boolean higherQueued = entries.stream().anyMatch(entry -> entry.queued().rank() < started.rank());
+        if (lowerQueued) {
+            lowerRankCredit += started.calls() / (double) (LOWER_RANKS_SHARE_DIVISOR - 1);
+        } else if (!higherQueued) {
+            lowerRankCredit = 0;
         }
-        if (higherWaits) {
-            owedToLower -= begun.calls();
+        if (higherQueued) {
+            lowerRankCredit -= started.calls();
         }
     }
 
     /** Returns the request that begins next; one waits at least. */
-    private Waiting<T> next(long nowNanos) {
-        List<Waiting<T>> ordered = inOrder(nowNanos);
-        Waiting<T> first = ordered.get(0);
-        return longestWaitingBelow(first.applicant().rank())
-                .filter(lower -> owedToLower >= lower.applicant().calls())
+    private Entry<T> selectNext(long nowNanos) {
+        List<Entry<T>> ordered = inServiceOrder(nowNanos);
+        Entry<T> first = ordered.get(0);
+        return oldestBelowRank(first.queued().rank())
+                .filter(lower -> lowerRankCredit >= lower.queued().calls())
                 .orElse(first);
     }
 
-    private Optional<Waiting<T>> longestWaitingBelow(int rank) {
-        return waiting.stream()
-                .filter(each -> each.applicant().rank() > rank)
-                .min(Comparator.comparingLong(Waiting::number));
-    }
-
-    private List<Waiting<T>> inOrder(long nowNanos) {
-        List<Waiting<T>> ordered = new ArrayList<>(waiting);
-        Comparator<Waiting<T>> byRank =
-                Comparator.comparingInt(each -> each.applicant().rank());
-        Comparator<Waiting<T>> inTimeFirst = byRank.thenComparing(each -> isLate(each.applicant(), nowNanos));
-        ordered.sort(inTimeFirst.thenComparingLong(Waiting::number));
-        Map<Long, Double> turnOf = new HashMap<>();
-        Map<String, Double> askedBefore = new HashMap<>();
-        for (Waiting<T> each : ordered) {
-            QueuedRequest<T> applicant = each.applicant();
-            double room = applicant.calls() / applicant.weight();
-            double before = askedBefore.merge(applicant.team(), room, Double::sum) - room;
-            turnOf.put(each.number(), turns.next(applicant.team(), applicant.weight()) + before);
+    private Optional<Entry<T>> oldestBelowRank(int rank) {
+        return entries.stream()
+                .filter(entry -> entry.queued().rank() > rank)
+                .min(Comparator.comparingLong(Entry::sequence));
+    }
+
+    private List<Entry<T>> inServiceOrder(long nowNanos) {
+        List<Entry<T>> ordered = new ArrayList<>(entries);
+        Comparator<Entry<T>> byRank =
+                Comparator.comparingInt(entry -> entry.queued().rank());
+        Comparator<Entry<T>> inTimeFirst = byRank.thenComparing(entry -> missesGoal(entry.queued(), nowNanos));
+        ordered.sort(inTimeFirst.thenComparingLong(Entry::sequence));
+        Map<Long, Double> startTagBySequence = new HashMap<>();
+        Map<String, Double> costByTeam = new HashMap<>();
+        for (Entry<T> entry : ordered) {
+            QueuedRequest<T> request = entry.queued();
+            double cost = request.calls() / request.weight();
+            double costAhead = costByTeam.merge(request.team(), cost, Double::sum) - cost;
+            startTagBySequence.put(
+                    entry.sequence(), teamQueue.nextStartTag(request.team(), request.weight()) + costAhead);
         }
         ordered.sort(inTimeFirst
-                .thenComparingDouble(each -> turnOf.getOrDefault(each.number(), 0.0))
-                .thenComparingLong(Waiting::number));
+                .thenComparingDouble(entry -> startTagBySequence.getOrDefault(entry.sequence(), 0.0))
+                .thenComparingLong(Entry::sequence));
         return ordered;
     }
 
-    private static boolean isLate(QueuedRequest<?> applicant, long nowNanos) {
-        return nowNanos + applicant.expectedNanos() - applicant.goalNanos() > 0;
+    private static boolean missesGoal(QueuedRequest<?> request, long nowNanos) {
+        return nowNanos + request.expectedNanos() - request.goalNanos() > 0;
     }
 
     /** Refuses what would be answered after its caller's limit by the work before it. */
-    private void refuseHopeless(long nowNanos, ImmutableList.Builder<AdmissionAction<T>> actions) {
+    private void refuseUnmeetable(long nowNanos, ImmutableList.Builder<AdmissionAction<T>> actions) {
         int ahead = 0;
-        for (Waiting<T> each : inOrder(nowNanos)) {
-            QueuedRequest<T> applicant = each.applicant();
-            double beginsNanos = (Math.min(ahead, turnsOfLower(each)) + 1) * turnNanos;
-            long leftNanos = applicant.deadlineNanos() - nowNanos;
-            if (beginsNanos + applicant.expectedNanos() > leftNanos || ahead >= MAX_WAITING) {
-                waiting.remove(each);
-                actions.add(new AdmissionAction.Refuse<>(applicant.request(), retryAfter(beginsNanos, leftNanos)));
+        for (Entry<T> entry : inServiceOrder(nowNanos)) {
+            QueuedRequest<T> request = entry.queued();
+            double waitNanos = (Math.min(ahead, maxStartsAhead(entry)) + 1) * startIntervalNanos;
+            long remainingNanos = request.deadlineNanos() - nowNanos;
+            if (waitNanos + request.expectedNanos() > remainingNanos || ahead >= MAX_QUEUED) {
+                entries.remove(entry);
+                actions.add(new AdmissionAction.Refuse<>(request.request(), retryAfter(waitNanos, remainingNanos)));
             } else {
                 ahead++;
             }
@@ -216,21 +216,22 @@
     }
 
     /** Returns after how many others a request begins at the latest, by the part of the room that lower ranks have. */
-    private int turnsOfLower(Waiting<T> request) {
-        int top =
-                waiting.stream().mapToInt(each -> each.applicant().rank()).min().orElse(0);
-        if (request.applicant().rank() == top) {
+    private int maxStartsAhead(Entry<T> entry) {
+        int topRank =
+                entries.stream().mapToInt(other -> other.queued().rank()).min().orElse(0);
+        if (entry.queued().rank() == topRank) {
             return Integer.MAX_VALUE;
         }
-        int older = (int) waiting.stream()
-                .filter(each -> each.applicant().rank() > top && each.number() < request.number())
+        int older = (int) entries.stream()
+                .filter(other -> other.queued().rank() > topRank && other.sequence() < entry.sequence())
                 .count();
-        return LOWER_RANKS_DIVISOR * (older + 1);
+        return LOWER_RANKS_SHARE_DIVISOR * (older + 1);
     }
 
-    private Duration retryAfter(double beginsNanos, long leftNanos) {
-        Duration room = Duration.ofNanos(Math.max(LEAST_RETRY.toNanos(), (long) beginsNanos));
-        Duration obeyed = Duration.ofNanos(Math.max(LEAST_RETRY.toNanos(), leftNanos / OBEYED_DIVISOR));
-        return RetryAfterJitter.spread(room, obeyed, random);
+    private Duration retryAfter(double waitNanos, long remainingNanos) {
+        Duration earliest = Duration.ofNanos(Math.max(MIN_RETRY_AFTER.toNanos(), (long) waitNanos));
+        Duration latest =
+                Duration.ofNanos(Math.max(MIN_RETRY_AFTER.toNanos(), remainingNanos / MAX_RETRY_AFTER_DIVISOR));
+        return RetryAfterJitter.spread(earliest, latest, random);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/TeamTurns.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/FairTeamQueue.java
@@ -10,31 +10,31 @@
  * <p>In a time that counts room given and not seconds, a team's next request begins where its last one ended, or now if
  * that is past. So a team that asks for more than its share queues behind itself, whether by new requests or by ones
  * that were refused and come again, and one that asks for less never waits for the others' excess. What a team owes is
- * bounded by {@link #MOST_OWED_CALLS}. Not safe for use by several threads.
+ * bounded by {@link #MAX_BACKLOG_CALLS}. Not safe for use by several threads.
  */
-final class TeamTurns {
+final class FairTeamQueue {
     /** Some ten queries over the shards of a large index. */
-    private static final double MOST_OWED_CALLS = 2_000;
+    private static final double MAX_BACKLOG_CALLS = 2_000;
     /** As many teams as a configuration may hold; those that asked longest ago are forgotten first. */
     private static final int MAX_TEAMS = 10_000;
 
-    private final Map<String, Double> endsByTeam = new LinkedHashMap<>();
-    private double now;
+    private final Map<String, Double> finishTagByTeam = new LinkedHashMap<>();
+    private double virtualTime;
 
     /** Returns when, in room given, the turn of a team's next request comes. */
-    double next(String team, double weight) {
-        double end = endsByTeam.getOrDefault(team, now);
-        return Math.max(now, Math.min(end, now + MOST_OWED_CALLS / weight));
+    double nextStartTag(String team, double weight) {
+        double finishTag = finishTagByTeam.getOrDefault(team, virtualTime);
+        return Math.max(virtualTime, Math.min(finishTag, virtualTime + MAX_BACKLOG_CALLS / weight));
     }
 
     /** Notes that the next request of a team begins. */
-    void begin(String team, double weight, int calls) {
-        double start = next(team, weight);
-        now = start;
-        endsByTeam.remove(team);
-        endsByTeam.put(team, start + calls / weight);
-        if (endsByTeam.size() > MAX_TEAMS) {
-            Iterator<String> oldest = endsByTeam.keySet().iterator();
+    void recordStart(String team, double weight, int calls) {
+        double startTag = nextStartTag(team, weight);
+        virtualTime = startTag;
+        finishTagByTeam.remove(team);
+        finishTagByTeam.put(team, startTag + calls / weight);
+        if (finishTagByTeam.size() > MAX_TEAMS) {
+            Iterator<String> oldest = finishTagByTeam.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/FakeService.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/FakeService.java
@@ -20,10 +20,10 @@
 
     final UpstreamTable upstreams = new UpstreamTable("zone-a");
     final ServiceTables tables;
-    final int shards;
+    final int shardCount;
 
     FakeService(int shards, UpstreamLimits limits) {
-        this.shards = shards;
+        this.shardCount = shards;
         this.tables = ServiceTables.create(upstreams, limits);
         for (int shard = 0; shard < shards; shard++) {
             for (String replica : ImmutableList.of("a", "b")) {
@@ -44,23 +44,23 @@
 
     /** States that every replica serves a version, and returns its map. */
     ShardMap serve(long indexVersion) {
-        for (int shard = 0; shard < shards; shard++) {
+        for (int shard = 0; shard < shardCount; shard++) {
             for (String replica : ImmutableList.of("a", "b")) {
-                tables.versions().recordReply(name(shard, replica), new ServedVersion(indexVersion, shard, shards));
+                tables.versions().recordReply(name(shard, replica), new ServedVersion(indexVersion, shard, shardCount));
             }
         }
         return tables.versions().newest().orElseThrow();
     }
 
-    void forget(long indexVersion) {
-        for (int shard = 0; shard < shards; shard++) {
+    void removeVersion(long indexVersion) {
+        for (int shard = 0; shard < shardCount; shard++) {
             for (String replica : ImmutableList.of("a", "b")) {
                 tables.versions().recordGone(name(shard, replica), indexVersion);
             }
         }
     }
 
-    static ByteString truth(long indexVersion, int shard) {
+    static ByteString expectedPayload(long indexVersion, int shard) {
         return ByteString.copyFromUtf8("v" + indexVersion + "s" + shard);
     }
 
@@ -69,23 +69,23 @@
     }
 
     LeafReply reply(String callId, long indexVersion, int shard) {
-        ByteString payload = truth(indexVersion, shard);
+        ByteString payload = expectedPayload(indexVersion, shard);
         return new LeafReply(
                 callId,
-                new ServedVersion(indexVersion, shard, shards),
+                new ServedVersion(indexVersion, shard, shardCount),
                 payload.size(),
                 CheckedReply.checksum(payload),
                 payload);
     }
 
     LeafReply truncated(QueryAction.SendLeaf send) {
-        LeafReply whole = reply(send);
+        LeafReply complete = reply(send);
         return new LeafReply(
-                whole.replyTo(),
-                whole.served(),
-                whole.declaredLengthBytes(),
-                whole.declaredChecksum(),
-                whole.payload().substring(1));
+                complete.replyTo(),
+                complete.served(),
+                complete.declaredLengthBytes(),
+                complete.declaredChecksum(),
+                complete.payload().substring(1));
     }
 
     static ImmutableSet<String> payloads(Answer answer) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/OnceOnlyRequestTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/OnceOnlyRequestTest.java
@@ -15,111 +15,111 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 final class OnceOnlyRequestTest {
-    private static final long MILLI = Duration.ofMillis(1).toNanos();
-    private static final long DEADLINE = 1_000 * MILLI;
+    private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
+    private static final long DEADLINE_NANOS = 1_000 * MILLI_NANOS;
     private static final ImmutableList<UpstreamName> POOL =
             ImmutableList.of(FakeService.name(0, "a"), FakeService.name(0, "b"));
 
     private final FakeService service = new FakeService(1);
     private final OnceOnlyRequest request =
-            new OnceOnlyRequest("o", POOL, service.tables, new SplittableRandom(1), 0, DEADLINE);
+            new OnceOnlyRequest("o", POOL, service.tables, new SplittableRandom(1), 0, DEADLINE_NANOS);
     private final List<OnceOnlyAction> actions = new ArrayList<>(request.start());
 
     @Test
     void dispatchesNothingBeforeTheClaimIsGranted() {
-        assertThat(dispatches()).isEqualTo(0);
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        assertThat(dispatches()).isEqualTo(1);
+        assertThat(countDispatches()).isEqualTo(0);
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        assertThat(countDispatches()).isEqualTo(1);
     }
 
     @Test
     void answersOnceItsOutcomeIsRecorded() {
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        take(request.onReply(reply("o-1"), 2 * MILLI));
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        apply(request.onReply(reply("o-1"), 2 * MILLI_NANOS));
         assertThat(actions).contains(new OnceOnlyAction.RecordRan(payload()));
         assertThat(request.isAnswered()).isFalse();
-        take(request.onRecorded());
+        apply(request.onRecorded());
         assertThat(actions).contains(new OnceOnlyAction.DeliverRan(payload(), false));
     }
 
     @Test
     void aClaimGrantedAfterTheRefusalIsReleasedAndNeverUsed() {
-        take(request.wake(DEADLINE));
+        apply(request.wake(DEADLINE_NANOS));
         assertThat(refusal().kind()).isEqualTo(RefusalKind.NO_QUORUM);
-        take(request.onClaimResult(new ClaimResult.Granted(), DEADLINE + MILLI));
-        assertThat(dispatches()).isEqualTo(0);
-        assertThat(records(OnceOnlyAction.RecordNotRun.class)).isAtLeast(1);
+        apply(request.onClaimResult(new ClaimResult.Granted(), DEADLINE_NANOS + MILLI_NANOS));
+        assertThat(countDispatches()).isEqualTo(0);
+        assertThat(countActions(OnceOnlyAction.RecordNotRun.class)).isAtLeast(1);
     }
 
     @Test
     void aStalledAttemptDoesNotDispatchAfterItsDeadline() {
-        take(request.onClaimResult(new ClaimResult.Granted(), DEADLINE - MILLI));
-        assertThat(dispatches()).isEqualTo(0);
-        take(request.onRecorded());
+        apply(request.onClaimResult(new ClaimResult.Granted(), DEADLINE_NANOS - MILLI_NANOS));
+        assertThat(countDispatches()).isEqualTo(0);
+        apply(request.onRecorded());
         assertThat(refusal().kind().runState()).isEqualTo(RunState.NOT_RUN);
     }
 
     @ParameterizedTest
     @EnumSource(value = LeafFailure.class, mode = EnumSource.Mode.EXCLUDE, names = "HARMFUL")
     void isRepeatedOnlyIfItCertainlyDidNotRun(LeafFailure failure) {
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        take(request.onFailure(failure, 2 * MILLI));
-        assertThat(dispatches()).isEqualTo(failure.isCertainlyNotRun() ? 2 : 1);
-        assertThat(records(OnceOnlyAction.RecordUnknown.class)).isEqualTo(failure.isCertainlyNotRun() ? 0 : 1);
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        apply(request.onFailure(failure, 2 * MILLI_NANOS));
+        assertThat(countDispatches()).isEqualTo(failure.isCertainlyNotRun() ? 2 : 1);
+        assertThat(countActions(OnceOnlyAction.RecordUnknown.class)).isEqualTo(failure.isCertainlyNotRun() ? 0 : 1);
         if (failure.isCertainlyNotRun()) {
-            take(request.onFailure(failure, 3 * MILLI));
-            assertThat(dispatches()).isEqualTo(2);
+            apply(request.onFailure(failure, 3 * MILLI_NANOS));
+            assertThat(countDispatches()).isEqualTo(2);
         }
-        take(request.onRecorded());
+        apply(request.onRecorded());
         RunState expected = failure.isCertainlyNotRun() ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN;
         assertThat(refusal().kind().runState()).isEqualTo(expected);
     }
 
     @Test
-    void whatEndsUpstreamsIsHandedToNoOtherOne() {
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        take(request.onFailure(LeafFailure.HARMFUL, 2 * MILLI));
-        assertThat(dispatches()).isEqualTo(1);
-        take(request.onRecorded());
+    void aHarmfulRequestIsNotSentToAnotherUpstream() {
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        apply(request.onFailure(LeafFailure.HARMFUL, 2 * MILLI_NANOS));
+        assertThat(countDispatches()).isEqualTo(1);
+        apply(request.onRecorded());
         assertThat(refusal().kind()).isEqualTo(RefusalKind.HARMFUL);
     }
 
     @Test
-    void aLateReplyTurnsAnUnknownOutcomeIntoOneThatRan() {
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        take(request.wake(DEADLINE));
+    void aLateReplyRecordsThatTheRequestRan() {
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        apply(request.wake(DEADLINE_NANOS));
         assertThat(refusal().kind()).isEqualTo(RefusalKind.OUTCOME_UNKNOWN);
-        take(request.onReply(reply("o-1"), DEADLINE + MILLI));
+        apply(request.onReply(reply("o-1"), DEADLINE_NANOS + MILLI_NANOS));
         assertThat(actions).contains(new OnceOnlyAction.RecordRan(payload()));
     }
 
     @Test
-    void cancelsBeforeTheDeadlineAndBelievesATruthfulCancellation() {
-        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
-        take(request.wake(900 * MILLI));
-        assertThat(records(OnceOnlyAction.CancelDispatch.class)).isEqualTo(1);
-        take(request.onFailure(LeafFailure.CANCELLED, 910 * MILLI));
-        take(request.onRecorded());
-        assertThat(dispatches()).isEqualTo(1);
+    void cancelsBeforeTheDeadlineAndReportsNotRunOnceTheUpstreamConfirms() {
+        apply(request.onClaimResult(new ClaimResult.Granted(), MILLI_NANOS));
+        apply(request.wake(900 * MILLI_NANOS));
+        assertThat(countActions(OnceOnlyAction.CancelDispatch.class)).isEqualTo(1);
+        apply(request.onFailure(LeafFailure.CANCELLED, 910 * MILLI_NANOS));
+        apply(request.onRecorded());
+        assertThat(countDispatches()).isEqualTo(1);
         assertThat(refusal().kind()).isEqualTo(RefusalKind.UPSTREAM_REFUSED);
     }
 
     @Test
     void aResendGetsTheRecordedAnswer() {
-        take(request.onClaimResult(new ClaimResult.AlreadyRan(payload()), MILLI));
+        apply(request.onClaimResult(new ClaimResult.AlreadyRan(payload()), MILLI_NANOS));
         assertThat(actions).contains(new OnceOnlyAction.DeliverRan(payload(), true));
-        assertThat(dispatches()).isEqualTo(0);
+        assertThat(countDispatches()).isEqualTo(0);
     }
 
-    private void take(List<OnceOnlyAction> more) {
-        actions.addAll(more);
+    private void apply(List<OnceOnlyAction> newActions) {
+        actions.addAll(newActions);
     }
 
-    private long dispatches() {
-        return records(OnceOnlyAction.Dispatch.class);
+    private long countDispatches() {
+        return countActions(OnceOnlyAction.Dispatch.class);
     }
 
-    private long records(Class<? extends OnceOnlyAction> type) {
+    private long countActions(Class<? extends OnceOnlyAction> type) {
         return actions.stream().filter(type::isInstance).count();
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryDifferentialTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryDifferentialTest.java
@@ -21,18 +21,18 @@
  * other on failure, under the same fates of replies in random order.
  */
 final class QueryDifferentialTest {
-    private static final long MILLI = Duration.ofMillis(1).toNanos();
+    private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 6;
 
     @Property(tries = 3_000, seed = "20261202", shrinking = ShrinkingMode.FULL)
     void agreesWithTheNaiveVersionAndNeverMixesOrOverstates(@ForAll long seed) {
-        Fates fates = new Fates(seed);
+        UpstreamBehaviors behaviors = new UpstreamBehaviors(seed);
         FakeService service = new FakeService(SHARDS);
         ShardMap pinned = service.serve(7);
         QueryRun run = new QueryRun(service, pinned, seed % 2 == 0 ? Preference.TIME : Preference.COVERAGE, seed);
-        play(run, fates, seed);
+        simulate(run, behaviors, seed);
         assertThat(run.isOver()).isTrue();
-        Map<Integer, String> naive = naive(pinned, fates);
+        Map<Integer, String> naive = naiveAnswers(pinned, behaviors);
         if (run.answer.isPresent() && run.answer.get().indexVersion() == 7) {
             for (CheckedReply reply : run.answer.get().replies()) {
                 String known = naive.getOrDefault(reply.shard(), reply.payload().toStringUtf8());
@@ -42,7 +42,7 @@
     }
 
     /** Plays the fates of all calls in the order of their times, with the query's own wakes between. */
-    private static void play(QueryRun run, Fates fates, long seed) {
+    private static void simulate(QueryRun run, UpstreamBehaviors behaviors, long seed) {
         PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atNanos));
         SplittableRandom random = new SplittableRandom(seed);
         int scheduled = 0;
@@ -50,13 +50,13 @@
         while (!run.isOver()) {
             while (scheduled < run.sent.size()) {
                 QueryAction.SendLeaf send = run.sent.get(scheduled++);
-                Fate fate = fates.of(send.upstream().upstream());
-                long atNanos = nowNanos + fate.delayNanos();
-                if (fate != Fate.LOST) {
-                    events.add(new Event(atNanos, send, fate));
+                Behavior behavior = behaviors.of(send.upstream().upstream());
+                long atNanos = nowNanos + behavior.delayNanos();
+                if (behavior != Behavior.LOST) {
+                    events.add(new Event(atNanos, send, behavior));
                 }
-                if (fate == Fate.DOUBLED) {
-                    events.add(new Event(atNanos + random.nextLong(20 * MILLI), send, fate));
+                if (behavior == Behavior.DUPLICATED) {
+                    events.add(new Event(atNanos + random.nextLong(20 * MILLI_NANOS), send, behavior));
                 }
             }
             Event next = events.peek();
@@ -70,20 +70,20 @@
             }
         }
         for (Event late : List.copyOf(events)) {
-            deliver(run, late, nowNanos + MILLI);
+            deliver(run, late, nowNanos + MILLI_NANOS);
         }
     }
 
     private static void deliver(QueryRun run, Event event, long nowNanos) {
         QueryAction.SendLeaf send = event.send();
-        switch (event.fate()) {
+        switch (event.behavior()) {
             case FAILED -> run.fail(send, LeafFailure.UPSTREAM_ERROR, nowNanos);
-            case SHED -> run.fail(send, LeafFailure.OVERLOADED, nowNanos);
-            case GONE -> {
+            case OVERLOADED -> run.fail(send, LeafFailure.OVERLOADED, nowNanos);
+            case VERSION_GONE -> {
                 run.service.serve(8);
                 run.fail(send, LeafFailure.VERSION_GONE, nowNanos);
             }
-            case CUT_SHORT -> run.reply(send.attempt(), run.service.truncated(send), nowNanos);
+            case TRUNCATED -> run.reply(send.attempt(), run.service.truncated(send), nowNanos);
             case OTHER_VERSION ->
                 run.reply(
                         send.attempt(),
@@ -93,65 +93,66 @@
         }
     }
 
-    private static Map<Integer, String> naive(ShardMap pinned, Fates fates) {
+    private static Map<Integer, String> naiveAnswers(ShardMap pinned, UpstreamBehaviors behaviors) {
         Map<Integer, String> answers = new HashMap<>();
         for (int shard = 0; shard < pinned.shardCount(); shard++) {
             for (var replica : pinned.replicas().get(shard)) {
-                if (fates.of(replica.upstream()).isWhole()) {
+                if (behaviors.of(replica.upstream()).isComplete()) {
                     answers.putIfAbsent(
                             shard,
-                            FakeService.truth(pinned.indexVersion(), shard).toStringUtf8());
+                            FakeService.expectedPayload(pinned.indexVersion(), shard)
+                                    .toStringUtf8());
                 }
             }
         }
         return answers;
     }
 
-    private record Event(long atNanos, QueryAction.SendLeaf send, Fate fate) {}
+    private record Event(long atNanos, QueryAction.SendLeaf send, Behavior behavior) {}
 
     /** What becomes of every call to one upstream. */
-    private enum Fate {
+    private enum Behavior {
         QUICK(2),
         SLOW(70),
         VERY_SLOW(400),
-        DOUBLED(3),
+        DUPLICATED(3),
         FAILED(1),
-        SHED(1),
-        GONE(1),
-        CUT_SHORT(2),
+        OVERLOADED(1),
+        VERSION_GONE(1),
+        TRUNCATED(2),
         OTHER_VERSION(2),
         LOST(0);
 
         private final long delayMillis;
 
-        Fate(long delayMillis) {
+        Behavior(long delayMillis) {
             this.delayMillis = delayMillis;
         }
 
         long delayNanos() {
-            return delayMillis * MILLI;
+            return delayMillis * MILLI_NANOS;
         }
 
-        boolean isWhole() {
-            return this == QUICK || this == SLOW || this == DOUBLED;
+        boolean isComplete() {
+            return this == QUICK || this == SLOW || this == DUPLICATED;
         }
     }
 
-    private static final class Fates {
+    private static final class UpstreamBehaviors {
         private final SplittableRandom random;
-        private final Map<String, Fate> byUpstream = new HashMap<>();
-        private final List<Fate> bag = new ArrayList<>();
+        private final Map<String, Behavior> byUpstream = new HashMap<>();
+        private final List<Behavior> choices = new ArrayList<>();
 
-        Fates(long seed) {
+        UpstreamBehaviors(long seed) {
             this.random = new SplittableRandom(seed);
             for (int copies = 0; copies < 8; copies++) {
-                bag.add(Fate.QUICK);
+                choices.add(Behavior.QUICK);
             }
-            bag.addAll(List.of(Fate.values()));
+            choices.addAll(List.of(Behavior.values()));
         }
 
-        Fate of(String upstream) {
-            return byUpstream.computeIfAbsent(upstream, unused -> bag.get(random.nextInt(bag.size())));
+        Behavior of(String upstream) {
+            return byUpstream.computeIfAbsent(upstream, unused -> choices.get(random.nextInt(choices.size())));
         }
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
@@ -18,9 +18,9 @@
  * must have ended exactly once, with an answer that is true or a refusal; {@link QueryRun} checks that along the way.
  */
 final class QueryFaultMatrixTest {
-    private static final long MILLI = Duration.ofMillis(1).toNanos();
+    private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 5;
-    private static final int TARGET = 2;
+    private static final int TARGET_SHARD = 2;
 
     /** What goes wrong with a call. */
     enum Fault {
@@ -71,58 +71,58 @@
     void endsOnceAndTruthfully(Fault fault, Step step, Preference preference) {
         FakeService service = new FakeService(SHARDS);
         QueryRun run = new QueryRun(service, service.serve(7), preference, 3);
-        QueryAction.SendLeaf target = reach(step, run);
-        inflict(fault, target, run);
-        long nowNanos = 100 * MILLI;
+        QueryAction.SendLeaf target = advanceTo(step, run);
+        inject(fault, target, run);
+        long nowNanos = 100 * MILLI_NANOS;
         while (!run.isOver()) {
-            QueryAction.SendLeaf last = run.lastSentTo(TARGET);
+            QueryAction.SendLeaf last = run.lastSentTo(TARGET_SHARD);
             run.sent.stream()
-                    .filter(send -> send.shard() != TARGET)
+                    .filter(send -> send.shard() != TARGET_SHARD)
                     .toList()
-                    .forEach(send -> run.reply(send, 100 * MILLI));
+                    .forEach(send -> run.reply(send, 100 * MILLI_NANOS));
             if (!run.isOver() && !last.equals(target) && !last.callId().equals(target.callId())) {
                 run.reply(last, nowNanos);
             }
             if (!run.isOver()) {
-                nowNanos += 5 * MILLI;
+                nowNanos += 5 * MILLI_NANOS;
                 run.wake(nowNanos);
             }
         }
         if (fault == Fault.REPLY_AFTER_THE_END) {
-            run.reply(target, QueryRun.DEADLINE_NANOS + MILLI);
+            run.reply(target, QueryRun.DEADLINE_NANOS + MILLI_NANOS);
         }
         assertThat(run.query.isOver()).isTrue();
-        boolean whole = run.answer.isPresent() && run.answer.get().coverage().isWhole();
-        boolean honest = whole || (preference == Preference.TIME) == run.answer.isPresent();
-        assertThat(honest).isTrue();
+        boolean complete = run.answer.isPresent() && run.answer.get().coverage().isWhole();
+        boolean endedAsExpected = complete || (preference == Preference.TIME) == run.answer.isPresent();
+        assertThat(endedAsExpected).isTrue();
     }
 
     /** Brings the query to the step and returns the call that the fault is to hit. */
-    private static QueryAction.SendLeaf reach(Step step, QueryRun run) {
-        QueryAction.SendLeaf first = run.sentTo(TARGET);
+    private static QueryAction.SendLeaf advanceTo(Step step, QueryRun run) {
+        QueryAction.SendLeaf first = run.sentTo(TARGET_SHARD);
         switch (step) {
             case FIRST_ATTEMPT -> {
                 return first;
             }
-            case RETRY -> run.fail(first, LeafFailure.CONNECT_FAILED, MILLI);
+            case RETRY -> run.fail(first, LeafFailure.CONNECT_FAILED, MILLI_NANOS);
             case HEDGE -> {
-                run.replyToAllBut(TARGET, MILLI);
-                run.wake(60 * MILLI);
+                run.replyToAllBut(TARGET_SHARD, MILLI_NANOS);
+                run.wake(60 * MILLI_NANOS);
             }
             case AFTER_RESTART -> {
                 run.service.serve(8);
-                run.fail(first, LeafFailure.VERSION_GONE, MILLI);
-                run.fail(run.lastSentTo(TARGET), LeafFailure.VERSION_GONE, MILLI);
-                assertThat(run.counted).contains(QueryCounter.RESTART);
+                run.fail(first, LeafFailure.VERSION_GONE, MILLI_NANOS);
+                run.fail(run.lastSentTo(TARGET_SHARD), LeafFailure.VERSION_GONE, MILLI_NANOS);
+                assertThat(run.counters).contains(QueryCounter.RESTART);
             }
         }
-        QueryAction.SendLeaf target = run.lastSentTo(TARGET);
+        QueryAction.SendLeaf target = run.lastSentTo(TARGET_SHARD);
         assertThat(target.callId()).isNotEqualTo(first.callId());
         return target;
     }
 
-    private static void inflict(Fault fault, QueryAction.SendLeaf target, QueryRun run) {
-        long nowNanos = 70 * MILLI;
+    private static void inject(Fault fault, QueryAction.SendLeaf target, QueryRun run) {
+        long nowNanos = 70 * MILLI_NANOS;
         FakeService service = run.service;
         switch (fault) {
             case SILENT, REPLY_AFTER_THE_END -> {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
@@ -19,7 +19,7 @@
     final Query query;
     final List<QueryAction.SendLeaf> sent = new ArrayList<>();
     final List<QueryAction.CancelLeaf> cancelled = new ArrayList<>();
-    final List<QueryCounter> counted = new ArrayList<>();
+    final List<QueryCounter> counters = new ArrayList<>();
     Optional<Answer> answer = Optional.empty();
     Optional<Refusal> refusal = Optional.empty();
     long nextWakeNanos = Long.MAX_VALUE;
@@ -28,24 +28,24 @@
         this.service = service;
         QuerySpec spec = new QuerySpec("q", FakeService.NAME, preference, DEADLINE_NANOS);
         this.query = new Query(spec, pinned, service.tables, new SplittableRandom(seed));
-        take(query.start(0));
+        apply(query.start(0));
     }
 
     void reply(QueryAction.SendLeaf send, long nowNanos) {
-        take(query.onReply(send.attempt(), service.reply(send), nowNanos));
+        apply(query.onReply(send.attempt(), service.reply(send), nowNanos));
     }
 
     void reply(int attempt, LeafReply reply, long nowNanos) {
-        take(query.onReply(attempt, reply, nowNanos));
+        apply(query.onReply(attempt, reply, nowNanos));
     }
 
     void fail(QueryAction.SendLeaf send, LeafFailure failure, long nowNanos) {
-        take(query.onFailure(send.attempt(), failure, nowNanos));
+        apply(query.onFailure(send.attempt(), failure, nowNanos));
     }
 
     void wake(long nowNanos) {
         nextWakeNanos = Long.MAX_VALUE;
-        take(query.wake(nowNanos));
+        apply(query.wake(nowNanos));
     }
 
     void replyToAllBut(int shard, long nowNanos) {
@@ -75,7 +75,7 @@
         return answer.isPresent() || refusal.isPresent();
     }
 
-    private void take(List<QueryAction> actions) {
+    private void apply(List<QueryAction> actions) {
         boolean wasOver = isOver();
         for (QueryAction action : actions) {
             if (action instanceof QueryAction.SendLeaf send) {
@@ -84,7 +84,7 @@
             } else if (action instanceof QueryAction.CancelLeaf cancel) {
                 cancelled.add(cancel);
             } else if (action instanceof QueryAction.Count count) {
-                counted.add(count.counter());
+                counters.add(count.counter());
             } else if (action instanceof QueryAction.Wake wake) {
                 nextWakeNanos = Math.min(nextWakeNanos, wake.atNanos());
             } else if (action instanceof QueryAction.Deliver deliver) {
@@ -96,15 +96,15 @@
             }
         }
         assertThat(query.isOver()).isEqualTo(isOver());
-        answer.ifPresent(this::checkTruth);
+        answer.ifPresent(this::checkAnswer);
     }
 
     /** One version, and a coverage that is exactly the shards whose whole truth is there. */
-    private void checkTruth(Answer delivered) {
+    private void checkAnswer(Answer delivered) {
         assertThat(delivered.replies()).hasSize(delivered.coverage().coveredCount());
         for (CheckedReply reply : delivered.replies()) {
             assertThat(reply.indexVersion()).isEqualTo(delivered.indexVersion());
-            assertThat(reply.payload()).isEqualTo(FakeService.truth(delivered.indexVersion(), reply.shard()));
+            assertThat(reply.payload()).isEqualTo(FakeService.expectedPayload(delivered.indexVersion(), reply.shard()));
             assertThat(delivered.coverage().missing()).doesNotContain(reply.shard());
         }
     }
