--- a/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 
 /**
- * How many queries of one service a host has in flight, adapted to what the service can bear.
+ * The concurrency limit of one service on one host, adapted to the latency of its queries.
  *
- * <p>The limit grows by one in each round of queries while they take about as long as they did unloaded, and shrinks by
- * a tenth, at most once in a query's time, when they take much longer or run into their deadline. What is compared is
- * the shortest time seen lately, so that queues before the upstreams stay short rather than full.
+ * <p>Additive increase, multiplicative decrease: the limit grows by one per round of queries while the average latency
+ * stays near the shortest recent latency, and shrinks by a tenth, at most once per average latency, when the average is
+ * far above it or a query exceeds its deadline. This keeps the queues at the upstreams short.
  *
- * <p>Not safe for use by several threads: the admission guards it.
+ * <p>Not thread-safe; guarded by the lock of {@link Admission}'s owner.
  */
 final class AdaptiveLimit {
     private static final double INITIAL_LIMIT = 8;
@@ -34,7 +34,7 @@
     private long lastShrinkNanos = Long.MIN_VALUE;
 
     /**
-     * Creates a limit that begins low.
+     * Creates a limit that starts low and grows with use.
      *
      * @param maxLimit the highest limit, at least 1
      */
@@ -44,27 +44,25 @@
         this.limit = Math.min(INITIAL_LIMIT, maxLimit);
     }
 
-    /** Returns how many queries may be in flight. */
     int limit() {
         return (int) Math.max(1, Math.min(maxLimit, limit));
     }
 
-    /** Returns how long a query is to be expected to take at the most, in nanoseconds. */
+    /** Returns a high estimate of a query's latency: the average plus {@link #EXPECTED_DEVIATIONS} mean deviations. */
     long expectedNanos() {
         return (long) (smoothedNanos + EXPECTED_DEVIATIONS * deviationNanos);
     }
 
-    /** Returns how long a query takes on average, in nanoseconds. */
     long averageNanos() {
         return (long) smoothedNanos;
     }
 
     /**
-     * Takes the end of a query.
+     * Updates the latency estimates and the limit with a finished query.
      *
-     * @param tookNanos from its beginning to its end
-     * @param deadlineExceeded true if its deadline ended it
-     * @param inFlight how many were in flight when it ended, itself included
+     * @param tookNanos its latency
+     * @param deadlineExceeded true if it ended at or after its deadline
+     * @param inFlight the number of queries in flight when it ended, including itself
      */
     void observe(long tookNanos, boolean deadlineExceeded, int inFlight, long nowNanos) {
         deviationNanos += SMOOTHING_FACTOR * (Math.abs(tookNanos - smoothedNanos) - deviationNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
@@ -14,15 +14,20 @@
 import org.bramblerack.version.ServiceName;
 
 /**
- * Decides which queries of a host are in flight and which wait or are refused.
+ * Admits, queues or refuses the queries of a host.
  *
- * <p>Invariants: at most the host's limit is in flight, and of each service at most its adaptive limit; some places are
- * kept for every other partner, so that one partner's flood never takes them all; within a service urgent goes before
- * normal, except that one admission in {@link ServiceQueue#NORMAL_EVERY} goes to a waiting normal query; a query that
- * cannot finish in time is refused when that becomes clear, before it costs an upstream anything.
+ * <p>Invariants:
  *
- * <p>Not safe for use by several threads: the owner guards it with a lock that comes before the query's. An event costs
- * time in proportion to the services with waiting queries.
+ * <ul>
+ *   <li>The queries in flight never exceed the host's limit, nor the adaptive limit of their service.
+ *   <li>A share of the host's limit is reserved for each other partner, so that one partner cannot use all of it.
+ *   <li>Within a service urgent queries are admitted before normal ones, except that one admission in
+ *       {@link ServiceQueue#NORMAL_EVERY} goes to a queued normal query.
+ *   <li>A query that cannot finish before its deadline is refused without calling an upstream.
+ * </ul>
+ *
+ * <p>Not thread-safe: the owner guards it with a lock that precedes the query's lock in the lock order. Each event
+ * takes time linear in the number of services.
  */
 public final class Admission {
     private static final int RESERVED_SHARE_DIVISOR = 8;
@@ -35,26 +40,26 @@
     /**
      * Creates an empty admission.
      *
-     * @param limit how many queries may be in flight, at least 1
+     * @param limit the maximum number of queries in flight, at least 1
      */
     public Admission(int limit) {
         checkArgument(limit > 0, "limit %s is not positive", limit);
         this.limit = limit;
     }
 
-    /** A query that asks to be admitted. */
+    /** A query to be admitted; the deadline is a reading of the monotonic clock. */
     public record Ticket(String id, ServiceName service, Priority priority, long deadlineNanos) {}
 
-    /** What is decided about a ticket. */
+    /** The decision on a ticket. */
     public sealed interface Decision {
-        /** Begin the query. */
+        /** Start the query. */
         record Admit(Ticket ticket) implements Decision {}
 
-        /** Refuse the query; it was not begun. */
+        /** Refuse the query, which was not started. */
         record Refuse(Ticket ticket, Duration retryAfter) implements Decision {}
     }
 
-    /** Takes a new query. */
+    /** Admits, queues or refuses a new query; queued queries may be decided along with it. */
     public List<Decision> offer(Ticket ticket, long nowNanos) {
         inFlightByPartner.putIfAbsent(ticket.service().partner(), 0);
         ServiceQueue queue = services.computeIfAbsent(ticket.service(), unused -> new ServiceQueue(limit));
@@ -67,9 +72,9 @@
     }
 
     /**
-     * Takes the end of an admitted query.
+     * Records that an admitted query finished, and admits queued ones in its place.
      *
-     * @param tookNanos from its admission to its end
+     * @param tookNanos the time from its admission to its end
      */
     public List<Decision> onFinished(Ticket ticket, long tookNanos, long nowNanos) {
         ServiceQueue queue = services.get(ticket.service());
@@ -81,7 +86,7 @@
         return admit(nowNanos);
     }
 
-    /** Refuses the waiting queries that can no longer finish in time. */
+    /** Refuses the queued queries that can no longer finish before their deadline. */
     public List<Decision> expire(long nowNanos) {
         List<Decision> decisions = new ArrayList<>();
         for (ServiceQueue queue : services.values()) {
@@ -90,12 +95,11 @@
         return decisions;
     }
 
-    /** Returns how many queries are in flight. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Returns how many queries wait. */
+    /** Returns the number of queued queries of all services. */
     public int waiting() {
         return services.values().stream().mapToInt(ServiceQueue::waiting).sum();
     }
@@ -115,7 +119,9 @@
         return decisions;
     }
 
-    /** Returns the queue with waiting queries and the fewest in flight, if its service and partner have room. */
+    /**
+     * Returns the queue with the fewest queries in flight among those whose service and partner are below their limits.
+     */
     private Optional<ServiceQueue> nextQueue() {
         Optional<ServiceQueue> best = Optional.empty();
         for (Map.Entry<ServiceName, ServiceQueue> candidate : services.entrySet()) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Answer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Answer.java
@@ -10,10 +10,10 @@
 import java.util.List;
 
 /**
- * The answer to a query: the replies of the covered shards, all of one index version.
+ * The answer to a query: replies of the covered shards, all from one index version.
  *
- * <p>Invariant: every reply has the answer's index version and number of shards, no shard is there twice, and the
- * coverage is exactly the set of the replies' shards. Immutable and safe for use by many threads.
+ * <p>Invariant: every reply has the answer's index version and shard count, each shard occurs at most once, and the
+ * coverage is exactly the set of the replies' shards. Immutable and thread-safe.
  */
 public final class Answer {
     private final long indexVersion;
@@ -26,25 +26,24 @@
         this.replies = replies;
     }
 
-    /** Returns the index version that the whole answer reflects. */
+    /** Returns the index version of all replies. */
     public long indexVersion() {
         return indexVersion;
     }
 
-    /** Returns which shards the answer includes. */
     public Coverage coverage() {
         return coverage;
     }
 
-    /** Returns the replies in the order of their shards. */
+    /** Returns the replies ordered by shard. */
     public ImmutableList<CheckedReply> replies() {
         return replies;
     }
 
     /**
-     * Gathers the replies of one index version.
+     * Collects the replies of one index version.
      *
-     * <p>Not safe for use by several threads. Once built it takes no more replies.
+     * <p>Not thread-safe. Accepts no replies after {@link #build}.
      */
     static final class Builder {
         private final long indexVersion;
@@ -61,15 +60,19 @@
             this.replies = new ArrayList<>(shardCount);
         }
 
-        /** Adds a reply; refuses one of another version and one of a shard that is covered. */
+        /**
+         * Adds a reply.
+         *
+         * @throws IllegalArgumentException if the reply is of another index version or its shard is already covered
+         */
         void add(CheckedReply reply) {
-            checkState(!built, "the answer is built already");
+            checkState(!built, "the answer was already built");
             checkArgument(
                     reply.indexVersion() == indexVersion && reply.shardCount() == shardCount,
-                    "a reply of index version %s does not belong to an answer of %s",
+                    "a reply of index version %s cannot be added to an answer of index version %s",
                     reply.indexVersion(),
                     indexVersion);
-            checkArgument(!covered.get(reply.shard()), "shard %s is covered already", reply.shard());
+            checkArgument(!covered.get(reply.shard()), "shard %s is already covered", reply.shard());
             covered.set(reply.shard());
             replies.add(reply);
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
@@ -3,9 +3,8 @@
 import org.bramblerack.version.UpstreamName;
 import org.jspecify.annotations.Nullable;
 
-/** One call on one shard. Guarded by the query's lock. */
+/** One call of a query to a replica of one shard. Guarded by the query's lock. */
 final class Attempt {
-    /** Why a call was made. */
     enum Purpose {
         FIRST,
         HEDGE,
@@ -18,7 +17,7 @@
     final long sentNanos;
     final Purpose purpose;
     boolean finished;
-    /** When to look again whether to hedge. */
+    /** Hedging is not considered before this time. */
     long hedgeNotBeforeNanos;
 
     @Nullable
@@ -33,7 +32,7 @@
         this.hedgeNotBeforeNanos = sentNanos;
     }
 
-    /** Returns when the call counts as late. */
+    /** Returns when the call is due for a hedge: once it is late, but not before {@link #hedgeNotBeforeNanos}. */
     long hedgeDueNanos(long lateAfterNanos) {
         long dueNanos = sentNanos + lateAfterNanos;
         return hedgeNotBeforeNanos - dueNanos > 0 ? hedgeNotBeforeNanos : dueNanos;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/CheckedReply.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/CheckedReply.java
@@ -5,10 +5,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * A reply that was found whole, of the expected index version, and an answer to the expected call.
+ * A reply that is complete, of the expected index version, and an answer to the expected call.
  *
- * <p>Invariant: an instance exists only for a reply that passed {@link #check}; an {@link Answer} is built from nothing
- * else. Immutable and safe for use by many threads.
+ * <p>Invariant: an instance exists only for a reply that passed {@link #check}; an {@link Answer} contains no other
+ * replies. Immutable and thread-safe.
  */
 public final class CheckedReply {
     private final long indexVersion;
@@ -26,12 +26,12 @@
     /**
      * Checks a reply against the call that it should answer.
      *
-     * @param reply the reply as it arrived
-     * @param callId the identifier that the call was sent with
+     * @param reply the reply as received
+     * @param callId the identifier sent with the call
      * @param indexVersion the pinned index version
-     * @param shard the shard that was asked
+     * @param shard the shard of the call
      * @param shardCount the number of shards of the pinned index version
-     * @return the checked reply, or why it was refused
+     * @return the checked reply, or the reason for its rejection
      */
     public static Either<LeafFailure, CheckedReply> check(
             LeafReply reply, String callId, long indexVersion, int shard, int shardCount) {
@@ -57,22 +57,18 @@
         return (int) checksum.getValue();
     }
 
-    /** Returns the index version that the reply reflects. */
     public long indexVersion() {
         return indexVersion;
     }
 
-    /** Returns the shard that the reply covers. */
     public int shard() {
         return shard;
     }
 
-    /** Returns the number of shards of the index version. */
     public int shardCount() {
         return shardCount;
     }
 
-    /** Returns the whole payload. */
     public ByteString payload() {
         return payload;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ClaimResult.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ClaimResult.java
@@ -2,26 +2,26 @@
 
 import com.google.protobuf.ByteString;
 
-/** What the agreed state says to the claim on a once-only request. */
+/** The result of a claim on a once-only request, as decided by the replicated state. */
 public sealed interface ClaimResult {
-    /** The claim is granted to this attempt: it alone may hand the request to an upstream. */
+    /** The claim was granted: only this attempt may send the request to an upstream. */
     record Granted() implements ClaimResult {}
 
-    /** The request ran before; here is the recorded answer. */
+    /** The request already ran, with the recorded answer. */
     record AlreadyRan(ByteString answer) implements ClaimResult {}
 
     /** Another attempt holds the claim. */
     record HeldByAnother() implements ClaimResult {}
 
-    /** Another attempt handed the request over and its outcome is not known. */
+    /** Another attempt sent the request to an upstream and its outcome is unknown. */
     record OutcomeUnknown(String reason) implements ClaimResult {}
 
-    /** The identifier was used before for another request. */
+    /** The identifier was already used for a different request. */
     record Mismatch() implements ClaimResult {}
 
-    /** The request is older than outcomes are kept. */
+    /** The request is older than the retention period of outcomes. */
     record Expired() implements ClaimResult {}
 
-    /** The claim was not agreed; it may still be agreed later, and then this attempt must give it back. */
+    /** No quorum confirmed the claim. It may still be granted later; this attempt must then release it. */
     record NoQuorum(String reason) implements ClaimResult {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Coverage.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Coverage.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Which shards of one index version an answer includes.
+ * The set of shards of one index version that an answer includes.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  */
 public final class Coverage {
     private final int shardCount;
@@ -24,30 +24,28 @@
      * Creates a coverage.
      *
      * @param shardCount the number of shards of the index version
-     * @param covered the shards covered; copied
+     * @param covered the covered shards; copied
      */
     public static Coverage of(int shardCount, BitSet covered) {
         checkArgument(shardCount > 0, "shard count %s is not positive", shardCount);
-        checkArgument(covered.length() <= shardCount, "shards %s of %s do not exist", covered, shardCount);
+        checkArgument(
+                covered.length() <= shardCount, "covered shards %s exceed the shard count %s", covered, shardCount);
         return new Coverage(shardCount, (BitSet) covered.clone());
     }
 
-    /** Returns the number of shards of the index version. */
     public int shardCount() {
         return shardCount;
     }
 
-    /** Returns how many shards are covered. */
     public int coveredCount() {
         return covered.cardinality();
     }
 
-    /** Returns true if every shard is covered. */
     public boolean isWhole() {
         return coveredCount() == shardCount;
     }
 
-    /** Returns the shards that are missing, in order. */
+    /** Returns the shards that are not covered, in ascending order. */
     public ImmutableList<Integer> missing() {
         return IntStream.range(0, shardCount)
                 .filter(shard -> !covered.get(shard))
--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
@@ -3,50 +3,50 @@
 import java.util.Locale;
 import org.bramblerack.process.UpstreamEvidence;
 
-/** Why a leaf attempt came to nothing. */
+/** Why a call to an upstream failed. The names are sent between hosts and the codes appear in metrics. */
 public enum LeafFailure {
-    /** The upstream shed the call; it did not run. */
+    /** The upstream refused the call because of overload; it did not run. */
     OVERLOADED(Indication.BUSY, true),
-    /** The upstream is leaving and refused the call; it did not run. */
+    /** The upstream is draining and refused the call; it did not run. */
     DRAINING(Indication.BUSY, true),
     /** The deadline passed before the call ran. */
     EXPIRED(Indication.BUSY, true),
     /** The upstream does not serve the pinned index version. */
     VERSION_GONE(Indication.NONE, true),
-    /** The reply states another index version than the pinned one. */
+    /** The reply is of another index version than the pinned one. */
     WRONG_VERSION(Indication.NONE, false),
-    /** The reply belongs to another call or another shard. */
+    /** The reply belongs to another call or shard. */
     MISDIRECTED(Indication.FAILING, false),
-    /** The reply is cut short or corrupt. */
+    /** The payload is truncated or corrupt. */
     TRUNCATED(Indication.FAILING, false),
-    /** No connection could be made; the call did not run. */
+    /** No connection could be established; the call did not run. */
     CONNECT_FAILED(Indication.FAILING, true),
-    /** The connection was lost after the call was handed over. */
+    /** The connection was lost after the call was sent. */
     CONNECTION_LOST(Indication.FAILING, false),
-    /** No reply came in time. */
+    /** No reply arrived before the deadline. */
     TIMED_OUT(Indication.FAILING, false),
-    /** The upstream reported a fault of its own. */
+    /** The upstream reported an internal error. */
     UPSTREAM_ERROR(Indication.FAILING, false),
-    /** The host that holds the connections could not be reached before the call was handed over. */
+    /** The holder, the host that owns the connections to the upstream, could not be reached; the call did not run. */
     HOLDER_UNREACHABLE(Indication.NONE, true),
-    /** The host that holds the connections may not open any yet. */
+    /** The holder is not yet permitted to open connections; the call did not run. */
     HOLDER_NOT_READY(Indication.NONE, true),
-    /** The connection to the host that holds the connections was lost after the call was handed over. */
+    /** The connection to the holder was lost after the call was sent. */
     HOLDER_LOST(Indication.NONE, false),
-    /** The holder's queue could not serve the call within its deadline; it did not run. */
+    /** The holder's queue could not serve the call before its deadline; it did not run. */
     QUEUE_FULL(Indication.BUSY, true),
-    /** Requests like it end the upstreams that run them, so it was sent to none. */
+    /** Requests with the same fingerprint terminate the upstreams that run them; it was not sent. */
     HARMFUL(Indication.NONE, true),
-    /** The call was cancelled while it waited at the holder; it did not run. */
+    /** The call was cancelled while queued at the holder; it did not run. */
     CANCELLED(Indication.NONE, true);
 
-    /** Whose fault a failure is evidence of. */
+    /** What a failure indicates about the health of the upstream. */
     public enum Indication {
-        /** The upstream fails. */
+        /** The upstream is failing. */
         FAILING,
-        /** The upstream lives but has no room. */
+        /** The upstream is healthy but has no capacity. */
         BUSY,
-        /** The failure says nothing about the upstream. */
+        /** The failure is no evidence about the upstream. */
         NONE
     }
 
@@ -58,12 +58,11 @@
         this.certainlyNotRun = certainlyNotRun;
     }
 
-    /** Returns whose fault the failure is evidence of. */
     public Indication indication() {
         return indication;
     }
 
-    /** Records in the evidence about the upstream what the failure of a call says of it. */
+    /** Records the failed call in the evidence about its upstream. */
     void recordIn(UpstreamEvidence evidence, long nowNanos) {
         switch (indication) {
             case FAILING -> evidence.failed(nowNanos);
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Returns true if the upstream certainly did not run the call and will not. */
+    /** Returns true if the upstream certainly has not run the call and never will. */
     public boolean isCertainlyNotRun() {
         return certainlyNotRun;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafOutcome.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafOutcome.java
@@ -1,10 +1,10 @@
 package org.bramblerack.request;
 
-/** What came of a leaf call. */
+/** The outcome of a call to an upstream. */
 public sealed interface LeafOutcome {
-    /** A reply arrived; it is not yet checked. */
+    /** A reply was received; it is not yet checked. */
     record Replied(LeafReply reply) implements LeafOutcome {}
 
-    /** The call came to nothing. */
+    /** The call ended without a reply. */
     record Failed(LeafFailure failure) implements LeafOutcome {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafReply.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafReply.java
@@ -4,15 +4,15 @@
 import org.bramblerack.version.ServedVersion;
 
 /**
- * A reply as it arrived, not yet checked.
+ * A reply of an upstream as received; see {@link CheckedReply#check}.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param replyTo the call that the upstream says it answers
- * @param served the index version, shard and number of shards that the upstream states
- * @param declaredLengthBytes the length of the payload that the upstream states
- * @param declaredChecksum the CRC-32C of the payload that the upstream states
- * @param payload what arrived of the payload
+ * @param replyTo the call identifier stated in the reply
+ * @param served the index version, shard and shard count stated in the reply
+ * @param declaredLengthBytes the payload length stated in the reply
+ * @param declaredChecksum the CRC-32C of the payload stated in the reply
+ * @param payload the payload as received, possibly truncated
  */
 public record LeafReply(
         String replyTo, ServedVersion served, long declaredLengthBytes, int declaredChecksum, ByteString payload) {}
--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafRequest.java
@@ -5,17 +5,17 @@
 import org.bramblerack.version.UpstreamName;
 
 /**
- * A call on one upstream, as it travels from the host that received the request to the one that holds the connections.
+ * A call to one upstream, sent by the host that received the request to the host that holds the connections.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param callId the identifier that the upstream must give back
+ * @param callId the identifier that the upstream must return with its reply
  * @param requestId the caller's identifier of the request
- * @param upstream the upstream to ask
- * @param shard the shard to ask for
- * @param indexVersion the index version to ask for; 0 for an operation
- * @param priority how much the call matters
- * @param deadlineNanos when the reply is of no use any more, by this process's clock
+ * @param upstream the upstream to call
+ * @param shard the requested shard
+ * @param indexVersion the requested index version; 0 for an operation
+ * @param priority the priority of the call
+ * @param deadlineNanos when the call expires, by this process's monotonic clock
  * @param operation the once-only operation, empty for a query
  * @param body the caller's body
  */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyAction.java
@@ -3,36 +3,35 @@
 import com.google.protobuf.ByteString;
 import org.bramblerack.version.UpstreamName;
 
-/** What a once-only request wants done, in the order given. */
+/** An action that a {@link OnceOnlyRequest} returns; the caller performs them in order. */
 public sealed interface OnceOnlyAction {
-    /** Ask the control hosts to agree on the claim. */
+    /** Propose the claim to the control hosts. */
     record Claim() implements OnceOnlyAction {}
 
     /**
-     * Hand the request to an upstream.
+     * Send the request to an upstream.
      *
-     * @param callId the identifier that the upstream must give back
-     * @param upstream the upstream
-     * @param deadlineNanos when the upstream must not begin any more
+     * @param callId the identifier that the upstream must return with its reply
+     * @param deadlineNanos the time after which the upstream must not start the request
      */
     record Dispatch(String callId, UpstreamName upstream, long deadlineNanos) implements OnceOnlyAction {}
 
-    /** Cancel the call; its failure or reply still tells what came of it. */
+    /** Cancel the call; its outcome still arrives as a failure or a reply. */
     record CancelDispatch(String callId, UpstreamName upstream) implements OnceOnlyAction {}
 
-    /** Record that the request ran, and keep trying until that is agreed. */
+    /** Record that the request ran, retrying until the replicated state accepts it. */
     record RecordRan(ByteString answer) implements OnceOnlyAction {}
 
-    /** Record that this attempt did not run and never will, and keep trying until that is agreed. */
+    /** Record that this attempt did not run and never will, retrying until the replicated state accepts it. */
     record RecordNotRun(String reason) implements OnceOnlyAction {}
 
-    /** Record that the outcome is unknown, and keep trying until that is agreed. */
+    /** Record that the outcome is unknown, retrying until the replicated state accepts it. */
     record RecordUnknown(String reason) implements OnceOnlyAction {}
 
-    /** Call {@link OnceOnlyRequest#wake} at a time. */
+    /** Call {@link OnceOnlyRequest#wake} at the given time. */
     record Wake(long atNanos) implements OnceOnlyAction {}
 
-    /** Tell the caller that the request ran, with its answer. */
+    /** Send the caller the answer of the request; replayed if it was recorded by an earlier attempt. */
     record DeliverRan(ByteString answer, boolean replayed) implements OnceOnlyAction {}
 
     /** Refuse the request. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -15,15 +15,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The decisions of one attempt at a once-only request.
+ * The state machine of one attempt at a once-only request.
  *
- * <p>Invariants: nothing is dispatched before the claim is granted, nor after the caller was told {@code not run}. At
- * most one call is in flight, and a second one is dispatched only after the first certainly did not run. A call that
- * may have run is never repeated: its outcome is unknown until a reply proves otherwise. The attempt alone decides that
- * it did not run; a claim granted after the attempt gave up is given back, never used.
+ * <p>Invariants:
  *
- * <p>Not safe for use by several threads: the caller holds a lock of its own for each request, which comes first in the
- * lock order.
+ * <ul>
+ *   <li>Nothing is dispatched before the claim is granted, nor after the caller was answered {@code not run}.
+ *   <li>At most one call is in flight; another is dispatched only if the previous one certainly did not run.
+ *   <li>A call that may have run is never repeated; its outcome is unknown until a reply arrives.
+ *   <li>Only the attempt itself records that it did not run. A claim granted after the attempt ended is released
+ *       unused.
+ * </ul>
+ *
+ * <p>Not thread-safe: the caller holds a lock per request, which comes first in the lock order.
  */
 public final class OnceOnlyRequest {
     private static final int MAX_DISPATCHES = 3;
@@ -32,7 +36,6 @@
     private static final int POOL_SHARD = 0;
     private static final int POOL_SHARD_COUNT = 1;
 
-    /** How far the attempt has come. */
     private enum Stage {
         CLAIMING,
         DISPATCHED,
@@ -57,12 +60,12 @@
     private @Nullable OnceOnlyAction pendingAnswer;
 
     /**
-     * Creates an attempt; nothing happens before {@link #start}.
+     * Creates an attempt, to be begun with {@link #start}.
      *
-     * @param callIdPrefix begins the identifiers of the calls; unique among all attempts of all processes
+     * @param callIdPrefix the prefix of the call identifiers, unique among all attempts of all processes
      * @param pool the upstreams that may run the request
-     * @param nowNanos the present time
-     * @param deadlineNanos when the caller must have its answer
+     * @param nowNanos the current time
+     * @param deadlineNanos when the caller must be answered
      */
     public OnceOnlyRequest(
             String callIdPrefix,
@@ -80,12 +83,12 @@
         this.dispatchDeadlineNanos = deadlineNanos - cancelMarginNanos;
     }
 
-    /** Begins: asks for the claim. */
+    /** Starts the attempt by requesting the claim. */
     public List<OnceOnlyAction> start() {
         return List.of(new OnceOnlyAction.Claim(), new OnceOnlyAction.Wake(deadlineNanos));
     }
 
-    /** Takes what the agreed state says to the claim. */
+    /** Handles the result of the claim: dispatches the request, or answers the caller. */
     public List<OnceOnlyAction> onClaimResult(ClaimResult verdict, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.CLAIMING) {
@@ -106,7 +109,7 @@
         return actions;
     }
 
-    /** Takes a reply as it arrived, in time or late. */
+    /** Handles a reply, in time or late; a late one is still recorded. */
     public List<OnceOnlyAction> onReply(LeafReply reply, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (dispatchCount == 0) {
@@ -129,7 +132,7 @@
         return actions;
     }
 
-    /** Takes the failure of the call in flight. */
+    /** Handles the failure of the call in flight: dispatches again if it certainly did not run. */
     public List<OnceOnlyAction> onFailure(LeafFailure failure, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.DISPATCHED && stage != Stage.CANCELLING) {
@@ -157,7 +160,7 @@
         return actions;
     }
 
-    /** Takes the news that the outcome is agreed. */
+    /** Answers the caller once the outcome is recorded in the replicated state. */
     public List<OnceOnlyAction> onRecorded() {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage == Stage.RECORDING && pendingAnswer != null) {
@@ -166,7 +169,7 @@
         return actions;
     }
 
-    /** Looks at the time. */
+    /** Cancels the call when its dispatch deadline has passed, and answers the caller at the deadline. */
     public List<OnceOnlyAction> wake(long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage == Stage.DISPATCHED && nowNanos - dispatchDeadlineNanos >= 0 && upstream != null) {
@@ -191,13 +194,12 @@
             }
             case RECORDING -> actions.addAll(onRecorded());
             default -> {
-                // The caller has its answer.
+                // The caller was already answered.
             }
         }
         return actions;
     }
 
-    /** Returns true once the caller has its answer. */
     public boolean isAnswered() {
         return answered;
     }
@@ -228,7 +230,7 @@
     private void recordNotRun(RefusalKind kind, String reason, List<OnceOnlyAction> actions) {
         startRecording(
                 new OnceOnlyAction.RecordNotRun(reason),
-                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; it did not run, send the request again")),
+                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; the request did not run, send it again")),
                 actions);
     }
 
@@ -261,27 +263,28 @@
 
     private static Refusal refusalFor(ClaimResult verdict) {
         if (verdict instanceof ClaimResult.HeldByAnother) {
-            return Refusal.of(RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome");
+            return Refusal.of(
+                    RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome later");
         }
         if (verdict instanceof ClaimResult.OutcomeUnknown unknown) {
             return Refusal.of(
                     RefusalKind.OUTCOME_UNKNOWN,
-                    "it is not known whether the request ran (" + unknown.reason()
-                            + "); it will not be run again, check with the service before using a new identifier");
+                    "unknown whether the request ran (" + unknown.reason()
+                            + "); it will not run again, check with the service before using a new identifier");
         }
         if (verdict instanceof ClaimResult.Mismatch) {
             return Refusal.of(
                     RefusalKind.REQUEST_MISMATCH,
-                    "the request identifier was used for another request; use a new identifier");
+                    "the request identifier was already used for a different request; use a new identifier");
         }
         if (verdict instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
-                    "the request is older than outcomes are kept and is not run; check with the service");
+                    "the request is older than the retention period of outcomes and was not run; check with the service");
         }
         String reason = verdict instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
                 RefusalKind.NO_QUORUM,
-                "the control hosts did not confirm the claim (" + reason + "); it did not run, send it again");
+                "the control hosts did not confirm the claim (" + reason + "); the request did not run, send it again");
     }
 }
