--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
@@ -23,7 +23,7 @@
     CONNECT_FAILED(Indication.FAILING, true),
     /** The connection was lost after the call was sent. */
     CONNECTION_LOST(Indication.FAILING, false),
-    /** No reply arrived before the deadline. */
+    /** No reply arrived in time. */
     TIMED_OUT(Indication.FAILING, false),
     /** The upstream reported an internal error. */
     UPSTREAM_ERROR(Indication.FAILING, false),
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -280,7 +280,7 @@
         if (verdict instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
-                    "the request is older than the retention period of outcomes and was not run; check with the service");
+                    "the request is older than the retention period of outcomes and will not be run; check with the service");
         }
         String reason = verdict instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
@@ -14,15 +14,20 @@
 import org.bramblerack.version.UpstreamName;
 
 /**
- * The decisions of one query: whom to ask, when to ask again, and when to seal the answer.
+ * The state machine of one query: which replicas to call, when to retry or hedge, and when to finalize the answer.
  *
- * <p>Invariants: every attempt asks for the pinned index version and the answer is built from checked replies of it
- * alone. Exactly one {@link QueryAction.Deliver} or {@link QueryAction.Refuse} is returned, unless the caller goes
- * away; after it nothing is sent. A query restarts on a newer version at most once, and then keeps nothing of the older
- * one. A query whose shards are all covered or given up is over at once.
+ * <p>Invariants:
  *
- * <p>Not safe for use by several threads: the caller holds a lock of its own for each query, which comes first in the
- * lock order. An event costs time in proportion to the shards only when the query wakes.
+ * <ul>
+ *   <li>Every attempt requests the pinned index version, and the answer contains only checked replies of that version.
+ *   <li>Exactly one {@link QueryAction.Deliver} or {@link QueryAction.Refuse} is returned, unless the caller
+ *       disconnects; nothing is sent afterwards.
+ *   <li>A query restarts on a newer index version at most once and then discards all replies of the older one.
+ *   <li>A query ends as soon as each shard is covered or abandoned.
+ * </ul>
+ *
+ * <p>Not thread-safe: the caller holds a lock per query, which comes first in the lock order. {@link #wake} takes time
+ * linear in the number of shards.
  */
 public final class Query {
     private static final int MAX_ATTEMPTS_PER_SHARD = 4;
@@ -42,7 +47,7 @@
     private boolean over;
     private long scheduledWakeNanos = Long.MAX_VALUE;
 
-    /** Creates a query on a pinned version; nothing is asked before {@link #start}. */
+    /** Creates a query on a pinned index version, to be begun with {@link #start}. */
     public Query(QuerySpec spec, ShardMap pinned, ServiceTables tables, RandomGenerator random) {
         this.spec = spec;
         this.tables = tables;
@@ -53,16 +58,16 @@
         this.unfinished = pinned.shardCount();
     }
 
-    /** Begins: one attempt on every shard. */
+    /** Sends the first attempt to every shard. */
     public List<QueryAction> start(long nowNanos) {
-        checkState(attempts.isEmpty() && !over, "the query was started before");
+        checkState(attempts.isEmpty() && !over, "the query was already started");
         List<QueryAction> actions = new ArrayList<>(2 * pinned.shardCount() + 1);
         tables.budget().deposit(pinned.shardCount());
         callEveryShard(nowNanos, actions);
         return actions;
     }
 
-    /** Takes a reply as it arrived. */
+    /** Handles a reply to an attempt; late and invalid replies are counted and dropped. */
     public List<QueryAction> onReply(int attemptNumber, LeafReply reply, long nowNanos) {
         List<QueryAction> actions = new ArrayList<>(2);
         Attempt attempt = attempts.get(attemptNumber);
@@ -84,7 +89,7 @@
         return actions;
     }
 
-    /** Takes the failure of an attempt. */
+    /** Handles the failure of an attempt: retries, restarts on a newer version, or abandons the shard. */
     public List<QueryAction> onFailure(int attemptNumber, LeafFailure failure, long nowNanos) {
         List<QueryAction> actions = new ArrayList<>(2);
         Attempt attempt = attempts.get(attemptNumber);
@@ -94,7 +99,7 @@
         return actions;
     }
 
-    /** Looks at the time: hedges what is late, retries what is due, and seals when the deadline has come. */
+    /** Sends the retries that are due and hedges late shards; finalizes the answer at the deadline. */
     public List<QueryAction> wake(long nowNanos) {
         List<QueryAction> actions = new ArrayList<>();
         if (over) {
@@ -113,7 +118,7 @@
         return actions;
     }
 
-    /** Ends the query because its caller went away: cancels what is in flight and delivers nothing. */
+    /** Ends the query because its caller disconnected: cancels the calls in flight and delivers nothing. */
     public List<QueryAction> onCallerGone(long nowNanos) {
         List<QueryAction> actions = new ArrayList<>();
         if (!over) {
@@ -123,12 +128,10 @@
         return actions;
     }
 
-    /** Returns true once the query has delivered, refused or lost its caller. */
     public boolean isOver() {
         return over;
     }
 
-    /** Returns the pinned index version. */
     public long indexVersion() {
         return pinned.indexVersion();
     }
@@ -198,7 +201,7 @@
             return;
         }
         if (failure == LeafFailure.HARMFUL) {
-            // No other upstream may have it either.
+            // A harmful query must not be sent to another upstream.
             abandonShard(attempt.shard, QueryCounter.DENIED_HARMFUL, nowNanos, actions);
             return;
         }
@@ -227,7 +230,7 @@
         send(shard, upstream, Attempt.Purpose.RETRY, nowNanos, actions);
     }
 
-    /** Every replica failed once: try again after a delay, if that can still be in time. */
+    /** Schedules a retry with jittered exponential backoff, unless it would end after the deadline. */
     private void retryLater(int shardNumber, long nowNanos, List<QueryAction> actions) {
         ShardState shard = shards[shardNumber];
         if (shard.attempts.isEmpty() || shard.attempts.size() >= MAX_ATTEMPTS_PER_SHARD) {
@@ -333,7 +336,7 @@
         } else if (!attempts.isEmpty() && attempts.stream().allMatch(Attempt::isHarmful)) {
             actions.add(new QueryAction.Refuse(Refusal.of(
                     RefusalKind.HARMFUL,
-                    "not run: queries like this one ended the upstreams of " + spec.service()
+                    "not run: queries like this one terminated the upstreams of " + spec.service()
                             + " that ran them; ask the operator")));
         } else if (coverage.coveredCount() == 0) {
             actions.add(new QueryAction.Refuse(Refusal.of(
@@ -343,7 +346,7 @@
             actions.add(new QueryAction.Refuse(Refusal.of(
                     RefusalKind.INCOMPLETE,
                     "only " + coverage + " shards of " + spec.service()
-                            + " answered and the class prefers coverage; send the query again, missing shards: "
+                            + " answered, and the class prefers coverage; send the query again, missing shards: "
                             + coverage.missing())));
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/QueryAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/QueryAction.java
@@ -2,17 +2,17 @@
 
 import org.bramblerack.version.UpstreamName;
 
-/** What a query wants done, in the order given. */
+/** An action that a {@link Query} returns; the caller performs them in order. */
 public sealed interface QueryAction {
     /**
      * Send a call to an upstream.
      *
-     * @param attempt the number of the attempt, to be given back with its reply or failure
-     * @param callId the identifier that the upstream must give back
-     * @param upstream the upstream to ask
-     * @param shard the shard to ask for
-     * @param indexVersion the index version to ask for
-     * @param deadlineNanos when the reply is of no use any more
+     * @param attempt the number of the attempt, to be passed to {@link Query#onReply} or {@link Query#onFailure}
+     * @param callId the identifier that the upstream must return with its reply
+     * @param upstream the upstream to call
+     * @param shard the requested shard
+     * @param indexVersion the requested index version
+     * @param deadlineNanos when the call expires
      * @param extra true for a retry or a hedge
      */
     record SendLeaf(
@@ -25,18 +25,18 @@
             boolean extra)
             implements QueryAction {}
 
-    /** Cancel a call whose reply is of no use any more. */
+    /** Cancel a call whose reply is no longer needed. */
     record CancelLeaf(String callId, UpstreamName upstream) implements QueryAction {}
 
-    /** Call {@link Query#wake} at a time. */
+    /** Call {@link Query#wake} at the given time. */
     record Wake(long atNanos) implements QueryAction {}
 
-    /** Count something. */
+    /** Increment a counter. */
     record Count(QueryCounter counter) implements QueryAction {}
 
-    /** Hand the answer to the caller. The query is over. */
+    /** Send the answer to the caller. The query has ended. */
     record Deliver(Answer answer) implements QueryAction {}
 
-    /** Refuse the query. The query is over. */
+    /** Refuse the query. The query has ended. */
     record Refuse(Refusal refusal) implements QueryAction {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/QueryCounter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/QueryCounter.java
@@ -2,37 +2,37 @@
 
 import java.util.Locale;
 
-/** What the query path counts; each has a counter of its own in the metrics. */
+/** The events of queries that are counted in the metrics. */
 public enum QueryCounter {
     /** A first attempt on a shard. */
     FIRST_ATTEMPT,
-    /** A second attempt because the first was late. */
+    /** A second call to a shard because the first was late. */
     HEDGE,
-    /** A hedge whose reply came first. */
+    /** A hedge that was answered before the first attempt. */
     HEDGE_WON,
-    /** A late shard that was not hedged because the budget was spent. */
+    /** A late shard that was not hedged because the retry budget was exhausted. */
     HEDGE_DENIED_BUDGET,
     /** A late shard that was not hedged because no other replica was idle. */
     HEDGE_DENIED_BUSY,
-    /** Late shards that were not hedged because the service as a whole was slow. */
+    /** Late shards that were not hedged because many shards of the service were late. */
     HEDGE_DENIED_SLOW_SERVICE,
-    /** Another attempt after a failure. */
+    /** A further attempt after a failure. */
     RETRY,
-    /** A failed shard that was given up because the budget was spent. */
+    /** A failed shard that was abandoned because the retry budget was exhausted. */
     RETRY_DENIED_BUDGET,
-    /** A failed shard that was given up because no replica was left. */
+    /** A shard that was abandoned because no replica was available. */
     RETRY_DENIED_NO_REPLICA,
-    /** A failed shard that was given up because the time was too short. */
+    /** A failed shard that was abandoned because a retry would have ended after the deadline. */
     RETRY_DENIED_TIME,
-    /** A shard that was given up because requests like the query end upstreams. */
+    /** A shard that was abandoned because similar queries terminate the upstreams that run them. */
     DENIED_HARMFUL,
-    /** A query begun again on a newer index version. */
+    /** A query restarted on a newer index version. */
     RESTART,
-    /** A reply dropped because it came after the answer was sealed, or for a shard that was covered. */
+    /** A reply dropped because the answer was finalized or the shard already covered. */
     LATE_REPLY,
-    /** A reply dropped because it did not pass the checks. */
+    /** A reply dropped because it failed {@link CheckedReply#check}. */
     BAD_REPLY,
-    /** A call cancelled because its reply was of no use any more. */
+    /** A call cancelled because its reply was no longer needed. */
     CANCEL;
 
     /** Returns the name used in metrics, such as {@code hedge-won}. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/QuerySpec.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/QuerySpec.java
@@ -4,13 +4,13 @@
 import org.bramblerack.version.ServiceName;
 
 /**
- * What a caller asked for, as far as the decisions of the fan-out need it.
+ * The parameters of a query that its fan-out depends on.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param callIdPrefix begins the identifiers of all calls of the query; unique among all queries of all processes
+ * @param callIdPrefix the prefix of the call identifiers, unique among all queries of all processes
  * @param service the service to query
- * @param preference what to do when the time runs out
- * @param deadlineNanos when the answer must be sealed
+ * @param preference whether to answer with partial coverage at the deadline or to refuse
+ * @param deadlineNanos when the answer must be finalized
  */
 public record QuerySpec(String callIdPrefix, ServiceName service, Preference preference, long deadlineNanos) {}
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
@@ -6,36 +6,33 @@
 import java.util.Optional;
 
 /**
- * A truthful refusal of a request: its kind, what to do about it, and when to come back.
+ * A refusal of a request.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param kind the kind, which says whether the request ran
- * @param message what happened and the remedy
- * @param retryAfter when to send the request again, if that is worth while
+ * @param kind the kind, which states whether the request ran
+ * @param message the cause and the remedy
+ * @param retryAfter after what time to retry, empty if a retry cannot succeed
  */
 public record Refusal(RefusalKind kind, String message, Optional<Duration> retryAfter) {
     private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(250);
-    /**
-     * When to come back with a request that is sent to no upstream: it stays so for an hour, unless it was taken for
-     * another, which shows within seconds.
-     */
+    /** Long, because a harmful request stays blocked for an hour unless it was blocked by mistake. */
     private static final Duration HARMFUL_RETRY_AFTER = Duration.ofMinutes(1);
 
-    /** Refuses an empty message. */
+    /** Creates a refusal; throws if the message is blank. */
     public Refusal {
-        checkArgument(!message.isBlank(), "a refusal of kind %s needs a message", kind);
+        checkArgument(!message.isBlank(), "the message of a refusal of kind %s is blank", kind);
     }
 
-    /** Creates a refusal with the usual time to come back, if its kind is worth retrying. */
+    /** Creates a refusal with the default retry time of its kind, or with none if it is not retryable. */
     public static Refusal of(RefusalKind kind, String message) {
         Duration usual = kind == RefusalKind.HARMFUL ? HARMFUL_RETRY_AFTER : DEFAULT_RETRY_AFTER;
         return new Refusal(kind, message, kind.isRetryable() ? Optional.of(usual) : Optional.empty());
     }
 
-    /** Creates a refusal with a time to come back. */
+    /** Creates a refusal with the given retry time. */
     public static Refusal retryAfter(RefusalKind kind, String message, Duration retryAfter) {
-        checkArgument(!retryAfter.isNegative(), "retry after %s is negative", retryAfter);
+        checkArgument(!retryAfter.isNegative(), "retry time %s is negative", retryAfter);
         return new Refusal(kind, message, Optional.of(retryAfter));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
@@ -5,21 +5,24 @@
 import java.util.regex.Pattern;
 
 /**
- * The identifier that a caller gives to a request.
+ * The identifier of a request, chosen by its caller.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param value 1 to 128 letters, digits and the signs {@code . _ : -}
+ * @param value 1 to 128 letters, digits and the characters {@code . _ : -}
  */
 public record RequestId(String value) {
     private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
-    /** Refuses a value of another form. */
+    /** Creates an identifier; throws if the value is malformed. */
     public RequestId {
-        checkArgument(isValid(value), "bad request identifier: %s", value);
+        checkArgument(
+                isValid(value),
+                "malformed request identifier, expected 1 to 128 of A-Z a-z 0-9 . _ : - but got: %s",
+                value);
     }
 
-    /** Returns true if the text is a request identifier. */
+    /** Returns true if the text is a well-formed request identifier. */
     public static boolean isValid(String text) {
         return PATTERN.matcher(text).matches();
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/RunState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/RunState.java
@@ -2,8 +2,8 @@
 
 /** Whether a refused request ran. */
 public enum RunState {
-    /** The request did not run and never will under this attempt. */
+    /** The request did not run, and this attempt will never run it. */
     NOT_RUN,
-    /** Work may have been done for the request. */
+    /** The request may have run, fully or in part. */
     MAY_HAVE_RUN
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ServiceQueue.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ServiceQueue.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.bramblerack.version.Priority;
 
-/** The waiting queries of one service, and its adaptive limit. Not safe for use by several threads. */
+/** The queued queries of one service and its adaptive limit. Not thread-safe. */
 final class ServiceQueue {
-    /** One admission in this many goes to a waiting normal query. */
+    /** One admission in this many goes to a queued normal query, so that urgent ones cannot starve it. */
     static final int NORMAL_EVERY = 8;
 
     private static final int MAX_WAITING = 1_000;
@@ -68,15 +68,15 @@
         return limit.averageNanos() * (1 + ahead) / limit.limit();
     }
 
-    /** Returns true unless the query would end after its deadline; one that need not wait is always let in. */
+    /** Returns true if the query is expected to meet its deadline, or has not passed it and need not wait. */
     boolean canMeetDeadline(Admission.Ticket ticket, long waitNanos, long nowNanos) {
         long neededNanos = waitNanos == 0 ? 0 : waitNanos + limit.expectedNanos();
         return nowNanos + neededNanos - ticket.deadlineNanos() < 0;
     }
 
     /**
-     * Removes and returns the queries that would end after their deadline even if they began now. If none is in flight
-     * the expectation is not believed: only a query that is let in can show that it is wrong.
+     * Removes and returns the queries that would miss their deadline even if they started now. While none is in flight
+     * the latency estimate is ignored, because only an admitted query can correct it.
      */
     List<Admission.Ticket> removeUnmeetable(long nowNanos) {
         List<Admission.Ticket> removed = new ArrayList<>();
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
@@ -8,31 +8,31 @@
 import org.bramblerack.version.VersionRegistry;
 
 /**
- * The shared tables that the queries of one service consult.
+ * The state shared by all queries of one service.
  *
- * <p>Immutable; the tables themselves are safe for use by many threads. Lock order: query, upstream evidence, latency
- * tracker, retry budget, version board.
+ * <p>Immutable; the components are thread-safe. Lock order: query, upstream evidence, latency tracker, retry budget,
+ * versions.
  *
  * @param upstreams evidence about upstreams, shared by all services
- * @param versions the index versions of the service
- * @param latency the latency of the service's leaf replies
- * @param budget the retries and hedges of the service
+ * @param versions the index versions that the service's upstreams serve
+ * @param latency the latency of the service's upstream calls
+ * @param budget the budget for retries and hedges
  */
 public record ServiceTables(
         UpstreamTable upstreams, VersionRegistry versions, LatencyTracker latency, RetryBudget budget) {
-    /** The quantile of the leaf latency after which a reply is late. */
+    /** The quantile of the call latency beyond which a call counts as late and may be hedged. */
     public static final double LATE_QUANTILE_PERCENT = 97;
 
     private static final Duration INITIAL_LATE_THRESHOLD = Duration.ofMillis(50);
     private static final int RETRY_BUDGET_RESERVE = 20;
 
-    /** Returns tables that keep what was learned and have a fresh budget of the given limits. */
+    /** Returns a copy that shares the collected state but has a new, full budget of the given limits. */
     public ServiceTables withLimits(UpstreamLimits limits) {
         return new ServiceTables(
                 upstreams, versions, latency, RetryBudget.create(limits.extraLoadPercent(), RETRY_BUDGET_RESERVE));
     }
 
-    /** Creates empty tables for a service. */
+    /** Creates the state of a service without any observations. */
     public static ServiceTables create(UpstreamTable upstreams, UpstreamLimits limits) {
         return new ServiceTables(
                 upstreams,
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.bramblerack.version.UpstreamName;
 
-/** How far a query has come with one shard. Guarded by the query's lock. */
+/** The state of one shard of a query. Guarded by the query's lock. */
 final class ShardState {
     final List<Attempt> attempts = new ArrayList<>(2);
     boolean finished;
@@ -39,19 +39,19 @@
         return false;
     }
 
-    /** Returns true if every replica that was asked no longer serves the version. */
+    /** Returns true if every attempt found that its replica no longer serves the pinned version. */
     boolean isVersionGoneAtAllTried() {
         return !attempts.isEmpty() && attempts.stream().allMatch(Attempt::isVersionGone);
     }
 
-    /** Returns the only attempt if it counts as late. */
+    /** Returns the attempt of the shard if it is the only one, in flight, and due for a hedge. */
     Optional<Attempt> lateAttempt(long lateAfterNanos, long nowNanos) {
         return onlyAttempt()
                 .filter(only -> !finished && !only.finished)
                 .filter(only -> nowNanos - only.hedgeDueNanos(lateAfterNanos) >= 0);
     }
 
-    /** Returns when to look at the shard again, if time alone can change anything about it. */
+    /** Returns when a retry or hedge of the shard is due, empty if none can become due. */
     Optional<Long> nextCheckNanos(long lateAfterNanos) {
         if (finished) {
             return Optional.empty();
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/AdmissionAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/AdmissionAction.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * What is to be done with a request that asked for room.
+ * An action that {@link EntryAdmission} returns; the caller performs them in order.
  *
- * @param <T> what stands for a request
+ * @param <T> the type of a request
  */
 public sealed interface AdmissionAction<T> {
-    /** Begin it. */
+    /** Start the request. */
     record Start<T>(T request) implements AdmissionAction<T> {}
 
     /**
-     * Refuse it; it has not run.
+     * Refuse the request, which has not run.
      *
-     * @param retryAfter when there is likely to be room
+     * @param retryAfter after what time capacity is likely to be available
      */
     record Refuse<T>(T request, Duration retryAfter) implements AdmissionAction<T> {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
@@ -11,55 +11,49 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who begins when an entry host has more to do than it can, and who is refused.
- *
- * <p>The load: bursts of one class, a team at many times its usual, callers that repeat, and all callers back after a
- * silence, on hosts of a part of a core. Begun all at once, every request waits for the work of all, and those that
- * could have been in time are as late as the rest. What room there is shows in how far the host is behind with what has
- * arrived; the known cost of what was begun since tells it before that shows.
+ * Admission control of an entry host under overload, with the event-loop lag as the measure of load.
  *
  * <ul>
- *   <li>A host that is not behind begins everything at once.
- *   <li>One that is behind holds requests, and begins them as it catches up: one in any case each time it looks, more
- *       as long as it is less than {@link #LAG_THRESHOLD} behind. So room never stands free while a request waits.
- *   <li>Ranks go in their order, but a quarter of the room, in calls, goes to lower ranks as long as they wait, the
- *       longest waiting first. So no class gets less than a quarter of its share by demand.
- *   <li>Within a rank those go first that can still be in time, then teams take turns ({@link FairTeamQueue}).
- *   <li>What could not be answered before its caller's limit, by the work that goes before it, is refused at once.
+ *   <li>While the host does not lag, requests start at once.
+ *   <li>While it lags, requests are queued. Each {@link #drain} starts at least one, and more while the lag, including
+ *       the expected cost of the requests just started, is below {@link #LAG_THRESHOLD}.
+ *   <li>Ranks are served in order, but a quarter of the capacity, in calls, goes to queued requests of lower ranks,
+ *       oldest first, so that they do not starve.
+ *   <li>Within a rank, requests that can still meet their goal go first; after that teams share the capacity by weight
+ *       ({@link FairTeamQueue}).
+ *   <li>A request that cannot be answered before its deadline because of the requests ahead of it is refused at once.
  * </ul>
  *
- * <p>Invariants: each request is begun or refused once, unless it is withdrawn. Nothing is refused while nothing waits
- * and the host is not behind, unless its time is up. Not safe for use by several threads.
+ * <p>Invariants: each request is started or refused exactly once, unless it is withdrawn. No request is refused on
+ * arrival while the queue is empty and the host does not lag. Not thread-safe.
  *
- * @param <T> what stands for a request; by its identity or equality one is withdrawn
+ * @param <T> the type of a request; requests are identified by equality
  */
 public final class EntryAdmission<T> {
-    /**
-     * From when on a host counts as behind: a quarter of the shortest goals of interactive queries, 80 to 90 ms, is
-     * lost to waiting then.
-     */
+    /** The lag from which requests are queued: about a quarter of the shortest goals of interactive queries. */
     public static final Duration LAG_THRESHOLD = Duration.ofMillis(20);
 
-    /** Every which call of the room goes to lower ranks that wait. */
+    /** One call in this many goes to queued requests of lower ranks. */
     private static final int LOWER_RANKS_SHARE_DIVISOR = 4;
-    /** How many may wait; beyond that the last in order is refused, whatever its limit. */
+    /** The maximum queue length; beyond it the last requests in service order are refused. */
     private static final int MAX_QUEUED = 512;
-    /** How fast the estimate of the time from one beginning to the next follows what is seen. */
+
     private static final double START_INTERVAL_SMOOTHING = 0.2;
 
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(50);
-    /** Callers come back if they are told a time within a third of what they have left. */
+    /** Callers are expected to retry after a delay of up to their remaining time divided by this. */
     private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
     private final RandomGenerator random;
     private final List<Entry<T>> entries = new ArrayList<>();
     private final FairTeamQueue teamQueue = new FairTeamQueue();
     private final long callCostNanos;
-    /** From one beginning to the next while requests wait. */
+    /** The moving average of the time between starts of queued requests. */
     private double startIntervalNanos = LAG_THRESHOLD.toNanos();
 
+    /** When the queue was last drained, or a request last started while the host lagged. */
     private long lastDrainNanos;
-    /** Calls that lower ranks are owed: a part of those begun before them. */
+    /** The number of calls reserved for queued requests of lower ranks and not yet used. */
     private double lowerRankCredit;
 
     private long lastSequence;
@@ -67,10 +61,10 @@
     private record Entry<T>(QueuedRequest<T> queued, long sequence) {}
 
     /**
-     * Creates a room of which nothing is taken.
+     * Creates an admission with an empty queue.
      *
-     * @param nowNanos the time
-     * @param callCost what a call to a leaf takes of this host's time
+     * @param nowNanos the current time
+     * @param callCost the processing time that a call to a leaf costs this host
      */
     public EntryAdmission(long nowNanos, Duration callCost, RandomGenerator random) {
         this.lastDrainNanos = nowNanos - LAG_THRESHOLD.toNanos();
@@ -79,9 +73,9 @@
     }
 
     /**
-     * Takes a request.
+     * Starts, queues or refuses a new request; may refuse queued ones along with it.
      *
-     * @param lagNanos how far this host is behind with what has arrived
+     * @param lagNanos the current event-loop lag of this host
      */
     public ImmutableList<AdmissionAction<T>> offer(QueuedRequest<T> request, long lagNanos, long nowNanos) {
         ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
@@ -97,7 +91,7 @@
         return actions.build();
     }
 
-    /** Begins what there is room for; to be called regularly while requests wait. */
+    /** Starts queued requests for which there is capacity; must be called regularly while any are queued. */
     public ImmutableList<AdmissionAction<T>> drain(long lagNanos, long nowNanos) {
         ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
         long expectedLagNanos = lagNanos;
@@ -117,22 +111,20 @@
         return actions.build();
     }
 
-    /** Forgets a request whose caller went away. */
+    /** Removes a queued request whose caller disconnected. */
     public void withdraw(T request) {
         entries.removeIf(entry -> entry.queued().request().equals(request));
     }
 
-    /** Returns true if a request has neither begun nor been refused. */
     public boolean isQueued(T request) {
         return entries.stream().anyMatch(entry -> entry.queued().request().equals(request));
     }
 
-    /** Returns how many requests wait. */
     public int queuedCount() {
         return entries.size();
     }
 
-    /** Returns how long it takes from one beginning to the next, for a log line. */
+    /** Returns the average time between starts of queued requests. */
     public Duration startInterval() {
         return Duration.ofNanos((long) startIntervalNanos);
     }
@@ -145,7 +137,7 @@
         actions.add(new AdmissionAction.Start<>(entry.queued().request()));
     }
 
-    /** Keeps what lower ranks are owed: as long as one waits, a part of what goes before it. */
+    /** Grants lower ranks credit for calls started ahead of them, and charges them for their own. */
     private void updateLowerRankCredit(QueuedRequest<T> started) {
         boolean lowerQueued = entries.stream().anyMatch(entry -> entry.queued().rank() > started.rank());
         boolean higherQueued = entries.stream().anyMatch(entry -> entry.queued().rank() < started.rank());
@@ -159,7 +151,7 @@
         }
     }
 
-    /** Returns the request that begins next; one waits at least. */
+    /** Returns the request to start next; the queue must not be empty. */
     private Entry<T> selectNext(long nowNanos) {
         List<Entry<T>> ordered = inServiceOrder(nowNanos);
         Entry<T> first = ordered.get(0);
@@ -199,7 +191,7 @@
         return nowNanos + request.expectedNanos() - request.goalNanos() > 0;
     }
 
-    /** Refuses what would be answered after its caller's limit by the work before it. */
+    /** Refuses queued requests that would miss their deadline because of the requests ahead of them. */
     private void refuseUnmeetable(long nowNanos, ImmutableList.Builder<AdmissionAction<T>> actions) {
         int ahead = 0;
         for (Entry<T> entry : inServiceOrder(nowNanos)) {
@@ -215,7 +207,7 @@
         }
     }
 
-    /** Returns after how many others a request begins at the latest, by the part of the room that lower ranks have. */
+    /** Returns an upper bound on the starts before this request that follows from the share of the lower ranks. */
     private int maxStartsAhead(Entry<T> entry) {
         int topRank =
                 entries.stream().mapToInt(other -> other.queued().rank()).min().orElse(0);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/FairTeamQueue.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/FairTeamQueue.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 
 /**
- * Whose turn it is among teams: start-time fair queueing.
+ * Start-time fair queueing among teams.
  *
- * <p>In a time that counts room given and not seconds, a team's next request begins where its last one ended, or now if
- * that is past. So a team that asks for more than its share queues behind itself, whether by new requests or by ones
- * that were refused and come again, and one that asks for less never waits for the others' excess. What a team owes is
- * bounded by {@link #MAX_BACKLOG_CALLS}. Not safe for use by several threads.
+ * <p>The virtual time is measured in calls per weight. The start tag of a team's next request is the finish tag of its
+ * previous one, or the current virtual time if that is later. A team that exceeds its share is therefore delayed only
+ * behind its own requests, and a team below its share does not wait for the excess of others. A finish tag is at most
+ * {@link #MAX_BACKLOG_CALLS} ahead of the virtual time. Not thread-safe.
  */
 final class FairTeamQueue {
-    /** Some ten queries over the shards of a large index. */
+    /** About ten queries over all shards of a large index. */
     private static final double MAX_BACKLOG_CALLS = 2_000;
-    /** As many teams as a configuration may hold; those that asked longest ago are forgotten first. */
+    /** The maximum number of teams in a configuration; the least recently served team is evicted first. */
     private static final int MAX_TEAMS = 10_000;
 
     private final Map<String, Double> finishTagByTeam = new LinkedHashMap<>();
     private double virtualTime;
 
-    /** Returns when, in room given, the turn of a team's next request comes. */
+    /** Returns the virtual time at which the team's next request may start. */
     double nextStartTag(String team, double weight) {
         double finishTag = finishTagByTeam.getOrDefault(team, virtualTime);
         return Math.max(virtualTime, Math.min(finishTag, virtualTime + MAX_BACKLOG_CALLS / weight));
     }
 
-    /** Notes that the next request of a team begins. */
+    /** Records that the team's next request starts, and advances the virtual time to its start tag. */
     void recordStart(String team, double weight, int calls) {
         double startTag = nextStartTag(team, weight);
         virtualTime = startTag;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/QueuedRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/QueuedRequest.java
@@ -3,18 +3,18 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A request that asks for room.
+ * A request offered to {@link EntryAdmission}.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
- * @param <T> what stands for the request
- * @param request the request
- * @param rank its rank; 0 is the highest
+ * @param <T> the type of the request
+ * @param request the request, identified by equality
+ * @param rank its priority rank; 0 is the highest
  * @param team the team that it is made for, empty if there is none
- * @param weight the team's share of the room against other teams of the rank
- * @param calls how many calls to leafs it takes
- * @param expectedNanos how long it takes from its start to its answer, as a rule
- * @param goalNanos when its answer loses most of its worth
+ * @param weight the team's weight relative to other teams of the rank
+ * @param calls its cost as the number of calls to leaves
+ * @param expectedNanos the expected time from its start to its answer
+ * @param goalNanos the soft deadline, after which its answer has little value
  * @param deadlineNanos when its caller stops waiting
  */
 public record QueuedRequest<T>(
@@ -26,9 +26,9 @@
         long expectedNanos,
         long goalNanos,
         long deadlineNanos) {
-    /** Refuses weights and costs that are not above zero. */
+    /** Creates a request; throws if the weight or the number of calls is not positive. */
     public QueuedRequest {
-        checkArgument(weight > 0, "the weight %s is not above 0", weight);
-        checkArgument(calls > 0, "a request of %s calls", calls);
+        checkArgument(weight > 0, "the weight %s is not positive", weight);
+        checkArgument(calls > 0, "the number of calls %s is not positive", calls);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/RetryAfterJitter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/RetryAfterJitter.java
@@ -4,24 +4,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When callers that are refused may come back.
+ * Chooses retry times for refused requests at random, so that requests refused together do not return together.
  *
- * <p>The load: many are refused in one moment. If all were told the same they would come back in one moment, and most
- * be refused again. So the times are spread evenly from the earliest useful moment to twice as far. Stateless and safe
- * for use by many threads.
+ * <p>Stateless and thread-safe.
  */
 public final class RetryAfterJitter {
     private RetryAfterJitter() {}
 
-    /** Returns a time between the earliest and twice that. */
+    /** Returns a delay chosen uniformly between the earliest useful one and twice that. */
     public static Duration spread(Duration earliest, RandomGenerator random) {
         return Duration.ofNanos((long) (earliest.toNanos() * (1 + random.nextDouble())));
     }
 
     /**
-     * Returns a time between the earliest and twice that, but not beyond a bound.
+     * Returns a delay chosen uniformly between the earliest useful one and twice that, but at most the latest.
      *
-     * @param latest beyond which the caller would not wait; if that is before the earliest, a time in its second half
+     * @param earliest the shortest useful delay; lowered to half of the upper bound if it exceeds that
+     * @param latest the longest delay that the caller would wait
      */
     public static Duration spread(Duration earliest, Duration latest, RandomGenerator random) {
         long toNanos = Math.min(2 * earliest.toNanos(), latest.toNanos());
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Who is served first, who waits and who is refused while a host has too little room. */
+/** Admission control of an entry host: which requests start, queue or are refused while the host lacks capacity. */
 @NullMarked
 package org.bramblerack.request.admission;
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/AdmissionTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/AdmissionTest.java
@@ -76,7 +76,7 @@
         assertThat(admission.waiting()).isEqualTo(0);
     }
 
-    /** A service that was slower than its deadlines once must not be refused for good. */
+    /** Guards against refusing all queries of a service forever because its latency once exceeded their deadlines. */
     @Test
     void admitsAQueryDespiteASlowEstimateWhenNoneIsInFlight() {
         for (int number = 0; number < 60; number++) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/FakeService.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/FakeService.java
@@ -13,7 +13,7 @@
 import org.bramblerack.version.UpstreamLimits;
 import org.bramblerack.version.UpstreamName;
 
-/** A service of two replicas a shard, its tables, and the replies that its upstreams give. */
+/** A service with two replicas per shard, its tables, and the replies of its upstreams. */
 final class FakeService {
     static final ServiceName NAME = new ServiceName("partner", "service");
     static final UpstreamLimits LIMITS = new UpstreamLimits(2, 25, Duration.ofSeconds(10), 5);
@@ -42,7 +42,7 @@
         return new UpstreamName(NAME, "s" + shard + replica);
     }
 
-    /** States that every replica serves a version, and returns its map. */
+    /** Records that every replica serves the index version, and returns its shard map. */
     ShardMap serve(long indexVersion) {
         for (int shard = 0; shard < shardCount; shard++) {
             for (String replica : ImmutableList.of("a", "b")) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryDifferentialTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryDifferentialTest.java
@@ -17,8 +17,8 @@
 import org.bramblerack.version.ShardMap;
 
 /**
- * Compares the query with the naive version, which asks the first replica of every shard, waits for all, and asks the
- * other on failure, under the same fates of replies in random order.
+ * Compares the query with a naive implementation, which calls the replicas of each shard in turn until one answers,
+ * under the same random upstream behaviors. Guards against mixed index versions and overstated coverage.
  */
 final class QueryDifferentialTest {
     private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Plays the fates of all calls in the order of their times, with the query's own wakes between. */
+    /** Delivers the results of all calls in order of time, interleaved with the query's wake-ups. */
     private static void simulate(QueryRun run, UpstreamBehaviors behaviors, long seed) {
         PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atNanos));
         SplittableRandom random = new SplittableRandom(seed);
@@ -110,7 +110,7 @@
 
     private record Event(long atNanos, QueryAction.SendLeaf send, Behavior behavior) {}
 
-    /** What becomes of every call to one upstream. */
+    /** How one upstream behaves for every call. */
     private enum Behavior {
         QUICK(2),
         SLOW(70),
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
@@ -12,17 +12,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every fault of a leaf call at every step of a query.
+ * Injects every fault of an upstream call at every step of a query, as listed in {@code docs/FAULTS.md}.
  *
- * <p>The rows are the faults, the columns the steps; {@code docs/FAULTS.md} shows the table. After each case the query
- * must have ended exactly once, with an answer that is true or a refusal; {@link QueryRun} checks that along the way.
+ * <p>Each query must end exactly once, with a correct answer or a refusal; {@link QueryRun} checks this at every step.
  */
 final class QueryFaultMatrixTest {
     private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 5;
     private static final int TARGET_SHARD = 2;
 
-    /** What goes wrong with a call. */
     enum Fault {
         OVERLOADED,
         DRAINING,
@@ -46,7 +44,7 @@
         REPLY_AFTER_THE_END
     }
 
-    /** When it goes wrong. */
+    /** The attempt of the query that the fault is injected into. */
     enum Step {
         FIRST_ATTEMPT,
         RETRY,
@@ -97,7 +95,7 @@
         assertThat(endedAsExpected).isTrue();
     }
 
-    /** Brings the query to the step and returns the call that the fault is to hit. */
+    /** Advances the query to the step and returns the call to inject the fault into. */
     private static QueryAction.SendLeaf advanceTo(Step step, QueryRun run) {
         QueryAction.SendLeaf first = run.sentTo(TARGET_SHARD);
         switch (step) {
@@ -126,7 +124,7 @@
         FakeService service = run.service;
         switch (fault) {
             case SILENT, REPLY_AFTER_THE_END -> {
-                // Nothing comes, or it comes after the end.
+                // No reply arrives before the query ends.
             }
             case REPLY_OF_ANOTHER_VERSION ->
                 run.reply(target.attempt(), service.reply(target.callId(), 99, target.shard()), nowNanos);
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
@@ -11,7 +11,7 @@
 import org.bramblerack.version.Preference;
 import org.bramblerack.version.ShardMap;
 
-/** Drives one query step by step and checks after every step what must always hold. */
+/** Drives one query step by step and checks its invariants after every step. */
 final class QueryRun {
     static final long DEADLINE_NANOS = Duration.ofMillis(200).toNanos();
 
@@ -99,7 +99,7 @@
         answer.ifPresent(this::checkAnswer);
     }
 
-    /** One version, and a coverage that is exactly the shards whose whole truth is there. */
+    /** Checks that the answer is of one index version, and its coverage exactly the shards with complete replies. */
     private void checkAnswer(Answer delivered) {
         assertThat(delivered.replies()).hasSize(delivered.coverage().coveredCount());
         for (CheckedReply reply : delivered.replies()) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryAdmissionTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryAdmissionTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What each class and team gets at a host that has more to do than it can, by the pattern of the load. */
+/** Checks the capacity that each rank and team gets on an overloaded host under different load patterns. */
 final class EntryAdmissionTest {
     private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
     private static final long DRAIN_INTERVAL_NANOS = EntryAdmission.LAG_THRESHOLD.toNanos();
@@ -37,7 +37,7 @@
         assertThat(started).containsExactly("hot-1", 1_000);
     }
 
-    /** A stop of the runtime, or a start of a process beside it: one request comes meanwhile. */
+    /** Guards against queueing the first request after a pause, when the lag does not come from requests. */
     @Test
     void aSingleRequestStartsAtOnceOnALaggingHost() {
         nowNanos = DRAIN_INTERVAL_NANOS;
@@ -56,7 +56,7 @@
         }
         assertThat(startedShare("a-0")).isAtLeast(0.7);
         assertThat(startedShare("a-1")).isAtLeast(0.2);
-        // A quarter of the rate at which all are served is the least that a class may get.
+        // A class gets at least a quarter of the overall service rate, which is half of the offered rate.
         assertThat(startedShare("a-1")).isAtLeast(0.25 * 0.5);
     }
 
@@ -99,7 +99,7 @@
             }
             assertThat(scenario.startedShare("b-1")).isAtLeast(0.98);
             assertThat(scenario.startedShare("c-1")).isAtLeast(0.98);
-            // What the others leave.
+            // The capacity that the other teams leave unused.
             assertThat(scenario.startedCount("hot-1")).isAtLeast(550);
         }
     }
@@ -116,7 +116,7 @@
         assertThat(ratio).isWithin(0.3).of(3);
     }
 
-    /** Three in ten callers come again at once with what was refused, up to five times. */
+    /** One team immediately retries each refused request up to five times. */
     @Test
     void immediateRetriesGainNoCapacity() {
         lagNanos = 30 * MILLI_NANOS;
@@ -133,7 +133,7 @@
         assertThat(startedCount("insistent-1")).isAtMost((int) (1.02 * startedCount("patient-1")));
     }
 
-    /** Everybody comes back after two seconds without power: half of them have no goal left. */
+    /** All callers return at once after an outage; half of their requests are already past their goal. */
     @Test
     void requestsThatCanMeetTheirGoalStartFirst() {
         lagNanos = 30 * MILLI_NANOS;
@@ -142,7 +142,7 @@
             offer("late" + each, NORMAL, 1, 90, 3_000, -1);
             offer("fresh" + each, NORMAL, 1, 90, 3_000, 2_000);
         }
-        // The first of all came alone.
+        // One drain per request that can still meet its goal.
         for (int look = 0; look < 20; look++) {
             drain();
         }
@@ -192,10 +192,7 @@
         assertThat(admission.queuedCount()).isEqualTo(1);
     }
 
-    /**
-     * Slow leafs keep what was begun under way for long while a burst comes: a host that is not behind goes on
-     * beginning.
-     */
+    /** Guards against deferring requests because many are in flight to slow leaves. */
     @Test
     void slowLeavesDoNotDelayStartsOnAHostThatIsNotLagging() {
         for (int each = 0; each < 500; each++) {
@@ -206,7 +203,7 @@
         assertThat(startOrder).hasSize(1_000);
     }
 
-    /** A host at a third of its speed is further behind with each request that it begins, until it has caught up. */
+    /** On a host at a third of its usual speed, rank order must beat the order of arrival. */
     @Test
     void rankOrderStartsMoreUrgentRequestsInTimeThanArrivalOrder() {
         int inOrderOfArrival = countUrgentInTime(false);
@@ -215,9 +212,7 @@
         assertThat(byRank).isGreaterThan(2 * inOrderOfArrival);
     }
 
-    /**
-     * Returns how many of 100 urgent requests begin within 60 ms, among 300 others, where each takes 30 ms of the host.
-     */
+    /** Returns how many of 100 urgent requests among 300 others start within 60 ms, with one start per 50 ms. */
     private static int countUrgentInTime(boolean ranked) {
         EntryAdmissionTest scenario = new EntryAdmissionTest();
         scenario.lagNanos = 30 * MILLI_NANOS;
@@ -270,7 +265,7 @@
                 nowNanos));
     }
 
-    /** A name may say more than the team. */
+    /** Returns the part before the first slash, so that requests of one team can be counted apart. */
     private static String teamOf(String name) {
         return name.substring(0, (name + "/").indexOf('/'));
     }
