--- a/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryAdmissionTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryAdmissionTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void aHostThatIsNotLaggingStartsEveryRequestAtOnce() {
-        for (int each = 0; each < 1_000; each++) {
+        for (int request = 0; request < 1_000; request++) {
             offer("hot", NORMAL, 1, 90, 500);
             nowNanos += MILLI_NANOS;
         }
@@ -49,7 +49,7 @@
     @Test
     void anUrgentBurstIsServedFirstAndNormalRequestsGetAQuarter() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int look = 0; look < 400; look++) {
+        for (int round = 0; round < 400; round++) {
             offer("a", URGENT, 1, 90, 1_500);
             offer("a", NORMAL, 1, 90, 2_500);
             drain();
@@ -63,36 +63,36 @@
     @Test
     void atMostOneLowerRankRequestStartsBetweenUrgentOnes() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int each = 0; each < 40; each++) {
+        for (int request = 0; request < 40; request++) {
             offer("a", NORMAL, 1, 90, 60_000);
         }
-        for (int each = 0; each < 12; each++) {
+        for (int request = 0; request < 12; request++) {
             offer("a", URGENT, 1, 90, 60_000);
         }
-        for (int look = 0; look < 16; look++) {
+        for (int round = 0; round < 16; round++) {
             drain();
         }
         assertThat(startedCount("a-0")).isEqualTo(12);
-        for (int place = 0; place + 1 < 14; place++) {
-            boolean twoLower = startOrder.get(place).endsWith("-1")
-                    && startOrder.get(place + 1).endsWith("-1");
+        for (int position = 0; position + 1 < 14; position++) {
+            boolean twoLower = startOrder.get(position).endsWith("-1")
+                    && startOrder.get(position + 1).endsWith("-1");
             assertThat(twoLower).isFalse();
         }
     }
 
     @Test
     void aTeamAboveItsShareTakesNothingFromOtherTeams() {
-        for (int times : new int[] {4, 7, 10}) {
+        for (int hotRequests : new int[] {4, 7, 10}) {
             EntryAdmissionTest scenario = new EntryAdmissionTest();
             scenario.lagNanos = 30 * MILLI_NANOS;
-            for (int look = 0; look < 1_000; look++) {
-                for (int each = 0; each < times && look % 5 == 0; each++) {
+            for (int round = 0; round < 1_000; round++) {
+                for (int request = 0; request < hotRequests && round % 5 == 0; request++) {
                     scenario.offer("hot", NORMAL, 1, 90, 1_000);
                 }
-                if (look % 5 == 1) {
+                if (round % 5 == 1) {
                     scenario.offer("b", NORMAL, 1, 90, 1_000);
                 }
-                if (look % 5 == 3) {
+                if (round % 5 == 3) {
                     scenario.offer("c", NORMAL, 1, 90, 1_000);
                 }
                 scenario.drain();
@@ -107,7 +107,7 @@
     @Test
     void capacityIsSharedInProportionToTeamWeights() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int look = 0; look < 1_000; look++) {
+        for (int round = 0; round < 1_000; round++) {
             offer("large", NORMAL, 30, 90, 1_000);
             offer("small", NORMAL, 10, 90, 1_000);
             drain();
@@ -116,16 +116,16 @@
         assertThat(ratio).isWithin(0.3).of(3);
     }
 
-    /** One team immediately retries each refused request up to five times. */
+    /** The insistent team immediately retries each refused request, up to five times. */
     @Test
     void immediateRetriesGainNoCapacity() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int look = 0; look < 2_000; look++) {
+        for (int round = 0; round < 2_000; round++) {
             offer("patient", NORMAL, 1, 90, 400);
-            int before = refused.getOrDefault("insistent-1", 0);
+            int refusedBefore = refused.getOrDefault("insistent-1", 0);
             offer("insistent", NORMAL, 1, 90, 400);
-            for (int again = 0; again < 5 && refused.getOrDefault("insistent-1", 0) > before; again++) {
-                before++;
+            for (int retry = 0; retry < 5 && refused.getOrDefault("insistent-1", 0) > refusedBefore; retry++) {
+                refusedBefore++;
                 offer("insistent", NORMAL, 1, 90, 400);
             }
             drain();
@@ -138,35 +138,37 @@
     void requestsThatCanMeetTheirGoalStartFirst() {
         lagNanos = 30 * MILLI_NANOS;
         nowNanos = 1_000 * MILLI_NANOS;
-        for (int each = 0; each < 20; each++) {
-            offer("late" + each, NORMAL, 1, 90, 3_000, -1);
-            offer("fresh" + each, NORMAL, 1, 90, 3_000, 2_000);
+        for (int request = 0; request < 20; request++) {
+            offer("late" + request, NORMAL, 1, 90, 3_000, -1);
+            offer("fresh" + request, NORMAL, 1, 90, 3_000, 2_000);
         }
-        // One drain per request that can still meet its goal.
-        for (int look = 0; look < 20; look++) {
+        // The first late request started on arrival; each drain starts one more.
+        for (int round = 0; round < 20; round++) {
             drain();
         }
-        assertThat(startOrder.stream().filter(each -> each.startsWith("fresh")).count())
+        assertThat(startOrder.stream()
+                        .filter(request -> request.startsWith("fresh"))
+                        .count())
                 .isEqualTo(20);
     }
 
     @Test
     void requestsThatCannotMeetTheirDeadlineAreRefusedAtOnceWithDistinctRetryTimes() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int each = 0; each < 100; each++) {
+        for (int request = 0; request < 100; request++) {
             offer("a", NORMAL, 1, 90, 600);
         }
         assertThat(refused.getOrDefault("a-1", 0)).isAtLeast(60);
         assertThat(retryAfters.stream().distinct().count()).isAtLeast(50);
-        assertThat(retryAfters.stream().allMatch(retry -> retry.compareTo(Duration.ofMillis(1_200)) <= 0))
+        assertThat(retryAfters.stream().allMatch(retryAfter -> retryAfter.compareTo(Duration.ofMillis(1_200)) <= 0))
                 .isTrue();
     }
 
     @Test
     void everyDrainStartsARequestWhileAnyIsQueued() {
-        for (int look = 0; look < 5_000; look++) {
+        for (int round = 0; round < 5_000; round++) {
             lagNanos = random.nextLong(60 * MILLI_NANOS);
-            for (int each = random.nextInt(4); each > 0; each--) {
+            for (int count = random.nextInt(4); count > 0; count--) {
                 offer("t" + random.nextInt(3), random.nextInt(3), 1 + random.nextInt(5), 1 + random.nextInt(90), 800);
             }
             int queuedBefore = admission.queuedCount();
@@ -177,15 +179,15 @@
                 assertThat(admission.queuedCount()).isEqualTo(0);
             }
         }
-        int decided = started.values().stream().mapToInt(each -> each).sum()
-                + refused.values().stream().mapToInt(each -> each).sum();
+        int decided = started.values().stream().mapToInt(count -> count).sum()
+                + refused.values().stream().mapToInt(count -> count).sum();
         assertThat(decided + admission.queuedCount()).isEqualTo(offeredCount);
     }
 
     @Test
     void aWithdrawnRequestLeavesTheQueue() {
         lagNanos = 30 * MILLI_NANOS;
-        for (int each = 0; each < 3; each++) {
+        for (int request = 0; request < 3; request++) {
             offer("a", NORMAL, 1, 90, 1_000);
         }
         admission.withdraw("a-1#2");
@@ -195,7 +197,7 @@
     /** Guards against deferring requests because many are in flight to slow leaves. */
     @Test
     void slowLeavesDoNotDelayStartsOnAHostThatIsNotLagging() {
-        for (int each = 0; each < 500; each++) {
+        for (int request = 0; request < 500; request++) {
             offer("burst", URGENT, 1, 225, 1_500);
             offer("a", NORMAL, 1, 225, 2_500);
             nowNanos += 5 * MILLI_NANOS;
@@ -206,10 +208,10 @@
     /** On a host at a third of its usual speed, rank order must beat the order of arrival. */
     @Test
     void rankOrderStartsMoreUrgentRequestsInTimeThanArrivalOrder() {
-        int inOrderOfArrival = countUrgentInTime(false);
+        int byArrival = countUrgentInTime(false);
         int byRank = countUrgentInTime(true);
         assertThat(byRank).isAtLeast(90);
-        assertThat(byRank).isGreaterThan(2 * inOrderOfArrival);
+        assertThat(byRank).isGreaterThan(2 * byArrival);
     }
 
     /** Returns how many of 100 urgent requests among 300 others start within 60 ms, with one start per 50 ms. */
@@ -218,37 +220,37 @@
         scenario.lagNanos = 30 * MILLI_NANOS;
         Map<Integer, Long> arrivalNanos = new HashMap<>();
         int inTime = 0;
-        int startedBefore = 0;
-        for (int look = 0; look < 450; look++) {
-            for (int each = 0; each < 3 && look < 100; each++) {
+        int counted = 0;
+        for (int round = 0; round < 450; round++) {
+            for (int request = 0; request < 3 && round < 100; request++) {
                 scenario.offer("a", ranked ? NORMAL : URGENT, 1, 90, 60_000);
             }
-            if (look % 4 == 0 && look < 400) {
+            if (round % 4 == 0 && round < 400) {
                 scenario.offer("a/urgent", URGENT, 1, 90, 60_000);
                 arrivalNanos.put(arrivalNanos.size(), scenario.nowNanos);
             }
             scenario.drain();
-            while (scenario.startedCount("a/urgent-0") > startedBefore) {
-                inTime += scenario.nowNanos - arrivalNanos.getOrDefault(startedBefore, 0L) <= 60 * MILLI_NANOS ? 1 : 0;
-                startedBefore++;
+            while (scenario.startedCount("a/urgent-0") > counted) {
+                inTime += scenario.nowNanos - arrivalNanos.getOrDefault(counted, 0L) <= 60 * MILLI_NANOS ? 1 : 0;
+                counted++;
             }
         }
         return inTime;
     }
 
-    private int startedCount(String kind) {
-        return started.getOrDefault(kind, 0);
+    private int startedCount(String teamAndRank) {
+        return started.getOrDefault(teamAndRank, 0);
     }
 
-    private double startedShare(String kind) {
-        return startedCount(kind) / (double) offered.getOrDefault(kind, 1);
+    private double startedShare(String teamAndRank) {
+        return startedCount(teamAndRank) / (double) offered.getOrDefault(teamAndRank, 1);
     }
 
-    private void offer(String team, int rank, double weight, int calls, long leftMillis) {
-        offer(team, rank, weight, calls, leftMillis, leftMillis);
+    private void offer(String team, int rank, double weight, int calls, long remainingMillis) {
+        offer(team, rank, weight, calls, remainingMillis, remainingMillis);
     }
 
-    private void offer(String team, int rank, double weight, int calls, long leftMillis, long goalMillis) {
+    private void offer(String team, int rank, double weight, int calls, long remainingMillis, long goalMillis) {
         offeredCount++;
         offered.merge(team + "-" + rank, 1, Integer::sum);
         apply(admission.offer(
@@ -260,7 +262,7 @@
                         calls,
                         30 * MILLI_NANOS,
                         nowNanos + goalMillis * MILLI_NANOS,
-                        nowNanos + leftMillis * MILLI_NANOS),
+                        nowNanos + remainingMillis * MILLI_NANOS),
                 lagNanos,
                 nowNanos));
     }
@@ -278,16 +280,16 @@
     private void apply(List<AdmissionAction<String>> actions) {
         for (AdmissionAction<String> action : actions) {
             if (action instanceof AdmissionAction.Start<String> start) {
-                startOrder.add(kind(start.request()));
-                started.merge(kind(start.request()), 1, Integer::sum);
+                startOrder.add(teamAndRank(start.request()));
+                started.merge(teamAndRank(start.request()), 1, Integer::sum);
             } else if (action instanceof AdmissionAction.Refuse<String> refuse) {
                 retryAfters.add(refuse.retryAfter());
-                refused.merge(kind(refuse.request()), 1, Integer::sum);
+                refused.merge(teamAndRank(refuse.request()), 1, Integer::sum);
             }
         }
     }
 
-    private static String kind(String request) {
+    private static String teamAndRank(String request) {
         return request.substring(0, request.indexOf('#'));
     }
 }
