--- a/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
@@ -21,7 +21,8 @@
     private static final double GROW_LATENCY_FACTOR = 2.0;
     private static final double SHRINK_LATENCY_FACTOR = 3.0;
     private static final long LATENCY_SLACK_NANOS = Duration.ofMillis(4).toNanos();
-    private static final long MIN_LATENCY_WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long SHORTEST_LATENCY_WINDOW_NANOS =
+            Duration.ofSeconds(10).toNanos();
     private static final double EXPECTED_DEVIATIONS = 2.0;
 
     private final int maxLimit;
@@ -85,7 +86,7 @@
     }
 
     private void observeShortest(long tookNanos, long nowNanos) {
-        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= MIN_LATENCY_WINDOW_NANOS) {
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= SHORTEST_LATENCY_WINDOW_NANOS) {
             windowStartNanos = nowNanos;
             previousShortestNanos = shortestNanos;
             shortestNanos = Long.MAX_VALUE;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
@@ -19,7 +19,8 @@
  * <p>Invariants:
  *
  * <ul>
- *   <li>The queries in flight never exceed the host's limit, nor the adaptive limit of their service.
+ *   <li>A query is admitted only while fewer queries are in flight than the host's limit and, of its service, fewer
+ *       than its {@link AdaptiveLimit}.
  *   <li>A share of the host's limit is reserved for each other partner, so that one partner cannot use all of it.
  *   <li>Within a service urgent queries are admitted before normal ones, except that one admission in
  *       {@link ServiceQueue#NORMAL_EVERY} goes to a queued normal query.
@@ -30,6 +31,7 @@
  * takes time linear in the number of services.
  */
 public final class Admission {
+    /** The capacity reserved for each other partner is the host's limit divided by this. */
     private static final int RESERVED_SHARE_DIVISOR = 8;
 
     private final int limit;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyAction.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import org.bramblerack.version.UpstreamName;
 
-/** An action that a {@link OnceOnlyRequest} returns; the caller performs them in order. */
+/** An action returned by a {@link OnceOnlyRequest}, to be performed in order. */
 public sealed interface OnceOnlyAction {
     /** Propose the claim to the control hosts. */
     record Claim() implements OnceOnlyAction {}
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -27,11 +27,13 @@
  *       unused.
  * </ul>
  *
- * <p>Not thread-safe: the caller holds a lock per request, which comes first in the lock order.
+ * <p>Not thread-safe: the owner holds a lock per request, which comes first in the lock order.
  */
 public final class OnceOnlyRequest {
     private static final int MAX_DISPATCHES = 3;
+    /** The time reserved for cancelling the call is the time to the deadline divided by this. */
     private static final int CANCEL_MARGIN_DIVISOR = 8;
+
     private static final long MAX_CANCEL_MARGIN_NANOS = Duration.ofMillis(500).toNanos();
     private static final int POOL_SHARD = 0;
     private static final int POOL_SHARD_COUNT = 1;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
@@ -26,13 +26,15 @@
  *   <li>A query ends as soon as each shard is covered or abandoned.
  * </ul>
  *
- * <p>Not thread-safe: the caller holds a lock per query, which comes first in the lock order. {@link #wake} takes time
+ * <p>Not thread-safe: the owner holds a lock per query, which comes first in the lock order. {@link #wake} takes time
  * linear in the number of shards.
  */
 public final class Query {
     private static final int MAX_ATTEMPTS_PER_SHARD = 4;
     private static final long FIRST_BACKOFF_NANOS = Duration.ofMillis(10).toNanos();
+    /** A service counts as slow, and is not hedged, if more than one in this many shards is late. */
     private static final int SLOW_SERVICE_SHARE_DIVISOR = 4;
+
     private static final int MIN_LATE_SHARDS_OF_SLOW_SERVICE = 3;
 
     private final QuerySpec spec;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/QueryAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/QueryAction.java
@@ -2,7 +2,7 @@
 
 import org.bramblerack.version.UpstreamName;
 
-/** An action that a {@link Query} returns; the caller performs them in order. */
+/** An action returned by a {@link Query}, to be performed in order. */
 public sealed interface QueryAction {
     /**
      * Send a call to an upstream.
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/AdmissionAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/AdmissionAction.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * An action that {@link EntryAdmission} returns; the caller performs them in order.
+ * An action returned by {@link EntryAdmission}, to be performed in order.
  *
  * @param <T> the type of a request
  */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
@@ -14,9 +14,10 @@
  * Admission control of an entry host under overload, with the event-loop lag as the measure of load.
  *
  * <ul>
- *   <li>While the host does not lag, requests start at once.
- *   <li>While it lags, requests are queued. Each {@link #drain} starts at least one, and more while the lag, including
- *       the expected cost of the requests just started, is below {@link #LAG_THRESHOLD}.
+ *   <li>While the queue is empty, a request starts at once if the host does not lag or has started nothing for
+ *       {@link #LAG_THRESHOLD}.
+ *   <li>Other requests are queued. Each {@link #drain} starts at least one, and more while the lag, including the
+ *       expected cost of the requests just started, is below {@link #LAG_THRESHOLD}.
  *   <li>Ranks are served in order, but a quarter of the capacity, in calls, goes to queued requests of lower ranks,
  *       oldest first, so that they do not starve.
  *   <li>Within a rank, requests that can still meet their goal go first; after that teams share the capacity by weight
@@ -30,7 +31,7 @@
  * @param <T> the type of a request; requests are identified by equality
  */
 public final class EntryAdmission<T> {
-    /** The lag from which requests are queued: about a quarter of the shortest goals of interactive queries. */
+    /** The lag from which a host queues requests, about a quarter of the shortest goals of interactive queries. */
     public static final Duration LAG_THRESHOLD = Duration.ofMillis(20);
 
     /** One call in this many goes to queued requests of lower ranks. */
@@ -39,7 +40,6 @@
     private static final int MAX_QUEUED = 512;
 
     private static final double START_INTERVAL_SMOOTHING = 0.2;
-
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(50);
     /** Callers are expected to retry after a delay of up to their remaining time divided by this. */
     private static final int MAX_RETRY_AFTER_DIVISOR = 3;
@@ -207,7 +207,7 @@
         }
     }
 
-    /** Returns an upper bound on the starts before this request that follows from the share of the lower ranks. */
+    /** Returns how many requests can start before this one at most, given the share reserved for lower ranks. */
     private int maxStartsAhead(Entry<T> entry) {
         int topRank =
                 entries.stream().mapToInt(other -> other.queued().rank()).min().orElse(0);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/FairTeamQueue.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/FairTeamQueue.java
@@ -9,8 +9,8 @@
  *
  * <p>The virtual time is measured in calls per weight. The start tag of a team's next request is the finish tag of its
  * previous one, or the current virtual time if that is later. A team that exceeds its share is therefore delayed only
- * behind its own requests, and a team below its share does not wait for the excess of others. A finish tag is at most
- * {@link #MAX_BACKLOG_CALLS} ahead of the virtual time. Not thread-safe.
+ * behind its own requests, and a team below its share does not wait for the excess of others. A start tag is at most
+ * {@link #MAX_BACKLOG_CALLS} per weight ahead of the virtual time. Not thread-safe.
  */
 final class FairTeamQueue {
     /** About ten queries over all shards of a large index. */
