--- a/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
@@ -5,6 +5,7 @@
 
 /** One call of a query to a replica of one shard. Guarded by the query's lock. */
 final class Attempt {
+    /** The reason for a call: the first to its shard, a hedge of a late one, or a retry of a failed one. */
     enum Purpose {
         FIRST,
         HEDGE,
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryFaultMatrixTest.java
@@ -21,6 +21,7 @@
     private static final int SHARDS = 5;
     private static final int TARGET_SHARD = 2;
 
+    /** The injected faults; those with the name of a {@link LeafFailure} are injected as that failure. */
     enum Fault {
         OVERLOADED,
         DRAINING,
