--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
@@ -35,7 +35,7 @@
     HOLDER_LOST(Indication.NONE, false),
     /** The holder's queue could not serve the call before its deadline; it did not run. */
     QUEUE_FULL(Indication.BUSY, true),
-    /** Requests with the same fingerprint terminate the upstreams that run them; it was not sent. */
+    /** Similar requests terminated the upstreams that ran them; the call was not sent. */
     HARMFUL(Indication.NONE, true),
     /** The call was cancelled while queued at the holder; it did not run. */
     CANCELLED(Indication.NONE, true);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -91,27 +91,27 @@
     }
 
     /** Handles the result of the claim: dispatches the request, or answers the caller. */
-    public List<OnceOnlyAction> onClaimResult(ClaimResult verdict, long nowNanos) {
+    public List<OnceOnlyAction> onClaimResult(ClaimResult result, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.CLAIMING) {
-            if (verdict instanceof ClaimResult.Granted && !claimed) {
+            if (result instanceof ClaimResult.Granted && !claimed) {
                 claimed = true;
                 actions.add(new OnceOnlyAction.RecordNotRun("the claim came after the attempt had given up"));
             }
             return actions;
         }
-        if (verdict instanceof ClaimResult.Granted) {
+        if (result instanceof ClaimResult.Granted) {
             claimed = true;
             dispatch(nowNanos, actions);
-        } else if (verdict instanceof ClaimResult.AlreadyRan ran) {
+        } else if (result instanceof ClaimResult.AlreadyRan ran) {
             finish(new OnceOnlyAction.DeliverRan(ran.answer(), true), actions);
         } else {
-            finish(new OnceOnlyAction.Refuse(refusalFor(verdict)), actions);
+            finish(new OnceOnlyAction.Refuse(refusalFor(result)), actions);
         }
         return actions;
     }
 
-    /** Handles a reply, in time or late; a late one is still recorded. */
+    /** Handles a reply; one that arrives after the caller was answered is still recorded. */
     public List<OnceOnlyAction> onReply(LeafReply reply, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (dispatchCount == 0) {
@@ -127,7 +127,7 @@
             actions.add(new OnceOnlyAction.RecordRan(payload));
         } else if (stage != Stage.RECORDING) {
             long tookNanos = nowNanos - sentNanos;
-            evidence().ifPresent(known -> known.succeeded(tookNanos, nowNanos));
+            evidence().ifPresent(evidence -> evidence.succeeded(tookNanos, nowNanos));
             startRecording(
                     new OnceOnlyAction.RecordRan(payload), new OnceOnlyAction.DeliverRan(payload, false), actions);
         }
@@ -140,7 +140,7 @@
         if (stage != Stage.DISPATCHED && stage != Stage.CANCELLING) {
             return actions;
         }
-        evidence().ifPresent(known -> failure.recordIn(known, nowNanos));
+        evidence().ifPresent(evidence -> failure.recordIn(evidence, nowNanos));
         if (!failure.isCertainlyNotRun()) {
             recordUnknown("the call ended with " + failure.code() + " after it was handed over", actions);
             return actions;
@@ -190,7 +190,7 @@
                         actions);
             }
             case DISPATCHED, CANCELLING -> {
-                evidence().ifPresent(known -> known.failed(nowNanos));
+                evidence().ifPresent(evidence -> evidence.failed(nowNanos));
                 recordUnknown("no reply within the deadline", actions);
                 actions.addAll(onRecorded());
             }
@@ -263,28 +263,28 @@
         return callIdPrefix + "-" + dispatchCount;
     }
 
-    private static Refusal refusalFor(ClaimResult verdict) {
-        if (verdict instanceof ClaimResult.HeldByAnother) {
+    private static Refusal refusalFor(ClaimResult result) {
+        if (result instanceof ClaimResult.HeldByAnother) {
             return Refusal.of(
                     RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome later");
         }
-        if (verdict instanceof ClaimResult.OutcomeUnknown unknown) {
+        if (result instanceof ClaimResult.OutcomeUnknown unknown) {
             return Refusal.of(
                     RefusalKind.OUTCOME_UNKNOWN,
                     "unknown whether the request ran (" + unknown.reason()
                             + "); it will not run again, check with the service before using a new identifier");
         }
-        if (verdict instanceof ClaimResult.Mismatch) {
+        if (result instanceof ClaimResult.Mismatch) {
             return Refusal.of(
                     RefusalKind.REQUEST_MISMATCH,
                     "the request identifier was already used for a different request; use a new identifier");
         }
-        if (verdict instanceof ClaimResult.Expired) {
+        if (result instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
                     "the request is older than the retention period of outcomes and will not be run; check with the service");
         }
-        String reason = verdict instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
+        String reason = result instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
                 RefusalKind.NO_QUORUM,
                 "the control hosts did not confirm the claim (" + reason + "); the request did not run, send it again");
