--- a/bramblerack-core/src/main/java/org/bramblerack/request/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/package-info.java
@@ -1,8 +1,7 @@
 /**
- * The state machines of queries and once-only requests, their answers, coverage and refusals, and the admission of
- * queries.
+ * What lives for one request: the fan-out of a query, its answer, its coverage and its refusals.
  *
- * <p>No class performs I/O: methods take an event and the current time and return the actions to perform.
+ * <p>Nothing here does I/O. Every class takes events and the present time and returns actions.
  */
 @NullMarked
 package org.bramblerack.request;
