--- a/bramblerack-core/src/main/java/org/bramblerack/request/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What lives for one request: the fan-out of a query, its answer, its coverage and its refusals.
+ * The state machines of queries and once-only requests, their answers, coverage and refusals, and the admission of
+ * queries.
  *
- * <p>Nothing here does I/O. Every class takes events and the present time and returns actions.
+ * <p>No class performs I/O: methods take an event and the current time and return the actions to perform.
  */
 @NullMarked
 package org.bramblerack.request;
