--- a/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
@@ -14,52 +14,59 @@
 import org.bramblerack.version.ServiceName;
 
 /**
- * Decides which queries of a host are in flight and which wait or are refused.
+ * Admits, queues or refuses the queries of a host.
  *
- * <p>Invariants: at most the host's limit is in flight, and of each service at most its adaptive limit; some places are
- * kept for every other partner, so that one partner's flood never takes them all; within a service urgent goes before
- * normal, except that one admission in {@link ServiceQueue#NORMAL_EVERY} goes to a waiting normal query; a query that
- * cannot finish in time is refused when that becomes clear, before it costs an upstream anything.
+ * <p>Invariants:
  *
- * <p>Not safe for use by several threads: the owner guards it with a lock that comes before the query's. An event costs
- * time in proportion to the services with waiting queries.
+ * <ul>
+ *   <li>A query is admitted only while fewer queries are in flight than the host's limit and, of its service, fewer
+ *       than its {@link AdaptiveLimit}.
+ *   <li>A share of the host's limit is reserved for each other partner, so that one partner cannot use all of it.
+ *   <li>Within a service urgent queries are admitted before normal ones, except that one admission in
+ *       {@link ServiceQueue#NORMAL_EVERY} goes to a queued normal query.
+ *   <li>A query that cannot finish before its deadline is refused without calling an upstream.
+ * </ul>
+ *
+ * <p>Not thread-safe: the owner guards it with a lock that precedes the query's lock in the lock order. Each event
+ * takes time linear in the number of services.
  */
 public final class Admission {
-    private static final int RESERVED_DIVISOR = 8;
+    /** The capacity reserved for each other partner is the host's limit divided by this. */
+    private static final int RESERVED_SHARE_DIVISOR = 8;
 
     private final int limit;
     private final Map<ServiceName, ServiceQueue> services = new TreeMap<>();
-    private final Map<String, Integer> inFlightOfPartner = new HashMap<>();
+    private final Map<String, Integer> inFlightByPartner = new HashMap<>();
     private int inFlight;
 
     /**
      * Creates an empty admission.
      *
-     * @param limit how many queries may be in flight, at least 1
+     * @param limit the maximum number of queries in flight, at least 1
      */
     public Admission(int limit) {
         checkArgument(limit > 0, "limit %s is not positive", limit);
         this.limit = limit;
     }
 
-    /** A query that asks to be admitted. */
+    /** A query to be admitted; the deadline is a reading of the monotonic clock. */
     public record Ticket(String id, ServiceName service, Priority priority, long deadlineNanos) {}
 
-    /** What is decided about a ticket. */
+    /** The decision on a ticket. */
     public sealed interface Decision {
-        /** Begin the query. */
+        /** Start the query. */
         record Admit(Ticket ticket) implements Decision {}
 
-        /** Refuse the query; it was not begun. */
+        /** Refuse the query, which was not started. */
         record Refuse(Ticket ticket, Duration retryAfter) implements Decision {}
     }
 
-    /** Takes a new query. */
+    /** Admits, queues or refuses a new query; queued queries may be decided along with it. */
     public List<Decision> offer(Ticket ticket, long nowNanos) {
-        inFlightOfPartner.putIfAbsent(ticket.service().partner(), 0);
+        inFlightByPartner.putIfAbsent(ticket.service().partner(), 0);
         ServiceQueue queue = services.computeIfAbsent(ticket.service(), unused -> new ServiceQueue(limit));
         long waitNanos = queue.expectedWaitNanos(ticket.priority());
-        if (!queue.canFinish(ticket, waitNanos, nowNanos) || queue.isFull()) {
+        if (!queue.canMeetDeadline(ticket, waitNanos, nowNanos) || queue.isFull()) {
             return ImmutableList.of(refuse(ticket, queue));
         }
         queue.add(ticket);
@@ -67,35 +74,34 @@
     }
 
     /**
-     * Takes the end of an admitted query.
+     * Records that an admitted query finished, and admits queued ones in its place.
      *
-     * @param tookNanos from its admission to its end
+     * @param tookNanos the time from its admission to its end
      */
     public List<Decision> onFinished(Ticket ticket, long tookNanos, long nowNanos) {
         ServiceQueue queue = services.get(ticket.service());
         checkArgument(queue != null && queue.inFlight() > 0, "no query of %s is in flight", ticket.service());
-        boolean ranOutOfTime = nowNanos - ticket.deadlineNanos() >= 0;
-        queue.finished(tookNanos, ranOutOfTime, nowNanos);
-        inFlightOfPartner.merge(ticket.service().partner(), -1, Integer::sum);
+        boolean deadlineExceeded = nowNanos - ticket.deadlineNanos() >= 0;
+        queue.onFinished(tookNanos, deadlineExceeded, nowNanos);
+        inFlightByPartner.merge(ticket.service().partner(), -1, Integer::sum);
         inFlight--;
         return admit(nowNanos);
     }
 
-    /** Refuses the waiting queries that can no longer finish in time. */
+    /** Refuses the queued queries that can no longer finish before their deadline. */
     public List<Decision> expire(long nowNanos) {
         List<Decision> decisions = new ArrayList<>();
         for (ServiceQueue queue : services.values()) {
-            queue.removeHopeless(nowNanos).forEach(ticket -> decisions.add(refuse(ticket, queue)));
+            queue.removeUnmeetable(nowNanos).forEach(ticket -> decisions.add(refuse(ticket, queue)));
         }
         return decisions;
     }
 
-    /** Returns how many queries are in flight. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Returns how many queries wait. */
+    /** Returns the number of queued queries of all services. */
     public int waiting() {
         return services.values().stream().mapToInt(ServiceQueue::waiting).sum();
     }
@@ -107,21 +113,24 @@
             if (next.isEmpty()) {
                 break;
             }
-            Ticket ticket = next.get().take();
-            inFlightOfPartner.merge(ticket.service().partner(), 1, Integer::sum);
+            Ticket ticket = next.get().takeNext();
+            inFlightByPartner.merge(ticket.service().partner(), 1, Integer::sum);
             inFlight++;
             decisions.add(new Decision.Admit(ticket));
         }
         return decisions;
     }
 
-    /** Returns the queue with waiting queries and the fewest in flight, if its service and partner have room. */
+    /**
+     * Returns the queue with the fewest queries in flight among those whose service and partner are below their limits.
+     */
     private Optional<ServiceQueue> nextQueue() {
         Optional<ServiceQueue> best = Optional.empty();
         for (Map.Entry<ServiceName, ServiceQueue> candidate : services.entrySet()) {
             ServiceQueue queue = candidate.getValue();
-            int ofPartner = inFlightOfPartner.getOrDefault(candidate.getKey().partner(), 0);
-            boolean eligible = queue.mayTake() && ofPartner < mostPerPartner();
+            int partnerInFlight =
+                    inFlightByPartner.getOrDefault(candidate.getKey().partner(), 0);
+            boolean eligible = queue.canAdmit() && partnerInFlight < maxPerPartner();
             if (eligible && (best.isEmpty() || queue.inFlight() < best.get().inFlight())) {
                 best = Optional.of(queue);
             }
@@ -129,9 +138,9 @@
         return best;
     }
 
-    private int mostPerPartner() {
-        int others = Math.max(0, inFlightOfPartner.size() - 1);
-        return Math.max(1, limit - others * (limit / RESERVED_DIVISOR));
+    private int maxPerPartner() {
+        int otherPartners = Math.max(0, inFlightByPartner.size() - 1);
+        return Math.max(1, limit - otherPartners * (limit / RESERVED_SHARE_DIVISOR));
     }
 
     private static Decision refuse(Ticket ticket, ServiceQueue queue) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Attempt.java
@@ -3,9 +3,9 @@
 import org.bramblerack.version.UpstreamName;
 import org.jspecify.annotations.Nullable;
 
-/** One call on one shard. Guarded by the query's lock. */
+/** One call of a query to a replica of one shard. Guarded by the query's lock. */
 final class Attempt {
-    /** Why a call was made. */
+    /** The reason for a call: the first to its shard, a hedge of a late one, or a retry of a failed one. */
     enum Purpose {
         FIRST,
         HEDGE,
@@ -18,7 +18,7 @@
     final long sentNanos;
     final Purpose purpose;
     boolean finished;
-    /** When to look again whether to hedge. */
+    /** Hedging is not considered before this time. */
     long hedgeNotBeforeNanos;
 
     @Nullable
@@ -33,9 +33,9 @@
         this.hedgeNotBeforeNanos = sentNanos;
     }
 
-    /** Returns when the call counts as late. */
-    long hedgeDueNanos(long lateNanos) {
-        long dueNanos = sentNanos + lateNanos;
+    /** Returns when the call is due for a hedge: once it is late, but not before {@link #hedgeNotBeforeNanos}. */
+    long hedgeDueNanos(long lateAfterNanos) {
+        long dueNanos = sentNanos + lateAfterNanos;
         return hedgeNotBeforeNanos - dueNanos > 0 ? hedgeNotBeforeNanos : dueNanos;
     }
 
@@ -43,7 +43,7 @@
         return failure == LeafFailure.HARMFUL;
     }
 
-    boolean foundVersionGone() {
+    boolean isVersionGone() {
         return failure == LeafFailure.VERSION_GONE || failure == LeafFailure.WRONG_VERSION;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/LeafFailure.java
@@ -3,76 +3,75 @@
 import java.util.Locale;
 import org.bramblerack.process.UpstreamEvidence;
 
-/** Why a leaf attempt came to nothing. */
+/** Why a call to an upstream failed. The names are sent between hosts and the codes appear in metrics. */
 public enum LeafFailure {
-    /** The upstream shed the call; it did not run. */
-    OVERLOADED(Blame.BUSY, true),
-    /** The upstream is leaving and refused the call; it did not run. */
-    DRAINING(Blame.BUSY, true),
+    /** The upstream refused the call because of overload; it did not run. */
+    OVERLOADED(Indication.BUSY, true),
+    /** The upstream is draining and refused the call; it did not run. */
+    DRAINING(Indication.BUSY, true),
     /** The deadline passed before the call ran. */
-    EXPIRED(Blame.BUSY, true),
+    EXPIRED(Indication.BUSY, true),
     /** The upstream does not serve the pinned index version. */
-    VERSION_GONE(Blame.NOBODY, true),
-    /** The reply states another index version than the pinned one. */
-    WRONG_VERSION(Blame.NOBODY, false),
-    /** The reply belongs to another call or another shard. */
-    MISDIRECTED(Blame.UPSTREAM, false),
-    /** The reply is cut short or corrupt. */
-    TRUNCATED(Blame.UPSTREAM, false),
-    /** No connection could be made; the call did not run. */
-    CONNECT_FAILED(Blame.UPSTREAM, true),
-    /** The connection was lost after the call was handed over. */
-    CONNECTION_LOST(Blame.UPSTREAM, false),
-    /** No reply came in time. */
-    TIMED_OUT(Blame.UPSTREAM, false),
-    /** The upstream reported a fault of its own. */
-    UPSTREAM_ERROR(Blame.UPSTREAM, false),
-    /** The host that holds the connections could not be reached before the call was handed over. */
-    HOLDER_UNREACHABLE(Blame.NOBODY, true),
-    /** The host that holds the connections may not open any yet. */
-    HOLDER_NOT_READY(Blame.NOBODY, true),
-    /** The connection to the host that holds the connections was lost after the call was handed over. */
-    HOLDER_LOST(Blame.NOBODY, false),
-    /** The holder's queue could not serve the call within its deadline; it did not run. */
-    QUEUE_FULL(Blame.BUSY, true),
-    /** Requests like it end the upstreams that run them, so it was sent to none. */
-    HARMFUL(Blame.NOBODY, true),
-    /** The call was cancelled while it waited at the holder; it did not run. */
-    CANCELLED(Blame.NOBODY, true);
+    VERSION_GONE(Indication.NONE, true),
+    /** The reply is of another index version than the pinned one. */
+    WRONG_VERSION(Indication.NONE, false),
+    /** The reply belongs to another call or shard. */
+    MISDIRECTED(Indication.FAILING, false),
+    /** The payload is truncated or corrupt. */
+    TRUNCATED(Indication.FAILING, false),
+    /** No connection could be established; the call did not run. */
+    CONNECT_FAILED(Indication.FAILING, true),
+    /** The connection was lost after the call was sent. */
+    CONNECTION_LOST(Indication.FAILING, false),
+    /** No reply arrived in time. */
+    TIMED_OUT(Indication.FAILING, false),
+    /** The upstream reported an internal error. */
+    UPSTREAM_ERROR(Indication.FAILING, false),
+    /** The holder, the host that owns the connections to the upstream, could not be reached; the call did not run. */
+    HOLDER_UNREACHABLE(Indication.NONE, true),
+    /** The holder is not yet permitted to open connections; the call did not run. */
+    HOLDER_NOT_READY(Indication.NONE, true),
+    /** The connection to the holder was lost after the call was sent. */
+    HOLDER_LOST(Indication.NONE, false),
+    /** The holder's queue could not serve the call before its deadline; it did not run. */
+    QUEUE_FULL(Indication.BUSY, true),
+    /** Similar requests terminated the upstreams that ran them; the call was not sent. */
+    HARMFUL(Indication.NONE, true),
+    /** The call was cancelled while queued at the holder; it did not run. */
+    CANCELLED(Indication.NONE, true);
 
-    /** Whose fault a failure is evidence of. */
-    public enum Blame {
-        /** The upstream fails. */
-        UPSTREAM,
-        /** The upstream lives but has no room. */
+    /** What a failure indicates about the health of the upstream. */
+    public enum Indication {
+        /** The upstream is failing. */
+        FAILING,
+        /** The upstream is healthy but has no capacity. */
         BUSY,
-        /** The failure says nothing about the upstream. */
-        NOBODY
+        /** The failure is no evidence about the upstream. */
+        NONE
     }
 
-    private final Blame blame;
+    private final Indication indication;
     private final boolean certainlyNotRun;
 
-    LeafFailure(Blame blame, boolean certainlyNotRun) {
-        this.blame = blame;
+    LeafFailure(Indication indication, boolean certainlyNotRun) {
+        this.indication = indication;
         this.certainlyNotRun = certainlyNotRun;
     }
 
-    /** Returns whose fault the failure is evidence of. */
-    public Blame blame() {
-        return blame;
+    public Indication indication() {
+        return indication;
     }
 
-    /** Records in the evidence about the upstream what the failure of a call says of it. */
+    /** Records the failed call in the evidence about its upstream. */
     void recordIn(UpstreamEvidence evidence, long nowNanos) {
-        switch (blame) {
-            case UPSTREAM -> evidence.failed(nowNanos);
+        switch (indication) {
+            case FAILING -> evidence.failed(nowNanos);
             case BUSY -> evidence.refused(nowNanos);
             default -> evidence.abandoned(0, nowNanos);
         }
     }
 
-    /** Returns true if the upstream certainly did not run the call and will not. */
+    /** Returns true if the upstream certainly has not run the call and never will. */
     public boolean isCertainlyNotRun() {
         return certainlyNotRun;
     }
