--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
@@ -17,14 +17,14 @@
     /** Sends a report to a host, maybe this one, and hands back the verdict, or that none came in time. */
     record Report(String host, long id, RateReport report) implements QuotaAction {
         /** Several ways there and back between far regions; requests wait for the answer. */
-        private static final Duration ASKING_WAIT = Duration.ofMillis(150);
+        private static final Duration PERMISSION_TIMEOUT = Duration.ofMillis(150);
         /** Nobody waits, and a host that is behind for a moment is not one that is away. */
-        private static final Duration TELLING_WAIT = Duration.ofMillis(600);
+        private static final Duration REPORT_TIMEOUT = Duration.ofMillis(600);
 
         /** Returns for how long an answer is waited for before another host is asked. */
         public Duration answerTimeout() {
-            boolean asks = report.getTeamsList().stream().anyMatch(team -> team.getAsked() > 0);
-            return asks ? ASKING_WAIT : TELLING_WAIT;
+            boolean asksPermission = report.getTeamsList().stream().anyMatch(team -> team.getAsked() > 0);
+            return asksPermission ? PERMISSION_TIMEOUT : REPORT_TIMEOUT;
         }
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
@@ -39,17 +39,17 @@
     }
 
     /** Returns what an account whose past is in doubt permits, if nothing is known to have been spent. */
-    double inDoubt() {
+    double allowanceWhileUncertain() {
         return slack / 4;
     }
 
     /** Returns how many requests a host makes at the most before the first of them is answered for. */
-    int unanswered(RateLimit limit, int hosts) {
+    int maxUnconfirmed(RateLimit limit, int hosts) {
         return Math.max(1, (int) (headroom(limit) / 2 / Math.max(1, hosts)));
     }
 
     /** Returns how many requests all hosts together may make within a window that reach none which keeps account. */
-    int alone(RateLimit limit) {
+    int allowanceOfIsolatedHosts(RateLimit limit) {
         return (int) (headroom(limit) / 2);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaClient.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaClient.java
@@ -32,27 +32,27 @@
  */
 public final class QuotaClient {
     /** The least time between two reports to one host: what comes meanwhile goes together. */
-    private static final long SPACING_NANOS = Duration.ofMillis(10).toNanos();
+    private static final long REPORT_INTERVAL_NANOS = Duration.ofMillis(10).toNanos();
     /** For how long a host that did not answer is not asked. */
-    private static final long AWAY_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long UNREACHABLE_NANOS = Duration.ofSeconds(2).toNanos();
     /** When a caller is to come back that reached a host without any that keeps account: others are reached sooner. */
-    private static final int ALONE_RETRY_MILLIS = 500;
+    private static final int ISOLATED_RETRY_MILLIS = 500;
 
     private final String self;
     private final QuotaBound bound;
     private final RandomGenerator random;
-    private final Map<String, TeamSpender> spendings = new LinkedHashMap<>();
-    private final Map<String, Charge> charges = new HashMap<>();
-    private final Map<String, Long> awayUntilNanos = new HashMap<>();
-    private final Map<Long, Outstanding> outstanding = new LinkedHashMap<>();
+    private final Map<String, TeamQuotaClient> teams = new LinkedHashMap<>();
+    private final Map<String, TeamGroup> groups = new HashMap<>();
+    private final Map<String, Long> unreachableUntilNanos = new HashMap<>();
+    private final Map<Long, PendingReport> pendingReports = new LinkedHashMap<>();
     /** The teams of which every request is to be asked for. */
     private final Set<String> mustAsk = new HashSet<>();
 
     private final List<QuotaAction> actions = new ArrayList<>();
     private final long startedNanos;
-    private KeeperOrder order = new KeeperOrder(ImmutableList.of());
-    private boolean current;
-    private long lastReport;
+    private QuotaServerOrder serverOrder = new QuotaServerOrder(ImmutableList.of());
+    private boolean controlReachable;
+    private long lastReportId;
 
     /**
      * Creates a spender that has spent nothing.
@@ -68,26 +68,26 @@
 
     /** Takes the entry hosts of the agreed tables; what was spent of teams that others keep now is told to these. */
     public void setHosts(Collection<String> entryHosts, long nowNanos) {
-        order = new KeeperOrder(entryHosts);
-        charges.keySet().removeIf(owner -> !order.hosts().contains(owner));
-        for (TeamSpender spending : spendings.values()) {
-            String owner = order.ownerOf(spending.team());
-            if (!owner.equals(spending.owner())) {
-                move(spending, owner, nowNanos);
+        serverOrder = new QuotaServerOrder(entryHosts);
+        groups.keySet().removeIf(owner -> !serverOrder.hosts().contains(owner));
+        for (TeamQuotaClient client : teams.values()) {
+            String owner = serverOrder.ownerOf(client.team());
+            if (!owner.equals(client.owner())) {
+                moveTeam(client, owner, nowNanos);
             }
         }
         wake(nowNanos);
     }
 
     /** Takes whether this host is in touch with a leader of control; if not, it makes no requests freely. */
-    public void setControlReachable(boolean isCurrent) {
-        current = isCurrent;
+    public void setControlReachable(boolean reachable) {
+        controlReachable = reachable;
     }
 
     /** Takes word that this host was suspended: permissions from before are void, and nothing is known to be free. */
     public void handleSuspension(long nowNanos) {
-        mustAsk.addAll(spendings.keySet());
-        List.copyOf(outstanding.keySet()).forEach(id -> takeBack(id));
+        mustAsk.addAll(teams.keySet());
+        List.copyOf(pendingReports.keySet()).forEach(id -> revert(id));
         wake(nowNanos);
     }
 
@@ -97,46 +97,46 @@
      * @param ticket names the request in the action
      */
     public void request(long ticket, String team, RateLimit limit, long nowNanos) {
-        TeamSpender spending = spendings.computeIfAbsent(team, unused -> newSpending(team, nowNanos));
-        spending.setLimit(limit);
-        if (keeper(charge(spending.owner()), nowNanos).isEmpty()) {
-            decideAlone(ticket, spending, nowNanos);
-        } else if (mayMakeFreely(spending, nowNanos)) {
-            spending.madeFreely(nowNanos);
+        TeamQuotaClient client = teams.computeIfAbsent(team, unused -> addTeam(team, nowNanos));
+        client.setLimit(limit);
+        if (selectServer(group(client.owner()), nowNanos).isEmpty()) {
+            decideIsolated(ticket, client, nowNanos);
+        } else if (maySendFreely(client, nowNanos)) {
+            client.recordFree(nowNanos);
             actions.add(new QuotaAction.Permit(ticket, QuotaAction.DecisionSource.FREE));
-            markDue(spending);
+            markDue(client);
         } else {
-            spending.waits(ticket);
-            markDue(spending);
+            client.enqueue(ticket);
+            markDue(client);
         }
         wake(nowNanos);
     }
 
     /** Takes word that a request which was permitted did not run. */
     public void refund(String team, long nowNanos) {
-        TeamSpender spending = spendings.get(team);
-        if (spending != null) {
-            spending.givenBack(nowNanos);
-            markDue(spending);
+        TeamQuotaClient client = teams.get(team);
+        if (client != null) {
+            client.refund(nowNanos);
+            markDue(client);
             wake(nowNanos);
         }
     }
 
     /** Takes the answer to a report. */
     public void handleVerdict(long id, RateVerdict verdict, long nowNanos) {
-        Outstanding report = outstanding.remove(id);
+        PendingReport report = pendingReports.remove(id);
         if (report == null) {
             return;
         }
-        awayUntilNanos.remove(report.host);
-        boolean standsIn = !report.host.equals(report.charge.owner);
+        unreachableUntilNanos.remove(report.host);
+        boolean isBackup = !report.host.equals(report.group.owner);
         for (TeamAllowance allowance : verdict.getTeamsList()) {
-            TeamSpender.Told reported = report.teams.remove(allowance.getTeam());
+            TeamQuotaClient.TeamReport reported = report.teams.remove(allowance.getTeam());
             if (reported != null) {
-                take(reported, allowance, verdict.getDeclined(), standsIn, nowNanos);
+                applyAllowance(reported, allowance, verdict.getDeclined(), isBackup, nowNanos);
             }
         }
-        report.teams.values().forEach(this::takeBack);
+        report.teams.values().forEach(this::revert);
         wake(nowNanos);
     }
 
@@ -146,12 +146,12 @@
      * @return false if the report was answered or given up before
      */
     public boolean handleReportFailure(long id, long nowNanos) {
-        Outstanding report = outstanding.get(id);
+        PendingReport report = pendingReports.get(id);
         if (report == null) {
             return false;
         }
-        awayUntilNanos.put(report.host, nowNanos + AWAY_NANOS);
-        takeBack(id);
+        unreachableUntilNanos.put(report.host, nowNanos + UNREACHABLE_NANOS);
+        revert(id);
         wake(nowNanos);
         return true;
     }
@@ -167,26 +167,26 @@
     public RateCallResult handleCall(String from, RateCall call, long nowNanos) {
         String owner = call.getOwner();
         RateCallResult.Builder result = RateCallResult.newBuilder();
-        ImmutableList<String> keepers = order.keepers(owner);
-        int rank = keepers.indexOf(from);
-        if (!order.hosts().contains(owner) || rank < 0) {
+        ImmutableList<String> servers = serverOrder.servers(owner);
+        int rank = servers.indexOf(from);
+        if (!serverOrder.hosts().contains(owner) || rank < 0) {
             return result.build();
         }
-        Charge charge = charge(owner);
-        if (!call.getTell() && !charge.following.equals(from)) {
+        TeamGroup group = group(owner);
+        if (!call.getTell() && !group.server.equals(from)) {
             return result.build();
         }
-        charge.notBeforeRank = rank;
-        charge.notBeforeUntilNanos = nowNanos + AWAY_NANOS;
-        awayUntilNanos.remove(from);
+        group.minRank = rank;
+        group.minRankUntilNanos = nowNanos + UNREACHABLE_NANOS;
+        unreachableUntilNanos.remove(from);
         if (call.getTell()) {
-            charge.following = from;
-            charge.calledNanos = nowNanos;
-            charge.spendings.forEach(spending -> spending.reportAnew(nowNanos));
+            group.server = from;
+            group.serverSinceNanos = nowNanos;
+            group.clients.forEach(client -> client.changeServer(nowNanos));
         }
-        for (TeamSpender spending : charge.spendings) {
+        for (TeamQuotaClient client : group.clients) {
             if (call.getTell()) {
-                spending.tellEarlier(nowNanos).ifPresent(result::addTeams);
+                client.reportEarlier(nowNanos).ifPresent(result::addTeams);
             }
         }
         return result.setFollows(true)
@@ -197,15 +197,15 @@
 
     /** Does what is due. */
     public void wake(long nowNanos) {
-        for (Charge charge : List.copyOf(charges.values())) {
-            if (charge.due.isEmpty()) {
+        for (TeamGroup group : List.copyOf(groups.values())) {
+            if (group.dueTeams.isEmpty()) {
                 continue;
             }
-            long dueNanos = charge.reportedNanos + SPACING_NANOS;
+            long dueNanos = group.lastReportNanos + REPORT_INTERVAL_NANOS;
             if (nowNanos >= dueNanos) {
-                report(charge, nowNanos);
-            } else if (charge.wakeNanos != dueNanos) {
-                charge.wakeNanos = dueNanos;
+                sendReport(group, nowNanos);
+            } else if (group.wakeNanos != dueNanos) {
+                group.wakeNanos = dueNanos;
                 actions.add(new QuotaAction.Wake(dueNanos));
             }
         }
@@ -213,8 +213,8 @@
 
     /** Forgets teams of which nothing was spent within the window. To be called now and then. */
     public void evictIdle(long nowNanos) {
-        spendings.values().removeIf(spending -> spending.isIdle(nowNanos));
-        charges.values().forEach(charge -> charge.spendings.removeIf(spending -> spending.isIdle(nowNanos)));
+        teams.values().removeIf(client -> client.isIdle(nowNanos));
+        groups.values().forEach(group -> group.clients.removeIf(client -> client.isIdle(nowNanos)));
     }
 
     /** Returns what is to be done, once. */
@@ -228,32 +228,32 @@
      * A host that has just started, or reports to another one than before, does not know of which teams it must ask; so
      * it asks for the first request.
      */
-    private boolean mayMakeFreely(TeamSpender spending, long nowNanos) {
-        long sinceNanos = charge(spending.owner()).calledNanos;
-        boolean knows =
-                spending.isAnswered() || nowNanos - sinceNanos >= bound.window().toNanos();
-        return current
-                && knows
-                && !mustAsk.contains(spending.team())
-                && spending.mayMakeFreely(order.hosts().size());
+    private boolean maySendFreely(TeamQuotaClient client, long nowNanos) {
+        long sinceNanos = group(client.owner()).serverSinceNanos;
+        boolean mustAskIsKnown =
+                client.isConfirmed() || nowNanos - sinceNanos >= bound.window().toNanos();
+        return controlReachable
+                && mustAskIsKnown
+                && !mustAsk.contains(client.team())
+                && client.maySendFreely(serverOrder.hosts().size());
     }
 
-    private TeamSpender newSpending(String team, long nowNanos) {
-        TeamSpender spending = new TeamSpender(team, order.ownerOf(team), bound, nowNanos);
-        charge(spending.owner()).spendings.add(spending);
-        return spending;
+    private TeamQuotaClient addTeam(String team, long nowNanos) {
+        TeamQuotaClient client = new TeamQuotaClient(team, serverOrder.ownerOf(team), bound, nowNanos);
+        group(client.owner()).clients.add(client);
+        return client;
     }
 
-    private void move(TeamSpender spending, String owner, long nowNanos) {
-        Charge before = charges.get(spending.owner());
+    private void moveTeam(TeamQuotaClient client, String owner, long nowNanos) {
+        TeamGroup before = groups.get(client.owner());
         if (before != null) {
-            before.spendings.remove(spending);
-            before.due.remove(spending.team());
+            before.clients.remove(client);
+            before.dueTeams.remove(client.team());
         }
-        charge(owner).spendings.add(spending);
-        spending.moveTo(owner, nowNanos);
-        if (spending.hasToTell(nowNanos)) {
-            markDue(spending);
+        group(owner).clients.add(client);
+        client.setOwner(owner, nowNanos);
+        if (client.needsReport(nowNanos)) {
+            markDue(client);
         }
     }
 
@@ -266,150 +266,154 @@
     }
 
     /** Decides by what the sum over all hosts leaves safe. */
-    private void decideAlone(long ticket, TeamSpender spending, long nowNanos) {
-        if (spending.makeAlone(partAlone(spending), nowNanos)) {
+    private void decideIsolated(long ticket, TeamQuotaClient client, long nowNanos) {
+        if (client.spendIsolated(isolatedShare(client), nowNanos)) {
             actions.add(new QuotaAction.Permit(ticket, QuotaAction.DecisionSource.ALONE));
         } else {
-            int millis = ALONE_RETRY_MILLIS + random.nextInt(ALONE_RETRY_MILLIS);
+            int millis = ISOLATED_RETRY_MILLIS + random.nextInt(ISOLATED_RETRY_MILLIS);
             actions.add(new QuotaAction.Refuse(ticket, millis, QuotaAction.DecisionSource.ALONE));
         }
     }
 
     /** Returns this host's part of the permissions of hosts that reach none; whole ones, by turns among the hosts. */
-    private int partAlone(TeamSpender spending) {
-        int count = order.hosts().size();
-        int position = order.hosts().indexOf(self);
+    private int isolatedShare(TeamQuotaClient client) {
+        int count = serverOrder.hosts().size();
+        int position = serverOrder.hosts().indexOf(self);
         if (position < 0) {
             return 0;
         }
-        int turn = Math.floorMod(position + spending.team().hashCode(), count);
-        int all = bound.alone(spending.limit());
-        return all / count + (turn < all % count ? 1 : 0);
+        int turn = Math.floorMod(position + client.team().hashCode(), count);
+        int total = bound.allowanceOfIsolatedHosts(client.limit());
+        return total / count + (turn < total % count ? 1 : 0);
     }
 
-    private Charge charge(String owner) {
-        return charges.computeIfAbsent(owner, unused -> new Charge(owner, startedNanos));
+    private TeamGroup group(String owner) {
+        return groups.computeIfAbsent(owner, unused -> new TeamGroup(owner, startedNanos));
     }
 
     /** Returns the host to report to: the first that is not known to be away. */
-    private Optional<String> keeper(Charge charge, long nowNanos) {
-        int first = nowNanos < charge.notBeforeUntilNanos ? charge.notBeforeRank : 0;
-        return order.keepers(charge.owner).stream()
+    private Optional<String> selectServer(TeamGroup group, long nowNanos) {
+        int first = nowNanos < group.minRankUntilNanos ? group.minRank : 0;
+        return serverOrder.servers(group.owner).stream()
                 .skip(first)
                 .filter(host -> !host.isEmpty())
                 .filter(host -> {
-                    Long untilNanos = awayUntilNanos.get(host);
+                    Long untilNanos = unreachableUntilNanos.get(host);
                     return untilNanos == null || nowNanos >= untilNanos;
                 })
                 .findFirst();
     }
 
-    private void markDue(TeamSpender spending) {
-        charge(spending.owner()).due.add(spending.team());
+    private void markDue(TeamQuotaClient client) {
+        group(client.owner()).dueTeams.add(client.team());
     }
 
-    private void report(Charge charge, long nowNanos) {
-        Optional<String> keeper = keeper(charge, nowNanos);
-        List<TeamSpender> due = new ArrayList<>();
-        for (String team : charge.due) {
-            TeamSpender spending = spendings.get(team);
-            if (spending != null && spending.owner().equals(charge.owner)) {
-                due.add(spending);
+    private void sendReport(TeamGroup group, long nowNanos) {
+        Optional<String> server = selectServer(group, nowNanos);
+        List<TeamQuotaClient> due = new ArrayList<>();
+        for (String team : group.dueTeams) {
+            TeamQuotaClient client = teams.get(team);
+            if (client != null && client.owner().equals(group.owner)) {
+                due.add(client);
             }
         }
-        charge.due.clear();
-        if (keeper.isEmpty()) {
-            due.forEach(spending -> decideWaitingAlone(spending, nowNanos));
+        group.dueTeams.clear();
+        if (server.isEmpty()) {
+            due.forEach(client -> decideWaitingIsolated(client, nowNanos));
             return;
         }
-        charge.reportedNanos = nowNanos;
-        Outstanding sent = new Outstanding(keeper.get(), charge);
+        group.lastReportNanos = nowNanos;
+        PendingReport sent = new PendingReport(server.get(), group);
         RateReport.Builder report =
-                RateReport.newBuilder().setOwner(charge.owner).setMoved(!charge.following.equals(keeper.get()));
-        for (TeamSpender spending : due) {
-            TeamSpender.Told told = spending.tell();
-            sent.teams.put(spending.team(), told);
-            report.addTeams(told.message(nowNanos));
+                RateReport.newBuilder().setOwner(group.owner).setMoved(!group.server.equals(server.get()));
+        for (TeamQuotaClient client : due) {
+            TeamQuotaClient.TeamReport teamReport = client.startReport();
+            sent.teams.put(client.team(), teamReport);
+            report.addTeams(teamReport.toMessage(nowNanos));
         }
         if (!sent.teams.isEmpty()) {
-            long id = ++lastReport;
-            outstanding.put(id, sent);
-            actions.add(new QuotaAction.Report(keeper.get(), id, report.build()));
+            long id = ++lastReportId;
+            pendingReports.put(id, sent);
+            actions.add(new QuotaAction.Report(server.get(), id, report.build()));
         }
     }
 
-    private void decideWaitingAlone(TeamSpender spending, long nowNanos) {
-        spending.takeWaiting().forEach(ticket -> decideAlone(ticket, spending, nowNanos));
+    private void decideWaitingIsolated(TeamQuotaClient client, long nowNanos) {
+        client.drainWaiting().forEach(ticket -> decideIsolated(ticket, client, nowNanos));
     }
 
-    private void take(
-            TeamSpender.Told reported, TeamAllowance allowance, boolean declined, boolean standsIn, long nowNanos) {
-        TeamSpender spending = reported.spending();
+    private void applyAllowance(
+            TeamQuotaClient.TeamReport reported,
+            TeamAllowance allowance,
+            boolean declined,
+            boolean isBackup,
+            long nowNanos) {
+        TeamQuotaClient client = reported.client();
         setMustAsk(allowance);
-        reported.answered();
+        reported.confirm();
         if (declined) {
-            reported.asked().forEach(ticket -> decideAlone(ticket, spending, nowNanos));
+            reported.tickets().forEach(ticket -> decideIsolated(ticket, client, nowNanos));
             return;
         }
-        QuotaAction.DecisionSource ground =
-                standsIn ? QuotaAction.DecisionSource.STAND_IN : QuotaAction.DecisionSource.ASKED;
+        QuotaAction.DecisionSource source =
+                isBackup ? QuotaAction.DecisionSource.STAND_IN : QuotaAction.DecisionSource.ASKED;
         int granted = allowance.getGranted();
         long retryMicros = Duration.ofMillis(allowance.getRetryAfterMillis()).toNanos() / 1_000;
-        for (long ticket : reported.asked()) {
+        for (long ticket : reported.tickets()) {
             if (granted > 0) {
                 granted--;
-                spending.made(nowNanos);
-                actions.add(new QuotaAction.Permit(ticket, ground));
+                client.recordPermitted(nowNanos);
+                actions.add(new QuotaAction.Permit(ticket, source));
             } else {
-                long spread = random.nextInt(allowance.getRetryStepMicros() + 1);
-                actions.add(new QuotaAction.Refuse(ticket, (retryMicros + spread) / 1_000, ground));
+                long jitterMicros = random.nextInt(allowance.getRetryStepMicros() + 1);
+                actions.add(new QuotaAction.Refuse(ticket, (retryMicros + jitterMicros) / 1_000, source));
                 retryMicros += allowance.getRetryStepMicros();
             }
         }
     }
 
-    private void takeBack(TeamSpender.Told told) {
-        told.takeBack();
-        markDue(told.spending());
+    private void revert(TeamQuotaClient.TeamReport teamReport) {
+        teamReport.revert();
+        markDue(teamReport.client());
     }
 
-    private void takeBack(long id) {
-        Outstanding report = outstanding.remove(id);
+    private void revert(long id) {
+        PendingReport report = pendingReports.remove(id);
         if (report != null) {
-            report.teams.values().forEach(this::takeBack);
+            report.teams.values().forEach(this::revert);
         }
     }
 
     /** The teams of one host, by the agreed tables. */
-    private static final class Charge {
+    private static final class TeamGroup {
         private final String owner;
-        private final Set<String> due = new LinkedHashSet<>();
-        private String following;
+        private final Set<String> dueTeams = new LinkedHashSet<>();
+        private String server;
         /** When a host began to keep account that may not have been told all; the start of this host at first. */
-        private long calledNanos;
+        private long serverSinceNanos;
 
-        private int notBeforeRank;
-        private long notBeforeUntilNanos = Long.MIN_VALUE;
-        private long reportedNanos = Long.MIN_VALUE / 2;
+        private int minRank;
+        private long minRankUntilNanos = Long.MIN_VALUE;
+        private long lastReportNanos = Long.MIN_VALUE / 2;
         private long wakeNanos = Long.MIN_VALUE;
-        private final Set<TeamSpender> spendings = new LinkedHashSet<>();
+        private final Set<TeamQuotaClient> clients = new LinkedHashSet<>();
 
-        Charge(String owner, long calledNanos) {
+        TeamGroup(String owner, long serverSinceNanos) {
             this.owner = owner;
-            this.calledNanos = calledNanos;
-            this.following = owner;
+            this.serverSinceNanos = serverSinceNanos;
+            this.server = owner;
         }
     }
 
     /** A report that is not answered yet. */
-    private static final class Outstanding {
+    private static final class PendingReport {
         private final String host;
-        private final Charge charge;
-        private final Map<String, TeamSpender.Told> teams = new LinkedHashMap<>();
+        private final TeamGroup group;
+        private final Map<String, TeamQuotaClient.TeamReport> teams = new LinkedHashMap<>();
 
-        Outstanding(String host, Charge charge) {
+        PendingReport(String host, TeamGroup group) {
             this.host = host;
-            this.charge = charge;
+            this.group = group;
         }
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
@@ -34,36 +34,37 @@
  */
 public final class QuotaServer {
     /** How often hosts are called again that have not answered, or must be heard of late. */
-    private static final long CALL_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long CALL_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
     /** How long a host counts as one that reports here: two calls and the way. */
-    private static final long HEARD_NANOS = Duration.ofMillis(600).toNanos();
+    private static final long CONTACT_TIMEOUT_NANOS = Duration.ofMillis(600).toNanos();
     /**
      * How long reports wait for most hosts to answer a call: three times the way there and back between far regions,
      * and less than those that report wait.
      */
-    private static final long HOLD_NANOS = Duration.ofMillis(80).toNanos();
+    private static final long CALL_REPLY_WAIT_NANOS = Duration.ofMillis(80).toNanos();
     /** How long what hosts spent under another keeper may be under way: a change of the tables and a report. */
-    private static final long DOUBT_NANOS = Duration.ofMillis(400).toNanos();
+    private static final long HANDOVER_NANOS = Duration.ofMillis(400).toNanos();
     /**
      * How long a host may take to notice that it is cut off from control: a reply that does not come, with some to
      * spare. A host that was in charge before may permit requests for so long.
      */
-    private static final long NOTICED_NANOS = Duration.ofMillis(1_500).toNanos();
+    private static final long CONTROL_LOSS_DETECTION_NANOS =
+            Duration.ofMillis(1_500).toNanos();
     /** A stand-in that was not asked for so long may have been followed by another one. */
-    private static final long FORGOTTEN_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long BACKUP_EXPIRY_NANOS = Duration.ofSeconds(2).toNanos();
 
-    private static final double ASSUMED_PARTS = 2;
-    private static final int MOST_HELD = 10_000;
+    private static final double ASSUMED_EVEN_SHARES = 2;
+    private static final int MAX_QUEUED_REPORTS = 10_000;
 
     private final String self;
     private final QuotaBound bound;
-    private final Map<String, Charge> charges = new HashMap<>();
+    private final Map<String, AccountGroup> groups = new HashMap<>();
     private final List<QuotaAction> actions = new ArrayList<>();
     private Teams teams = Teams.NONE;
     private ImmutableSet<String> hosts = ImmutableSet.of();
-    private long rememberedSinceNanos;
+    private long historySinceNanos;
     private long hostsChangedNanos;
-    private boolean current;
+    private boolean controlReachable;
 
     /**
      * Creates a keeper that remembers nothing.
@@ -73,7 +74,7 @@
     public QuotaServer(String self, QuotaBound bound, long nowNanos) {
         this.self = self;
         this.bound = bound;
-        this.rememberedSinceNanos = nowNanos;
+        this.historySinceNanos = nowNanos;
         this.hostsChangedNanos = nowNanos;
     }
 
@@ -86,35 +87,35 @@
     public void setHosts(Collection<String> entryHosts, long nowNanos) {
         hosts = ImmutableSet.copyOf(entryHosts);
         hostsChangedNanos = nowNanos;
-        charges.keySet().removeIf(owner -> !hosts.contains(owner));
-        charges.values().forEach(charge -> {
-            charge.followers.keySet().retainAll(hosts);
-            charge.settleIfAllTold(nowNanos);
+        groups.keySet().removeIf(owner -> !hosts.contains(owner));
+        groups.values().forEach(group -> {
+            group.lastContactNanos.keySet().retainAll(hosts);
+            group.completeHistoryIfAllReported(nowNanos);
         });
     }
 
     /** Takes whether this host is in touch with a leader of control. */
-    public void setControlReachable(boolean isCurrent, long nowNanos) {
-        if (current != isCurrent) {
-            current = isCurrent;
-            if (!isCurrent) {
-                charges.values().forEach(charge -> charge.call(nowNanos));
+    public void setControlReachable(boolean reachable, long nowNanos) {
+        if (controlReachable != reachable) {
+            controlReachable = reachable;
+            if (!reachable) {
+                groups.values().forEach(group -> group.callHosts(nowNanos));
             }
         }
     }
 
     /** Forgets every account, since this host was suspended: another one may have kept them meanwhile. */
     public void handleSuspension(long nowNanos) {
-        charges.clear();
-        rememberedSinceNanos = nowNanos;
+        groups.clear();
+        historySinceNanos = nowNanos;
     }
 
     /** Takes word that another host calls on all to report to it. */
     public void handleSuperseded(String owner, String by, long nowNanos) {
         if (!by.equals(self)) {
-            charges.remove(owner);
+            groups.remove(owner);
             if (owner.equals(self)) {
-                rememberedSinceNanos = nowNanos;
+                historySinceNanos = nowNanos;
             }
         }
     }
@@ -125,60 +126,60 @@
      * @param token names the report in the answer
      */
     public void handleReport(String from, long token, RateReport report, long nowNanos) {
-        Charge charge = charges.get(report.getOwner());
-        if (charge == null || charge.isForgotten(nowNanos)) {
-            charge = begin(report.getOwner(), nowNanos);
-        } else if (report.getMoved() && charge.settled) {
-            charge.callAnew(nowNanos);
+        AccountGroup group = groups.get(report.getOwner());
+        if (group == null || group.isExpired(nowNanos)) {
+            group = startGroup(report.getOwner(), nowNanos);
+        } else if (report.getMoved() && group.historyComplete) {
+            group.restart(nowNanos);
         }
-        charge.lastReportNanos = nowNanos;
-        charge.heard(from, nowNanos);
-        Held held = new Held(from, token, report);
-        if (charge.mayPermit(nowNanos)) {
-            answer(charge, held, nowNanos);
-        } else if (charge.awaitsAnswers(nowNanos) && charge.held.size() < MOST_HELD) {
-            charge.held.add(held);
+        group.lastReportNanos = nowNanos;
+        group.recordContact(from, nowNanos);
+        QueuedReport queued = new QueuedReport(from, token, report);
+        if (group.mayPermit(nowNanos)) {
+            answer(group, queued, nowNanos);
+        } else if (group.awaitsCallReplies(nowNanos) && group.queuedReports.size() < MAX_QUEUED_REPORTS) {
+            group.queuedReports.add(queued);
         } else {
-            decline(charge, held, nowNanos);
+            decline(group, queued, nowNanos);
         }
     }
 
     /** Takes what a host says to a call. */
     public void handleCallResult(String from, String owner, RateCallResult result, long nowNanos) {
-        Charge charge = charges.get(owner);
-        if (charge == null || !hosts.contains(from)) {
+        AccountGroup group = groups.get(owner);
+        if (group == null || !hosts.contains(from)) {
             return;
         }
         if (!result.getFollows()) {
-            charge.followers.remove(from);
+            group.lastContactNanos.remove(from);
             return;
         }
-        charge.heard(from, nowNanos);
-        if (!charge.settled && charge.told.put(from, result.getRememberedMillis()) == null) {
-            result.getTeamsList().forEach(spending -> charge.told(spending, nowNanos));
-            charge.reckon(nowNanos);
-            charge.settleIfAllTold(nowNanos);
+        group.recordContact(from, nowNanos);
+        if (!group.historyComplete && group.historyMillisByHost.put(from, result.getRememberedMillis()) == null) {
+            result.getTeamsList().forEach(spending -> group.historyMillisByHost(spending, nowNanos));
+            group.recomputeAccounts(nowNanos);
+            group.completeHistoryIfAllReported(nowNanos);
         }
-        if (charge.mayPermit(nowNanos)) {
-            charge.answerHeld(nowNanos);
+        if (group.mayPermit(nowNanos)) {
+            group.answerQueued(nowNanos);
         }
     }
 
     /** Does what is due. */
     public void wake(long nowNanos) {
-        for (Charge charge : charges.values()) {
-            if (!charge.held.isEmpty() && !charge.awaitsAnswers(nowNanos)) {
-                charge.answerHeld(nowNanos);
+        for (AccountGroup group : groups.values()) {
+            if (!group.queuedReports.isEmpty() && !group.awaitsCallReplies(nowNanos)) {
+                group.answerQueued(nowNanos);
             }
-            if (charge.needsCalls(nowNanos) && nowNanos - charge.calledNanos >= CALL_NANOS) {
-                charge.call(nowNanos);
+            if (group.needsCalls(nowNanos) && nowNanos - group.lastCallNanos >= CALL_INTERVAL_NANOS) {
+                group.callHosts(nowNanos);
             }
         }
     }
 
     /** Forgets accounts of which nothing was spent within the window. To be called now and then. */
     public void evictIdle(long nowNanos) {
-        charges.values().forEach(charge -> charge.accounts.values().removeIf(account -> account.isIdle(nowNanos)));
+        groups.values().forEach(group -> group.accounts.values().removeIf(account -> account.isIdle(nowNanos)));
     }
 
     /** Returns what is to be done, once. */
@@ -188,111 +189,113 @@
         return taken;
     }
 
-    private Charge begin(String owner, long nowNanos) {
-        Charge charge = new Charge(owner, nowNanos);
-        charges.put(owner, charge);
-        boolean remembers = nowNanos - rememberedSinceNanos >= bound.window().toNanos();
-        if (owner.equals(self) && remembers) {
-            charge.settled = true;
+    private AccountGroup startGroup(String owner, long nowNanos) {
+        AccountGroup group = new AccountGroup(owner, nowNanos);
+        groups.put(owner, group);
+        boolean hasWholeHistory = nowNanos - historySinceNanos >= bound.window().toNanos();
+        if (owner.equals(self) && hasWholeHistory) {
+            group.historyComplete = true;
         } else {
-            charge.callAnew(nowNanos);
+            group.restart(nowNanos);
         }
-        return charge;
+        return group;
     }
 
-    private void answer(Charge charge, Held held, long nowNanos) {
+    private void answer(AccountGroup group, QueuedReport queued, long nowNanos) {
         RateVerdict.Builder verdict = RateVerdict.newBuilder();
-        for (TeamSpending spending : held.report.getTeamsList()) {
-            verdict.addTeams(charge.take(spending, held.report.getMoved(), nowNanos));
+        for (TeamSpending spending : queued.report.getTeamsList()) {
+            verdict.addTeams(group.apply(spending, queued.report.getMoved(), nowNanos));
         }
-        actions.add(new QuotaAction.Answer(held.token, verdict.build()));
+        actions.add(new QuotaAction.Answer(queued.token, verdict.build()));
     }
 
     /** Counts what was spent, and permits nothing. */
-    private void decline(Charge charge, Held held, long nowNanos) {
+    private void decline(AccountGroup group, QueuedReport queued, long nowNanos) {
         RateVerdict.Builder verdict = RateVerdict.newBuilder().setDeclined(true);
-        for (TeamSpending spending : held.report.getTeamsList()) {
-            charge.take(spending.toBuilder().setAsked(0).build(), held.report.getMoved(), nowNanos);
+        for (TeamSpending spending : queued.report.getTeamsList()) {
+            group.apply(spending.toBuilder().setAsked(0).build(), queued.report.getMoved(), nowNanos);
             verdict.addTeams(
                     TeamAllowance.newBuilder().setTeam(spending.getTeam()).setMustAsk(true));
         }
-        actions.add(new QuotaAction.Answer(held.token, verdict.build()));
+        actions.add(new QuotaAction.Answer(queued.token, verdict.build()));
     }
 
     /** A report that waits until most hosts have answered. */
-    private record Held(String from, long token, RateReport report) {}
+    private record QueuedReport(String from, long token, RateReport report) {}
 
     /** The accounts of the teams of one host, by the agreed tables. */
-    private final class Charge {
+    private final class AccountGroup {
         private final String owner;
         private final Map<String, TeamAccount> accounts = new HashMap<>();
-        private final Map<String, Long> followers = new HashMap<>();
+        private final Map<String, Long> lastContactNanos = new HashMap<>();
         /** Of the hosts that told what they spent, for how many milliseconds they remember it. */
-        private final Map<String, Integer> told = new HashMap<>();
+        private final Map<String, Integer> historyMillisByHost = new HashMap<>();
 
-        private final List<Held> held = new ArrayList<>();
-        private long begunNanos;
-        private long calledNanos;
+        private final List<QueuedReport> queuedReports = new ArrayList<>();
+        private long startedNanos;
+        private long lastCallNanos;
         private long lastReportNanos;
-        private OptionalLong missesMostSinceNanos = OptionalLong.empty();
-        private boolean settled;
+        private OptionalLong majorityLostSinceNanos = OptionalLong.empty();
+        private boolean historyComplete;
 
-        Charge(String owner, long nowNanos) {
+        AccountGroup(String owner, long nowNanos) {
             this.owner = owner;
-            this.begunNanos = nowNanos;
-            this.calledNanos = nowNanos;
+            this.startedNanos = nowNanos;
+            this.lastCallNanos = nowNanos;
             this.lastReportNanos = nowNanos;
         }
 
-        boolean isForgotten(long nowNanos) {
-            return !owner.equals(self) && nowNanos - lastReportNanos > FORGOTTEN_NANOS;
+        boolean isExpired(long nowNanos) {
+            return !owner.equals(self) && nowNanos - lastReportNanos > BACKUP_EXPIRY_NANOS;
         }
 
         /** Forgets the accounts and has every host tell what it spent. */
-        void callAnew(long nowNanos) {
+        void restart(long nowNanos) {
             accounts.clear();
-            followers.clear();
-            told.clear();
-            settled = false;
-            begunNanos = nowNanos;
+            lastContactNanos.clear();
+            historyMillisByHost.clear();
+            historyComplete = false;
+            startedNanos = nowNanos;
             actions.add(new QuotaAction.RecordTakeover(owner));
-            call(nowNanos);
+            callHosts(nowNanos);
         }
 
         /** Calls on the hosts that have not answered; while this host is not in touch with control, on all. */
-        void call(long nowNanos) {
-            calledNanos = nowNanos;
+        void callHosts(long nowNanos) {
+            lastCallNanos = nowNanos;
             for (String host : hosts) {
-                boolean tells = !settled && !told.containsKey(host);
-                if (tells || needsMost()) {
-                    RateCall call =
-                            RateCall.newBuilder().setOwner(owner).setTell(tells).build();
+                boolean needsHistory = !historyComplete && !historyMillisByHost.containsKey(host);
+                if (needsHistory || needsMajority()) {
+                    RateCall call = RateCall.newBuilder()
+                            .setOwner(owner)
+                            .setTell(needsHistory)
+                            .build();
                     actions.add(new QuotaAction.Call(host, call));
                 }
             }
-            actions.add(new QuotaAction.Wake(nowNanos + HOLD_NANOS));
-            actions.add(new QuotaAction.Wake(nowNanos + CALL_NANOS));
+            actions.add(new QuotaAction.Wake(nowNanos + CALL_REPLY_WAIT_NANOS));
+            actions.add(new QuotaAction.Wake(nowNanos + CALL_INTERVAL_NANOS));
         }
 
         boolean needsCalls(long nowNanos) {
             boolean used = nowNanos - lastReportNanos < bound.window().toNanos();
-            return used && (!settled || needsMost());
+            return used && (!historyComplete || needsMajority());
         }
 
         /**
          * Returns true if most hosts must have been heard of late, since requests of some team are permitted singly.
          */
-        private boolean needsMost() {
-            return !current || accounts.values().stream().anyMatch(TeamAccount::mustAsk);
+        private boolean needsMajority() {
+            return !controlReachable || accounts.values().stream().anyMatch(TeamAccount::mustAsk);
         }
 
-        boolean awaitsAnswers(long nowNanos) {
-            return nowNanos - calledNanos < HOLD_NANOS;
+        boolean awaitsCallReplies(long nowNanos) {
+            return nowNanos - lastCallNanos < CALL_REPLY_WAIT_NANOS;
         }
 
-        void heard(String host, long nowNanos) {
+        void recordContact(String host, long nowNanos) {
             if (hosts.contains(host)) {
-                followers.put(host, nowNanos);
+                lastContactNanos.put(host, nowNanos);
             }
         }
 
@@ -301,54 +304,55 @@
          * control for longer than it takes to notice that it is not.
          */
         boolean mayPermit(long nowNanos) {
-            boolean sure = settled || nowNanos - begunNanos > NOTICED_NANOS;
-            if ((sure && !needsMost()) || hearsMost(nowNanos)) {
-                missesMostSinceNanos = OptionalLong.empty();
+            boolean isExclusive = historyComplete || nowNanos - startedNanos > CONTROL_LOSS_DETECTION_NANOS;
+            if ((isExclusive && !needsMajority()) || hasMajority(nowNanos)) {
+                majorityLostSinceNanos = OptionalLong.empty();
                 return true;
             }
-            if (missesMostSinceNanos.isEmpty()) {
-                missesMostSinceNanos = OptionalLong.of(nowNanos);
-                if (!awaitsAnswers(nowNanos)) {
-                    call(nowNanos);
+            if (majorityLostSinceNanos.isEmpty()) {
+                majorityLostSinceNanos = OptionalLong.of(nowNanos);
+                if (!awaitsCallReplies(nowNanos)) {
+                    callHosts(nowNanos);
                 }
             }
-            return current && nowNanos - missesMostSinceNanos.getAsLong() > NOTICED_NANOS;
+            return controlReachable && nowNanos - majorityLostSinceNanos.getAsLong() > CONTROL_LOSS_DETECTION_NANOS;
         }
 
-        private boolean hearsMost(long nowNanos) {
-            long heard = followers.values().stream()
-                    .filter(heardNanos -> nowNanos - heardNanos <= HEARD_NANOS)
+        private boolean hasMajority(long nowNanos) {
+            long inContact = lastContactNanos.values().stream()
+                    .filter(contactNanos -> nowNanos - contactNanos <= CONTACT_TIMEOUT_NANOS)
                     .count();
-            return 2 * heard > hosts.size();
+            return 2 * inContact > hosts.size();
         }
 
-        void settleIfAllTold(long nowNanos) {
-            if (!settled && told.keySet().containsAll(hosts)) {
-                reckon(nowNanos);
-                settled = true;
+        void completeHistoryIfAllReported(long nowNanos) {
+            if (!historyComplete && historyMillisByHost.keySet().containsAll(hosts)) {
+                recomputeAccounts(nowNanos);
+                historyComplete = true;
             }
         }
 
-        void told(TeamSpending spending, long nowNanos) {
+        void historyMillisByHost(TeamSpending spending, long nowNanos) {
             TeamAccount account = account(spending.getTeam(), nowNanos);
             if (account != null) {
                 account.addEarlier(spending.getEarlierList(), nowNanos);
             }
         }
 
-        void reckon(long nowNanos) {
+        void recomputeAccounts(long nowNanos) {
             long windowMillis = bound.window().toMillis();
-            long untoldMillis = hosts.stream()
-                    .mapToLong(host -> windowMillis - told.getOrDefault(host, 0))
+            long unreportedMillis = hosts.stream()
+                    .mapToLong(host -> windowMillis - historyMillisByHost.getOrDefault(host, 0))
                     .sum();
-            double doubt = Math.min(1, ASSUMED_PARTS * untoldMillis / windowMillis / Math.max(1, hosts.size()));
-            accounts.values().forEach(account -> account.reckon(doubt, nowNanos));
+            double unreportedShare =
+                    Math.min(1, ASSUMED_EVEN_SHARES * unreportedMillis / windowMillis / Math.max(1, hosts.size()));
+            accounts.values().forEach(account -> account.recompute(unreportedShare, nowNanos));
         }
 
-        void answerHeld(long nowNanos) {
-            List<Held> waited = List.copyOf(held);
-            held.clear();
-            for (Held each : waited) {
+        void answerQueued(long nowNanos) {
+            List<QueuedReport> reports = List.copyOf(queuedReports);
+            queuedReports.clear();
+            for (QueuedReport each : reports) {
                 if (mayPermit(nowNanos)) {
                     answer(this, each, nowNanos);
                 } else {
@@ -362,33 +366,33 @@
          *
          * @param moved true if the host reported to another one before: it tells what it spent when it is called
          */
-        TeamAllowance.Builder take(TeamSpending spending, boolean moved, long nowNanos) {
+        TeamAllowance.Builder apply(TeamSpending spending, boolean moved, long nowNanos) {
             TeamAccount account = account(spending.getTeam(), nowNanos);
             if (account == null) {
                 return TeamAllowance.newBuilder().setTeam(spending.getTeam()).setGranted(spending.getAsked());
             }
             if (spending.getEarlierCount() > 0 && !moved) {
                 account.addEarlier(spending.getEarlierList(), nowNanos);
-                account.reckon(0, nowNanos);
+                account.recompute(0, nowNanos);
             }
             if (!moved) {
                 account.spent(spending.getSpent(), nowNanos);
             }
-            TeamAllowance.Builder allowance = account.ask(spending.getAsked(), inDoubt(nowNanos), nowNanos)
+            TeamAllowance.Builder allowance = account.grant(spending.getAsked(), isUncertain(nowNanos), nowNanos)
                     .setTeam(spending.getTeam())
-                    .setMustAsk(account.mustAsk() || inDoubt(nowNanos));
-            if (account.takeTurn()) {
-                tell(spending.getTeam(), account.mustAsk());
+                    .setMustAsk(account.mustAsk() || isUncertain(nowNanos));
+            if (account.takeMustAskChange()) {
+                notifyHosts(spending.getTeam(), account.mustAsk());
             }
             return allowance;
         }
 
-        private boolean inDoubt(long nowNanos) {
-            return (!settled && nowNanos - begunNanos < bound.window().toNanos())
-                    || nowNanos - Math.max(begunNanos, hostsChangedNanos) < DOUBT_NANOS;
+        private boolean isUncertain(long nowNanos) {
+            return (!historyComplete && nowNanos - startedNanos < bound.window().toNanos())
+                    || nowNanos - Math.max(startedNanos, hostsChangedNanos) < HANDOVER_NANOS;
         }
 
-        private void tell(String team, boolean mustAsk) {
+        private void notifyHosts(String team, boolean mustAsk) {
             actions.add(new QuotaAction.Notify(RateNotice.newBuilder()
                     .addTeams(TeamAllowance.newBuilder().setTeam(team).setMustAsk(mustAsk))
                     .build()));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/KeeperOrder.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServerOrder.java
@@ -14,13 +14,13 @@
  * stand-ins, so that a host which fails is missed once and not for each team. Not safe for use by several threads,
  * since what was worked out is remembered.
  */
-final class KeeperOrder {
-    private static final int STAND_INS = 2;
+final class QuotaServerOrder {
+    private static final int BACKUPS = 2;
 
     private final ImmutableList<String> hosts;
-    private final Map<String, ImmutableList<String>> keepersByOwner = new HashMap<>();
+    private final Map<String, ImmutableList<String>> serversByOwner = new HashMap<>();
 
-    KeeperOrder(Collection<String> hosts) {
+    QuotaServerOrder(Collection<String> hosts) {
         this.hosts = ImmutableList.sortedCopyOf(hosts);
     }
 
@@ -32,33 +32,33 @@
     /** Returns the host that is to keep account of a team; empty if there is none. */
     String ownerOf(String team) {
         String owner = "";
-        long most = Long.MIN_VALUE;
+        long maxWeight = Long.MIN_VALUE;
         for (String host : hosts) {
             long weight = weight(team, host);
-            if (owner.isEmpty() || weight > most || (weight == most && host.compareTo(owner) < 0)) {
+            if (owner.isEmpty() || weight > maxWeight || (weight == maxWeight && host.compareTo(owner) < 0)) {
                 owner = host;
-                most = weight;
+                maxWeight = weight;
             }
         }
         return owner;
     }
 
     /** Returns the host that is to keep account, then those that stand in for it. */
-    ImmutableList<String> keepers(String owner) {
-        return keepersByOwner.computeIfAbsent(owner, this::findKeepers);
+    ImmutableList<String> servers(String owner) {
+        return serversByOwner.computeIfAbsent(owner, this::computeServers);
     }
 
-    private ImmutableList<String> findKeepers(String owner) {
-        ImmutableList.Builder<String> keepers = ImmutableList.<String>builder().add(owner);
+    private ImmutableList<String> computeServers(String owner) {
+        ImmutableList.Builder<String> servers = ImmutableList.<String>builder().add(owner);
         hosts.stream()
                 .filter(host -> !host.equals(owner))
                 .sorted((one, other) -> {
-                    int order = Long.compare(weight(owner, other), weight(owner, one));
-                    return order != 0 ? order : one.compareTo(other);
+                    int byWeight = Long.compare(weight(owner, other), weight(owner, one));
+                    return byWeight != 0 ? byWeight : one.compareTo(other);
                 })
-                .limit(STAND_INS)
-                .forEach(keepers::add);
-        return keepers.build();
+                .limit(BACKUPS)
+                .forEach(servers::add);
+        return servers.build();
     }
 
     private static long weight(String key, String host) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/SpentWindow.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/SpentWindow.java
@@ -29,27 +29,27 @@
 
     /** Adds what is spent now; negative if it is given back. */
     void add(int count, long nowNanos) {
-        proceed(nowNanos);
+        advance(nowNanos);
         spent[index(0)] += count;
     }
 
     /** Adds what was spent by age, the latest first. */
-    void addAged(List<Integer> byAge, long nowNanos) {
-        proceed(nowNanos);
+    void addByAge(List<Integer> byAge, long nowNanos) {
+        advance(nowNanos);
         for (int age = 0; age < Math.min(SLOTS, byAge.size()); age++) {
             spent[index(age)] += byAge.get(age);
         }
     }
 
     /** Moves all that another window holds to this one. */
-    void takeAll(SpentWindow other, long nowNanos) {
-        addAged(other.byAge(nowNanos), nowNanos);
+    void moveFrom(SpentWindow other, long nowNanos) {
+        addByAge(other.byAge(nowNanos), nowNanos);
         other.clear();
     }
 
     /** Returns what was spent by age, the latest first. */
     ImmutableList<Integer> byAge(long nowNanos) {
-        proceed(nowNanos);
+        advance(nowNanos);
         ImmutableList.Builder<Integer> ages = ImmutableList.builderWithExpectedSize(SLOTS);
         for (int age = 0; age < SLOTS; age++) {
             ages.add(spent[index(age)]);
@@ -58,7 +58,7 @@
     }
 
     int total(long nowNanos) {
-        proceed(nowNanos);
+        advance(nowNanos);
         int total = 0;
         for (int each : spent) {
             total += each;
@@ -68,7 +68,7 @@
 
     /** Returns true if nothing was spent, or all of it given back. */
     boolean isEmpty(long nowNanos) {
-        proceed(nowNanos);
+        advance(nowNanos);
         for (int each : spent) {
             if (each != 0) {
                 return false;
@@ -85,7 +85,7 @@
         return Math.floorMod(slot - age, SLOTS);
     }
 
-    private void proceed(long nowNanos) {
+    private void advance(long nowNanos) {
         long now = Math.floorDiv(nowNanos, slotNanos);
         if (now - slot >= SLOTS) {
             clear();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
@@ -16,30 +16,30 @@
  * <p>What is reported is always counted, also beyond what is there. Not safe for use by several threads.
  */
 final class TeamAccount {
-    private static final double ASK_BELOW = 1.0 / 3;
+    private static final double MUST_ASK_BELOW = 1.0 / 3;
     private static final double FREE_ABOVE = 2.0 / 3;
-    private static final double NANOS_A_SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final QuotaBound bound;
     private final SpentWindow spent;
-    private final long begunNanos;
+    private final long createdNanos;
     private RateLimit limit;
     private double level;
     private long levelNanos;
-    private int grantedInDoubt;
+    private int grantedWhileUncertain;
     private boolean mustAsk;
-    private boolean toldMustAsk;
-    private long promisedNanos;
+    private boolean notifiedMustAsk;
+    private long nextRetryNanos;
 
     /** Creates an account of which nothing was spent. */
     TeamAccount(QuotaBound bound, RateLimit limit, long nowNanos) {
         this.bound = bound;
         this.limit = limit;
         this.spent = new SpentWindow(bound.window().toNanos(), nowNanos);
-        this.begunNanos = nowNanos;
+        this.createdNanos = nowNanos;
         this.level = capacity();
         this.levelNanos = nowNanos;
-        this.promisedNanos = nowNanos;
+        this.nextRetryNanos = nowNanos;
     }
 
     /** Takes over a changed limit: a raised one at once, a lower one with what was spent under the other. */
@@ -57,49 +57,49 @@
         refill(nowNanos);
         level = Math.min(capacity(), level - count);
         spent.add(count, nowNanos);
-        review();
+        updateMustAsk();
     }
 
     /**
      * Permits as many requests as there is room for.
      *
-     * @param inDoubt true if hosts may have spent what this account does not know of yet
+     * @param uncertain true if hosts may have spent what this account does not know of yet
      */
-    TeamAllowance.Builder ask(int count, boolean inDoubt, long nowNanos) {
+    TeamAllowance.Builder grant(int requested, boolean uncertain, long nowNanos) {
         refill(nowNanos);
-        double available = inDoubt ? Math.min(level, leftInDoubt(nowNanos)) : level;
-        int granted = (int) Math.max(0, Math.min(count, Math.floor(available)));
-        grantedInDoubt += granted;
+        double available = uncertain ? Math.min(level, remainingWhileUncertain(nowNanos)) : level;
+        int granted = (int) Math.max(0, Math.min(requested, Math.floor(available)));
+        grantedWhileUncertain += granted;
         level -= granted;
         spent.add(granted, nowNanos);
-        review();
+        updateMustAsk();
         TeamAllowance.Builder allowance = TeamAllowance.newBuilder().setGranted(granted);
-        int refused = count - granted;
-        return refused == 0 ? allowance : promise(refused, allowance, nowNanos);
+        int refused = requested - granted;
+        return refused == 0 ? allowance : scheduleRetries(refused, allowance, nowNanos);
     }
 
     /** Adds what was spent before, by age, the latest first. */
     void addEarlier(List<Integer> byAge, long nowNanos) {
-        spent.addAged(byAge, nowNanos);
+        spent.addByAge(byAge, nowNanos);
     }
 
     /**
      * Works out what is there from what was spent within the window.
      *
-     * @param doubt the part of the limit that may have been spent by hosts that did not tell
+     * @param unreportedShare the part of the limit that may have been spent by hosts that did not tell
      */
-    void reckon(double doubt, long nowNanos) {
-        double most = capacity() * (1 - doubt);
-        double perSlot = perNano() * (1 - doubt) * spent.slotNanos();
+    void recompute(double unreportedShare, long nowNanos) {
+        double maxLevel = capacity() * (1 - unreportedShare);
+        double perSlot = tokensPerNano() * (1 - unreportedShare) * spent.slotNanos();
         List<Integer> byAge = spent.byAge(nowNanos);
-        double reckoned = most;
+        double recomputed = maxLevel;
         // Refilled before it is spent: what the limit of the bucket cuts off is at its greatest then.
         for (int age = byAge.size() - 1; age >= 0; age--) {
-            reckoned = Math.min(most, reckoned + perSlot) - byAge.get(age);
+            recomputed = Math.min(maxLevel, recomputed + perSlot) - byAge.get(age);
         }
-        level = Math.max(reckoned, bound.inDoubt() - spent.total(nowNanos));
+        level = Math.max(recomputed, bound.allowanceWhileUncertain() - spent.total(nowNanos));
         levelNanos = nowNanos;
-        review();
+        updateMustAsk();
     }
 
     boolean mustAsk() {
@@ -107,10 +107,10 @@
     }
 
     /** Returns true, once, if hosts were told otherwise of whether they must ask. */
-    boolean takeTurn() {
-        boolean turned = mustAsk != toldMustAsk;
-        toldMustAsk = mustAsk;
-        return turned;
+    boolean takeMustAskChange() {
+        boolean changed = mustAsk != notifiedMustAsk;
+        notifiedMustAsk = mustAsk;
+        return changed;
     }
 
     /** Returns true if nothing is left to be remembered. */
@@ -121,30 +121,30 @@
 
     private void refill(long nowNanos) {
         if (nowNanos > levelNanos) {
-            level = Math.min(capacity(), level + perNano() * (nowNanos - levelNanos));
+            level = Math.min(capacity(), level + tokensPerNano() * (nowNanos - levelNanos));
             levelNanos = nowNanos;
         }
     }
 
     /** Tells refused callers to come back one after the other, as permissions will be there. */
-    private TeamAllowance.Builder promise(int refused, TeamAllowance.Builder allowance, long nowNanos) {
-        double stepNanos = 1 / perNano();
+    private TeamAllowance.Builder scheduleRetries(int refused, TeamAllowance.Builder allowance, long nowNanos) {
+        double stepNanos = 1 / tokensPerNano();
         long firstNanos = nowNanos + (long) Math.max(0, (1 - level) * stepNanos);
         long latestNanos = firstNanos + bound.window().toNanos();
-        long atNanos = Math.min(latestNanos, Math.max(firstNanos, promisedNanos));
-        promisedNanos = Math.min(latestNanos, atNanos + (long) (refused * stepNanos));
-        long longest = 2 * bound.window().toMillis();
+        long atNanos = Math.min(latestNanos, Math.max(firstNanos, nextRetryNanos));
+        nextRetryNanos = Math.min(latestNanos, atNanos + (long) (refused * stepNanos));
+        long maxMillis = 2 * bound.window().toMillis();
         long millis = TimeUnit.NANOSECONDS.toMillis(atNanos - nowNanos) + 1;
-        return allowance.setRetryAfterMillis((int) Math.min(longest, millis)).setRetryStepMicros((int)
-                Math.min((double) TimeUnit.MILLISECONDS.toMicros(longest), stepNanos / 1_000));
+        return allowance.setRetryAfterMillis((int) Math.min(maxMillis, millis)).setRetryStepMicros((int)
+                Math.min((double) TimeUnit.MILLISECONDS.toMicros(maxMillis), stepNanos / 1_000));
     }
 
-    private double leftInDoubt(long nowNanos) {
-        return bound.inDoubt() + perNano() * (nowNanos - begunNanos) - grantedInDoubt;
+    private double remainingWhileUncertain(long nowNanos) {
+        return bound.allowanceWhileUncertain() + tokensPerNano() * (nowNanos - createdNanos) - grantedWhileUncertain;
     }
 
-    private void review() {
-        if (level < capacity() * ASK_BELOW) {
+    private void updateMustAsk() {
+        if (level < capacity() * MUST_ASK_BELOW) {
             mustAsk = true;
         } else if (level > capacity() * FREE_ABOVE) {
             mustAsk = false;
@@ -155,7 +155,7 @@
         return bound.capacity(limit);
     }
 
-    private double perNano() {
-        return limit.perSecond() / NANOS_A_SECOND;
+    private double tokensPerNano() {
+        return limit.perSecond() / NANOS_PER_SECOND;
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/ReplicaGateTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/ReplicaLimiterTest.java
@@ -9,7 +9,7 @@
 import org.bramblerack.version.Priority;
 import org.junit.jupiter.api.Test;
 
-final class ReplicaGateTest {
+final class ReplicaLimiterTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long FAR = 1_000_000 * MILLI;
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
@@ -18,13 +18,13 @@
 
     private static final int FIRST_SEED = Integer.getInteger("quota.first", 0);
 
-    private static final QuotaWorld.Demand HOT = new QuotaWorld.Demand(0.625, 6.25);
+    private static final QuotaSimulation.Demand HOT = new QuotaSimulation.Demand(0.625, 6.25);
 
     @Test
     void theBoundHoldsUnderAllFaults() {
         List<String> broken = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            double over = drawn(seed, QuotaWorld.Plant.NONE).worst();
+            double over = drawn(seed, QuotaSimulation.Plant.NONE).worst();
             if (over > 0) {
                 broken.add("seed " + seed + " " + troubles(seed) + ": over by " + over);
             }
@@ -38,7 +38,7 @@
         int asked = 0;
         int refused = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
-            QuotaWorld world = calm(seed, new QuotaWorld.Demand(0.9, 0), QuotaWorld.Plant.NONE);
+            QuotaSimulation world = calm(seed, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Plant.NONE);
             asked += world.owed();
             refused += world.owedRefused();
         }
@@ -51,12 +51,12 @@
     void aTeamWithinItsLimitIsNotRefusedWhileHostsComeAndGo() {
         int asked = 0;
         int refused = 0;
-        for (QuotaWorld.Trouble trouble :
-                List.of(QuotaWorld.Trouble.KILL, QuotaWorld.Trouble.ROLL, QuotaWorld.Trouble.CONTROL_LOST)) {
+        for (QuotaSimulation.Trouble trouble : List.of(
+                QuotaSimulation.Trouble.KILL, QuotaSimulation.Trouble.ROLL, QuotaSimulation.Trouble.CONTROL_LOST)) {
             for (int seed = FIRST_SEED; seed < FIRST_SEED + 5; seed++) {
-                QuotaWorld.Demand usual = new QuotaWorld.Demand(0.625, 0);
-                QuotaWorld world =
-                        new QuotaWorld(seed, EnumSet.of(trouble), 63, 8, usual, QuotaWorld.Plant.NONE).play();
+                QuotaSimulation.Demand usual = new QuotaSimulation.Demand(0.625, 0);
+                QuotaSimulation world =
+                        new QuotaSimulation(seed, EnumSet.of(trouble), 63, 8, usual, QuotaSimulation.Plant.NONE).play();
                 asked += world.owed();
                 refused += world.owedRefused();
             }
@@ -71,7 +71,7 @@
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
             least = Math.min(
                     least,
-                    calm(seed, new QuotaWorld.Demand(3, 0), QuotaWorld.Plant.NONE)
+                    calm(seed, new QuotaSimulation.Demand(3, 0), QuotaSimulation.Plant.NONE)
                             .use("t0", 3, 16));
         }
         System.out.println("limits on rates: least use " + least);
@@ -80,33 +80,35 @@
 
     @Test
     void plantedFaultsAreFound() {
-        for (QuotaWorld.Plant plant : List.of(
-                QuotaWorld.Plant.NOTHING_REPORTED, QuotaWorld.Plant.NOTHING_TOLD, QuotaWorld.Plant.ALONE_IS_FREE)) {
+        for (QuotaSimulation.Plant plant : List.of(
+                QuotaSimulation.Plant.NOTHING_REPORTED,
+                QuotaSimulation.Plant.NOTHING_TOLD,
+                QuotaSimulation.Plant.ALONE_IS_FREE)) {
             boolean found = false;
             for (int seed = 0; seed < 300 && !found; seed++) {
                 found = drawn(seed, plant).worst() > 0;
             }
             assertThat(found ? plant : null).isEqualTo(plant);
         }
-        QuotaWorld world = calm(1, new QuotaWorld.Demand(0.9, 0), QuotaWorld.Plant.NOTHING_PERMITTED);
+        QuotaSimulation world = calm(1, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Plant.NOTHING_PERMITTED);
         assertThat(world.owedRefused() * 1_000.0 / world.owed()).isGreaterThan(1.0);
         assertThat(world.use("t0", 3, 16)).isLessThan(0.95);
     }
 
-    private static QuotaWorld calm(int seed, QuotaWorld.Demand demand, QuotaWorld.Plant plant) {
-        return new QuotaWorld(seed, EnumSet.noneOf(QuotaWorld.Trouble.class), 9, 12, demand, plant).play();
+    private static QuotaSimulation calm(int seed, QuotaSimulation.Demand demand, QuotaSimulation.Plant plant) {
+        return new QuotaSimulation(seed, EnumSet.noneOf(QuotaSimulation.Trouble.class), 9, 12, demand, plant).play();
     }
 
-    private static QuotaWorld drawn(int seed, QuotaWorld.Plant plant) {
+    private static QuotaSimulation drawn(int seed, QuotaSimulation.Plant plant) {
         int hosts = seed % 20 == 0 ? 63 : 6 + seed % 7;
-        return new QuotaWorld(seed, troubles(seed), hosts, 8, HOT, plant).play();
+        return new QuotaSimulation(seed, troubles(seed), hosts, 8, HOT, plant).play();
     }
 
     /** Returns troubles that may come together; any of them may be left out. */
-    private static EnumSet<QuotaWorld.Trouble> troubles(long seed) {
+    private static EnumSet<QuotaSimulation.Trouble> troubles(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        EnumSet<QuotaWorld.Trouble> troubles = EnumSet.noneOf(QuotaWorld.Trouble.class);
-        for (QuotaWorld.Trouble trouble : QuotaWorld.Trouble.values()) {
+        EnumSet<QuotaSimulation.Trouble> troubles = EnumSet.noneOf(QuotaSimulation.Trouble.class);
+        for (QuotaSimulation.Trouble trouble : QuotaSimulation.Trouble.values()) {
             if (random.nextInt(4) == 0) {
                 troubles.add(trouble);
             }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/KeeperOrderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Every host finds the same keepers, and hosts that come or go move few teams. */
-final class KeeperOrderTest {
+final class QuotaServerOrderTest {
     private static final int HOSTS = 63;
     private static final int TEAMS = 630;
 
@@ -19,19 +19,19 @@
     void theOrderOfTheTablesChangesNothing() {
         List<String> turned = new ArrayList<>(hosts(HOSTS));
         Collections.reverse(turned);
-        KeeperOrder one = new KeeperOrder(hosts(HOSTS));
-        KeeperOrder other = new KeeperOrder(turned);
+        QuotaServerOrder one = new QuotaServerOrder(hosts(HOSTS));
+        QuotaServerOrder other = new QuotaServerOrder(turned);
         for (int team = 0; team < TEAMS; team++) {
             String owner = one.ownerOf("team-" + team);
             assertThat(other.ownerOf("team-" + team)).isEqualTo(owner);
-            assertThat(other.keepers(owner)).isEqualTo(one.keepers(owner));
+            assertThat(other.servers(owner)).isEqualTo(one.servers(owner));
         }
     }
 
     @Test
     void aHostThatLeavesMovesOnlyItsOwnTeams() {
-        KeeperOrder before = new KeeperOrder(hosts(HOSTS));
-        KeeperOrder after = new KeeperOrder(hosts(HOSTS - 1));
+        QuotaServerOrder before = new QuotaServerOrder(hosts(HOSTS));
+        QuotaServerOrder after = new QuotaServerOrder(hosts(HOSTS - 1));
         Map<String, Integer> teams = new HashMap<>();
         for (int team = 0; team < TEAMS; team++) {
             String owner = before.ownerOf("team-" + team);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaSimulation.java
@@ -31,7 +31,7 @@
  *
  * <p>A host that is cut off from others still takes requests and reaches leafs, which is the worst that it can do.
  */
-final class QuotaWorld {
+final class QuotaSimulation {
     /** What may happen beside requests. */
     enum Trouble {
         /** Hosts are killed and start again. */
@@ -104,7 +104,7 @@
     private long tickets;
     private int messages;
 
-    QuotaWorld(long seed, EnumSet<Trouble> troubles, int hostCount, int teamCount, Demand demand, Plant plant) {
+    QuotaSimulation(long seed, EnumSet<Trouble> troubles, int hostCount, int teamCount, Demand demand, Plant plant) {
         this.random = new SplittableRandom(seed);
         this.plant = plant;
         for (int number = 0; number < hostCount; number++) {
@@ -124,7 +124,7 @@
         troubles.forEach(this::draw);
     }
 
-    QuotaWorld play() {
+    QuotaSimulation play() {
         while (!events.isEmpty() && events.peek().at <= LENGTH) {
             Event next = events.poll();
             now = next.at;
@@ -171,7 +171,7 @@
     /** One version of all limits, and by whom it was held until when. */
     private final class LimitsVersion {
         private final long since;
-        private final Map<String, RateLimit> limits = new HashMap<>(QuotaWorld.this.limits);
+        private final Map<String, RateLimit> limits = new HashMap<>(QuotaSimulation.this.limits);
         private final Set<Host> holders = new HashSet<>();
         private long lastLeft;
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
@@ -56,8 +56,8 @@
     @Test
     void refusedCallersAreToldToComeBackOneAfterTheOther() {
         assertThat(granted(CAPACITY, 0)).isEqualTo(CAPACITY);
-        TeamAllowance first = account.ask(2, false, 0).build();
-        TeamAllowance second = account.ask(1, false, 0).build();
+        TeamAllowance first = account.grant(2, false, 0).build();
+        TeamAllowance second = account.grant(1, false, 0).build();
         assertThat(first.getRetryAfterMillis()).isAtLeast(100);
         assertThat(first.getRetryStepMicros()).isEqualTo(100_000);
         assertThat(second.getRetryAfterMillis()).isAtLeast(first.getRetryAfterMillis() + 200);
@@ -67,18 +67,18 @@
     void anAccountThatIsTakenOverGoesByWhatWasSpentBefore() {
         // The whole limit was spent a moment ago, and what the rate brought before that.
         account.addEarlier(ImmutableList.of(CAPACITY), 0);
-        account.reckon(0, 0);
+        account.recompute(0, 0);
         assertThat(granted(1, 0)).isEqualTo(0);
         // What was spent at the limit's rate for the whole window leaves nearly all of what may be made at once.
         TeamAccount steady = new TeamAccount(BOUND, LIMIT, 0);
         steady.addEarlier(ImmutableList.copyOf(Collections.nCopies(SpentWindow.SLOTS, 2)), 0);
-        steady.reckon(0, 0);
-        assertThat(steady.ask(100, false, 0).getGranted()).isAtLeast(CAPACITY - 3);
+        steady.recompute(0, 0);
+        assertThat(steady.grant(100, false, 0).getGranted()).isAtLeast(CAPACITY - 3);
     }
 
     @Test
     void whereNobodyTellsOnlyAQuarterOfTheSlackIsPermitted() {
-        account.reckon(1, 0);
+        account.recompute(1, 0);
         assertThat(granted(100, 0)).isEqualTo(5);
     }
 
@@ -92,6 +92,6 @@
     }
 
     private int granted(int asked, long nowNanos) {
-        return account.ask(asked, false, nowNanos).getGranted();
+        return account.grant(asked, false, nowNanos).getGranted();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomesTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomeRegionsTest.java
@@ -5,7 +5,7 @@
 import com.google.common.collect.ImmutableList;
 import org.junit.jupiter.api.Test;
 
-final class HomesTest {
+final class HomeRegionsTest {
     private static final HomeRegions NORTH = HomeRegions.of(ImmutableList.of("north"));
     private static final HomeRegions NORTH_OR_SOUTH = HomeRegions.of(ImmutableList.of("south", "north"));
 
