--- a/bramblerack-core/src/main/java/org/bramblerack/connection/HolderAssignment.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/HolderAssignment.java
@@ -17,18 +17,18 @@
  * every host computes the same ones from the same list, and a zone that is cut off keeps what it needs to serve itself.
  *
  * <p>The fact that keeps the sum safe: the list of hosts and the limits are the same agreed input everywhere, and a
- * share allows for {@value #LIVES} lives of each holder at once, because an upstream may still count the connections of
- * a holder that vanished. A holder opens connections only after {@link #startDelayNanos} of its life, so no more than
- * that many lives can have open connections within the linger time. No view of who is alive enters.
+ * share allows for {@value #MAX_INCARNATIONS} lives of each holder at once, because an upstream may still count the
+ * connections of a holder that vanished. A holder opens connections only after {@link #startDelayNanos} of its life, so
+ * no more than that many lives can have open connections within the linger time. No view of who is alive enters.
  *
  * <p>Immutable and safe for use by many threads.
  */
 public final class HolderAssignment {
     /** How many lives of one holder an upstream may count connections of at once. */
-    static final int LIVES = 3;
+    static final int MAX_INCARNATIONS = 3;
 
     /** How many hosts hold the connections to one upstream, if its zone has as many. */
-    static final int HOLDERS = 2;
+    static final int MAX_HOLDERS = 2;
 
     private final ImmutableList<String> holders;
     private final int share;
@@ -46,22 +46,22 @@
      * @param zoneHosts the names of all hosts of its availability zone, live or not
      */
     public static HolderAssignment compute(UpstreamName upstream, UpstreamLimits limits, List<String> zoneHosts) {
-        int affordable = limits.connections() / LIVES;
-        int count = Math.min(Math.min(HOLDERS, zoneHosts.size()), affordable);
+        int affordable = limits.connections() / MAX_INCARNATIONS;
+        int count = Math.min(Math.min(MAX_HOLDERS, zoneHosts.size()), affordable);
         ImmutableList<String> holders = zoneHosts.stream()
                 .sorted(Comparator.comparingLong((String host) -> weight(upstream, host))
                         .reversed()
                         .thenComparing(Comparator.naturalOrder()))
                 .limit(count)
                 .collect(ImmutableList.toImmutableList());
-        int share = holders.isEmpty() ? 0 : limits.connections() / (LIVES * holders.size());
+        int share = holders.isEmpty() ? 0 : limits.connections() / (MAX_INCARNATIONS * holders.size());
         return new HolderAssignment(holders, share);
     }
 
     /** Returns how long a process must have lived before it opens connections to an upstream. */
     public static long startDelayNanos(UpstreamLimits limits) {
-        checkArgument(LIVES > 1, "lives %s", LIVES);
-        return limits.connectionLinger().toNanos() / (LIVES - 1);
+        checkArgument(MAX_INCARNATIONS > 1, "lives %s", MAX_INCARNATIONS);
+        return limits.connectionLinger().toNanos() / (MAX_INCARNATIONS - 1);
     }
 
     /** Returns the holders; the first one is preferred. */
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
@@ -19,21 +19,21 @@
  * The one queue before an upstream, kept by the host that holds its connections.
  *
  * <p>Invariants: at most the limit of calls are at the upstream; an urgent call goes before every normal one, except
- * that one dispatch in {@value #NORMAL_EVERY} goes to a waiting normal call; a call that cannot finish within its
+ * that one dispatch in {@value #NORMAL_INTERVAL} goes to a waiting normal call; a call that cannot finish within its
  * deadline is refused before it is sent, at once if that is clear when it comes.
  *
  * <p>Not safe for use by several threads: the holder's table guards each gate with its lock.
  */
 public final class ReplicaLimiter {
-    static final int NORMAL_EVERY = 8;
-    private static final int MAX_WAITING = 256;
+    static final int NORMAL_INTERVAL = 8;
+    private static final int MAX_QUEUED = 256;
     private static final double SMOOTHING = 0.1;
-    private static final double SHED_FACTOR = 0.5;
-    private static final double GROWTH = 0.1;
+    private static final double DECREASE_FACTOR = 0.5;
+    private static final double INCREASE = 0.1;
     private static final long INITIAL_SERVICE_NANOS = Duration.ofMillis(1).toNanos();
 
     private int slots;
-    private final Map<Priority, Deque<Waiting>> queues = new EnumMap<>(Priority.class);
+    private final Map<Priority, Deque<QueuedCall>> queues = new EnumMap<>(Priority.class);
     private final Map<String, Long> runningSinceNanos = new HashMap<>();
     private double limit;
     private double serviceNanos = INITIAL_SERVICE_NANOS;
@@ -64,10 +64,10 @@
 
     /** Takes a new call. */
     public List<LimiterAction> submit(String callId, Priority priority, long deadlineNanos, long nowNanos) {
-        if (waiting() >= MAX_WAITING || !canFinish(priority, deadlineNanos, nowNanos)) {
+        if (waiting() >= MAX_QUEUED || !canFinish(priority, deadlineNanos, nowNanos)) {
             return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.QUEUE_FULL));
         }
-        queueOf(priority).addLast(new Waiting(callId, deadlineNanos));
+        queueOf(priority).addLast(new QueuedCall(callId, deadlineNanos));
         return dispatch(nowNanos);
     }
 
@@ -76,7 +76,7 @@
         Long since = runningSinceNanos.remove(callId);
         if (since != null) {
             serviceNanos += SMOOTHING * (nowNanos - since - serviceNanos);
-            limit = Math.min(slots, limit + GROWTH);
+            limit = Math.min(slots, limit + INCREASE);
         }
         return dispatch(nowNanos);
     }
@@ -84,14 +84,14 @@
     /** Takes the end of a call that the upstream shed: fewer are sent at a time for a while. */
     public List<LimiterAction> onShed(String callId, long nowNanos) {
         if (runningSinceNanos.remove(callId) != null) {
-            limit = Math.max(1.0, limit * SHED_FACTOR);
+            limit = Math.max(1.0, limit * DECREASE_FACTOR);
         }
         return dispatch(nowNanos);
     }
 
     /** Cancels a call, waiting or running. A running one keeps its place until it has finished. */
     public List<LimiterAction> cancel(String callId) {
-        for (Deque<Waiting> queue : queues.values()) {
+        for (Deque<QueuedCall> queue : queues.values()) {
             if (queue.removeIf(waiting -> waiting.callId().equals(callId))) {
                 return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.CANCELLED));
             }
@@ -104,7 +104,7 @@
     /** Returns how many calls wait. */
     public int waiting() {
         int total = 0;
-        for (Deque<Waiting> queue : queues.values()) {
+        for (Deque<QueuedCall> queue : queues.values()) {
             total += queue.size();
         }
         return total;
@@ -126,18 +126,18 @@
         List<LimiterAction> actions = new ArrayList<>();
         refuseExpired(nowNanos, actions);
         while (running() < (int) limit && waiting() > 0) {
-            Waiting next = takeNext();
+            QueuedCall next = pollNext();
             runningSinceNanos.put(next.callId(), nowNanos);
             actions.add(new LimiterAction.Dispatch(next.callId()));
         }
         return actions;
     }
 
-    private Waiting takeNext() {
-        Deque<Waiting> urgent = queueOf(Priority.URGENT);
-        Deque<Waiting> normal = queueOf(Priority.NORMAL);
-        boolean turnOfNormal = !normal.isEmpty() && dispatchesSinceNormal >= NORMAL_EVERY - 1;
-        if (urgent.isEmpty() || turnOfNormal) {
+    private QueuedCall pollNext() {
+        Deque<QueuedCall> urgent = queueOf(Priority.URGENT);
+        Deque<QueuedCall> normal = queueOf(Priority.NORMAL);
+        boolean normalIsDue = !normal.isEmpty() && dispatchesSinceNormal >= NORMAL_INTERVAL - 1;
+        if (urgent.isEmpty() || normalIsDue) {
             dispatchesSinceNormal = 0;
             return normal.removeFirst();
         }
@@ -146,10 +146,10 @@
     }
 
     private void refuseExpired(long nowNanos, List<LimiterAction> actions) {
-        for (Deque<Waiting> queue : queues.values()) {
-            Iterator<Waiting> iterator = queue.iterator();
+        for (Deque<QueuedCall> queue : queues.values()) {
+            Iterator<QueuedCall> iterator = queue.iterator();
             while (iterator.hasNext()) {
-                Waiting waiting = iterator.next();
+                QueuedCall waiting = iterator.next();
                 if (nowNanos + (long) (serviceNanos / 2) - waiting.deadlineNanos() >= 0) {
                     iterator.remove();
                     actions.add(new LimiterAction.Refuse(waiting.callId(), LeafFailure.EXPIRED));
@@ -158,13 +158,13 @@
         }
     }
 
-    private Deque<Waiting> queueOf(Priority priority) {
-        Deque<Waiting> queue = queues.get(priority);
+    private Deque<QueuedCall> queueOf(Priority priority) {
+        Deque<QueuedCall> queue = queues.get(priority);
         if (queue == null) {
             throw new IllegalStateException("no queue for " + priority);
         }
         return queue;
     }
 
-    private record Waiting(String callId, long deadlineNanos) {}
+    private record QueuedCall(String callId, long deadlineNanos) {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ZoneHolders.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ZoneHolders.java
@@ -32,13 +32,13 @@
      * How many shards a holder asks for one query: at some 0.2 ms of processor time a leaf call, a dozen keep a host
      * with a third of a core busy for 7 ms, which a goal of 80 ms leaves room for.
      */
-    static final int SHARDS_A_HOLDER = 12;
+    static final int SHARDS_PER_HOLDER = 12;
 
     /** With one holder alone, its loss would take the whole zone's shards at once. */
-    static final int LEAST_HOLDERS = 2;
+    static final int MIN_HOLDERS = 2;
 
     /** How many hosts are named for a shard: the holder, and two that stand in for it. */
-    static final int NAMED_A_SHARD = 3;
+    static final int HOSTS_PER_SHARD = 3;
 
     private final ImmutableMap<String, ImmutableList<String>> hostsByService;
 
@@ -56,18 +56,18 @@
         if (hosts.isEmpty()) {
             return new ZoneHolders(ImmutableMap.of());
         }
-        int count = Math.min(hosts.size(), Math.max(LEAST_HOLDERS, ceilDivide(services.size(), SHARDS_A_HOLDER)));
-        ImmutableList<String> chosen = ranked("", hosts).subList(0, count);
-        int evenPart = ceilDivide(services.size(), count);
-        Map<String, Integer> held = new HashMap<>();
+        int count = Math.min(hosts.size(), Math.max(MIN_HOLDERS, ceilDivide(services.size(), SHARDS_PER_HOLDER)));
+        ImmutableList<String> holders = rank("", hosts).subList(0, count);
+        int maxPerHolder = ceilDivide(services.size(), count);
+        Map<String, Integer> shardsByHolder = new HashMap<>();
         ImmutableMap.Builder<String, ImmutableList<String>> byService = ImmutableMap.builder();
         for (String service : services) {
-            ImmutableList<String> order = ranked(service, chosen);
+            ImmutableList<String> order = rank(service, holders);
             String holder = order.stream()
-                    .filter(host -> held.getOrDefault(host, 0) < evenPart)
+                    .filter(host -> shardsByHolder.getOrDefault(host, 0) < maxPerHolder)
                     .findFirst()
                     .orElse(order.get(0));
-            held.merge(holder, 1, Integer::sum);
+            shardsByHolder.merge(holder, 1, Integer::sum);
             byService.put(service, withFirst(holder, order));
         }
         return new ZoneHolders(byService.buildOrThrow());
@@ -89,7 +89,7 @@
         ImmutableList.Builder<String> hosts = ImmutableList.<String>builder().add(holder);
         order.stream()
                 .filter(host -> !host.equals(holder))
-                .limit(NAMED_A_SHARD - 1)
+                .limit(HOSTS_PER_SHARD - 1)
                 .forEach(hosts::add);
         return hosts.build();
     }
@@ -99,22 +99,22 @@
      *
      * <p>Each weight is worked out once: a comparator that hashes would do so for every comparison.
      */
-    private static ImmutableList<String> ranked(String key, Collection<String> hosts) {
-        List<WeighedHost> weighed = new ArrayList<>(hosts.size());
+    private static ImmutableList<String> rank(String key, Collection<String> hosts) {
+        List<WeightedHost> weighted = new ArrayList<>(hosts.size());
         for (String host : hosts) {
-            weighed.add(new WeighedHost(host, weight(key, host)));
+            weighted.add(new WeightedHost(host, weight(key, host)));
         }
-        weighed.sort(WeighedHost.ORDER);
-        ImmutableList.Builder<String> order = ImmutableList.builderWithExpectedSize(weighed.size());
-        for (WeighedHost each : weighed) {
+        weighted.sort(WeightedHost.ORDER);
+        ImmutableList.Builder<String> order = ImmutableList.builderWithExpectedSize(weighted.size());
+        for (WeightedHost each : weighted) {
             order.add(each.host());
         }
         return order.build();
     }
 
-    private record WeighedHost(String host, long weight) {
-        private static final Comparator<WeighedHost> ORDER =
-                Comparator.comparingLong(WeighedHost::weight).thenComparing(WeighedHost::host);
+    private record WeightedHost(String host, long weight) {
+        private static final Comparator<WeightedHost> ORDER =
+                Comparator.comparingLong(WeightedHost::weight).thenComparing(WeightedHost::host);
     }
 
     private static long weight(String key, String host) {
--- a/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
@@ -32,12 +32,12 @@
     private static final int MAX_CONNECTIONS = 10_000;
     private static final int MAX_EXTRA_LOAD_PERCENT = 20;
     private static final int DEFAULT_EXTRA_LOAD_PERCENT = 5;
-    private static final Duration SHORTEST = Duration.ofMillis(1);
-    private static final Duration LONGEST_DEADLINE = Duration.ofMinutes(5);
-    private static final Duration SHORTEST_RETENTION = Duration.ofMinutes(10);
-    private static final Duration LONGEST_RETENTION = Duration.ofDays(30);
+    private static final Duration MIN_DEADLINE = Duration.ofMillis(1);
+    private static final Duration MAX_DEADLINE = Duration.ofMinutes(5);
+    private static final Duration MIN_RETENTION = Duration.ofMinutes(10);
+    private static final Duration MAX_RETENTION = Duration.ofDays(30);
     private static final Duration DEFAULT_RETENTION = Duration.ofDays(2);
-    private static final Duration LONGEST_LINGER = Duration.ofMinutes(2);
+    private static final Duration MAX_LINGER = Duration.ofMinutes(2);
     private static final Duration DEFAULT_LINGER = Duration.ofSeconds(10);
 
     private DeclarationReader() {}
@@ -102,7 +102,7 @@
                     connections + " connections cannot carry " + slots + " slots",
                     "allow at least one connection for each slot");
         }
-        Duration linger = fields.millis("connectionLingerMs", Duration.ZERO, LONGEST_LINGER, DEFAULT_LINGER);
+        Duration linger = fields.millis("connectionLingerMs", Duration.ZERO, MAX_LINGER, DEFAULT_LINGER);
         int extraLoad = fields.integer("extraLoadPercent", 0, MAX_EXTRA_LOAD_PERCENT, DEFAULT_EXTRA_LOAD_PERCENT);
         return new UpstreamLimits(slots, connections, linger, extraLoad);
     }
@@ -110,15 +110,15 @@
     private static RequestClass readClass(Fields fields) {
         String name = fields.name("name");
         Priority priority = fields.choice("priority", Priority.class);
-        Duration deadline = fields.millis("deadlineMs", SHORTEST, LONGEST_DEADLINE);
+        Duration deadline = fields.millis("deadlineMs", MIN_DEADLINE, MAX_DEADLINE);
         return new RequestClass(name, priority, deadline, fields.choice("prefer", Preference.class));
     }
 
     private static Operation readOperation(Fields fields) {
         String name = fields.name("name");
         Priority priority = fields.choice("priority", Priority.class);
-        Duration deadline = fields.millis("deadlineMs", SHORTEST, LONGEST_DEADLINE);
-        Duration retention = fields.millis("retentionMs", SHORTEST_RETENTION, LONGEST_RETENTION, DEFAULT_RETENTION);
+        Duration deadline = fields.millis("deadlineMs", MIN_DEADLINE, MAX_DEADLINE);
+        Duration retention = fields.millis("retentionMs", MIN_RETENTION, MAX_RETENTION, DEFAULT_RETENTION);
         return new Operation(name, priority, deadline, retention);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/VersionRegistry.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/VersionRegistry.java
@@ -20,77 +20,79 @@
  * called while it is held. The newest map is kept between changes, so that a look-up costs one lock.
  */
 public final class VersionRegistry {
-    private final Map<UpstreamName, Statement> statements = new HashMap<>();
+    private final Map<UpstreamName, ReportedVersions> reports = new HashMap<>();
     private Optional<ShardMap> cachedNewest = Optional.empty();
-    private boolean cached = true;
+    private boolean cacheValid = true;
 
     /** Replaces what an upstream states that it serves. */
     public synchronized void record(UpstreamName upstream, ImmutableSet<ServedVersion> served) {
-        Statement known = statementOf(upstream);
-        replace(upstream, known, new Statement(served, known.usable()));
+        ReportedVersions known = reportOf(upstream);
+        replace(upstream, known, new ReportedVersions(served, known.usable()));
     }
 
     /** Adds a version that a checked reply showed to be served. */
     public synchronized void recordReply(UpstreamName upstream, ServedVersion served) {
-        Statement known = statementOf(upstream);
+        ReportedVersions known = reportOf(upstream);
         if (!known.served().contains(served)) {
             ImmutableSet<ServedVersion> more = ImmutableSet.<ServedVersion>builder()
                     .addAll(known.served())
                     .add(served)
                     .build();
-            replace(upstream, known, new Statement(more, known.usable()));
+            replace(upstream, known, new ReportedVersions(more, known.usable()));
         }
     }
 
     /** Removes a version that an upstream said it no longer serves. */
     public synchronized void recordGone(UpstreamName upstream, long indexVersion) {
-        Statement known = statementOf(upstream);
+        ReportedVersions known = reportOf(upstream);
         ImmutableSet<ServedVersion> fewer = known.served().stream()
                 .filter(served -> served.indexVersion() != indexVersion)
                 .collect(ImmutableSet.toImmutableSet());
-        replace(upstream, known, new Statement(fewer, known.usable()));
+        replace(upstream, known, new ReportedVersions(fewer, known.usable()));
     }
 
     /** States whether an upstream may get new work; one that is not known yet may. */
     public synchronized void setUsable(UpstreamName upstream, boolean usable) {
-        Statement known = statementOf(upstream);
-        replace(upstream, known, new Statement(known.served(), usable));
+        ReportedVersions known = reportOf(upstream);
+        replace(upstream, known, new ReportedVersions(known.served(), usable));
     }
 
     /** Forgets every upstream that is not among the given ones. */
     public synchronized void retainAll(ImmutableSet<UpstreamName> declared) {
-        if (statements.keySet().retainAll(declared)) {
-            cached = false;
+        if (reports.keySet().retainAll(declared)) {
+            cacheValid = false;
         }
     }
 
     /** Returns the upstreams that stated anything. */
     public synchronized ImmutableSet<UpstreamName> known() {
-        return ImmutableSet.copyOf(statements.keySet());
+        return ImmutableSet.copyOf(reports.keySet());
     }
 
     /** Returns the map of the version to pin for a new query, or empty if no version is known. */
     public synchronized Optional<ShardMap> newest() {
-        if (!cached) {
+        if (!cacheValid) {
             cachedNewest = newestAfter(Long.MIN_VALUE);
-            cached = true;
+            cacheValid = true;
         }
         return cachedNewest;
     }
 
     /** Returns the same as {@link #newest} among the versions newer than the given one. */
     public synchronized Optional<ShardMap> newestAfter(long indexVersion) {
-        TreeMap<Long, VersionTally> tallies = new TreeMap<>();
-        statements.forEach((upstream, statement) -> {
-            for (ServedVersion version : statement.served()) {
+        TreeMap<Long, VersionCoverage> coverages = new TreeMap<>();
+        reports.forEach((upstream, report) -> {
+            for (ServedVersion version : report.served()) {
                 if (version.indexVersion() > indexVersion) {
-                    tallies.computeIfAbsent(version.indexVersion(), unused -> new VersionTally())
-                            .add(upstream, version, statement.usable());
+                    coverages
+                            .computeIfAbsent(version.indexVersion(), unused -> new VersionCoverage())
+                            .add(upstream, version, report.usable());
                 }
             }
         });
-        Optional<Map.Entry<Long, VersionTally>> best = Optional.empty();
-        for (Map.Entry<Long, VersionTally> candidate : tallies.descendingMap().entrySet()) {
+        Optional<Map.Entry<Long, VersionCoverage>> best = Optional.empty();
+        for (Map.Entry<Long, VersionCoverage> candidate :
+                coverages.descendingMap().entrySet()) {
             if (best.isEmpty()
                     || candidate.getValue().coverage() > best.get().getValue().coverage()) {
                 best = Optional.of(candidate);
@@ -99,24 +101,24 @@
         return best.map(entry -> entry.getValue().toMap(entry.getKey()));
     }
 
-    private Statement statementOf(UpstreamName upstream) {
-        return statements.getOrDefault(upstream, Statement.NONE);
+    private ReportedVersions reportOf(UpstreamName upstream) {
+        return reports.getOrDefault(upstream, ReportedVersions.NONE);
     }
 
-    private void replace(UpstreamName upstream, Statement known, Statement replacement) {
-        statements.put(upstream, replacement);
+    private void replace(UpstreamName upstream, ReportedVersions known, ReportedVersions replacement) {
+        reports.put(upstream, replacement);
         if (!known.equals(replacement)) {
-            cached = false;
+            cacheValid = false;
         }
     }
 
     /** What one upstream serves, and whether it may get new work. */
-    private record Statement(ImmutableSet<ServedVersion> served, boolean usable) {
-        static final Statement NONE = new Statement(ImmutableSet.of(), true);
+    private record ReportedVersions(ImmutableSet<ServedVersion> served, boolean usable) {
+        static final ReportedVersions NONE = new ReportedVersions(ImmutableSet.of(), true);
     }
 
     /** The replicas of one version. Upstreams that disagree on the number of shards go by the largest. */
-    private static final class VersionTally {
+    private static final class VersionCoverage {
         private final List<List<UpstreamName>> shards = new ArrayList<>();
         private final List<Boolean> covered = new ArrayList<>();
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/HomeRegions.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/HomeRegions.java
@@ -13,11 +13,11 @@
     /** Every region may. */
     public static final HomeRegions ANY = new HomeRegions(false, ImmutableSortedSet.of());
 
-    private final boolean bound;
+    private final boolean restricted;
     private final ImmutableSortedSet<String> regions;
 
-    private HomeRegions(boolean bound, ImmutableSortedSet<String> regions) {
-        this.bound = bound;
+    private HomeRegions(boolean restricted, ImmutableSortedSet<String> regions) {
+        this.restricted = restricted;
         this.regions = regions;
     }
 
@@ -28,15 +28,15 @@
 
     /** Returns true if the region may serve the request and see its body. */
     public boolean allows(String region) {
-        return !bound || regions.contains(region);
+        return !restricted || regions.contains(region);
     }
 
     /** Returns the regions that both allow, which may be none at all. */
     public HomeRegions intersect(HomeRegions other) {
-        if (!bound) {
+        if (!restricted) {
             return other;
         }
-        if (!other.bound) {
+        if (!other.restricted) {
             return this;
         }
         return new HomeRegions(true, ImmutableSortedSet.copyOf(Sets.intersection(regions, other.regions)));
@@ -44,12 +44,12 @@
 
     /** Returns true if every region may serve the request. */
     public boolean isUnrestricted() {
-        return !bound;
+        return !restricted;
     }
 
     /** Returns true if no region may serve the request. */
     public boolean allowsNone() {
-        return bound && regions.isEmpty();
+        return restricted && regions.isEmpty();
     }
 
     /** Returns the regions that are named; none if every region may serve the request. */
@@ -59,16 +59,16 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof HomeRegions that && bound == that.bound && regions.equals(that.regions);
+        return other instanceof HomeRegions that && restricted == that.restricted && regions.equals(that.regions);
     }
 
     @Override
     public int hashCode() {
-        return 31 * regions.hashCode() + Boolean.hashCode(bound);
+        return 31 * regions.hashCode() + Boolean.hashCode(restricted);
     }
 
     @Override
     public String toString() {
-        return bound ? regions.toString() : "anywhere";
+        return restricted ? regions.toString() : "anywhere";
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
@@ -25,14 +25,14 @@
     void theSharesOfAllHoldersInAllIncarnationsFitTheLimit(
             @ForAll @IntRange(min = 1, max = 100) int connections, @ForAll @IntRange(min = 0, max = 120) int hosts) {
         HolderAssignment assignment = HolderAssignment.compute(upstream(0), limits(connections), hosts(hosts));
-        int most = assignment.holders().size() * HolderAssignment.LIVES * assignment.share();
+        int most = assignment.holders().size() * HolderAssignment.MAX_INCARNATIONS * assignment.share();
         assertThat(most).isAtMost(connections);
-        assertThat(assignment.holders().size()).isAtMost(HolderAssignment.HOLDERS);
+        assertThat(assignment.holders().size()).isAtMost(HolderAssignment.MAX_HOLDERS);
     }
 
     /** Lives that begin and end at any moment: within the linger time after each, its connections still count. */
     @Property(tries = 1_000, seed = "12")
-    void noSequenceOfRestartsPassesTheLimit(@ForAll List<@IntRange(min = 1, max = 12_000) Integer> livesMs) {
+    void noSequenceOfRestartsPassesTheLimit(@ForAll List<@IntRange(min = 1, max = 12_000) Integer> lifetimesMs) {
         UpstreamLimits limits = limits(25);
         long delayMs =
                 Duration.ofNanos(HolderAssignment.startDelayNanos(limits)).toMillis();
@@ -40,12 +40,12 @@
         int share = HolderAssignment.compute(upstream(0), limits, hosts(1)).share();
         Map<Long, Integer> changes = new TreeMap<>();
         long startMs = 0;
-        for (int lifeMs : livesMs) {
-            if (lifeMs >= delayMs) {
+        for (int lifetimeMs : lifetimesMs) {
+            if (lifetimeMs >= delayMs) {
                 changes.merge(startMs + delayMs, share, Integer::sum);
-                changes.merge(startMs + lifeMs + lingerMs, -share, Integer::sum);
+                changes.merge(startMs + lifetimeMs + lingerMs, -share, Integer::sum);
             }
-            startMs += lifeMs;
+            startMs += lifetimeMs;
         }
         int open = 0;
         for (int change : changes.values()) {
@@ -55,13 +55,13 @@
     }
 
     @Test
-    void thirteenHostsAndTwentyFiveConnectionsLeaveEnoughForTheSlots() {
+    void thirteenHostsAndTwentyFiveConnectionsCoverTheSlots() {
         assertThat(HolderAssignment.compute(upstream(0), limits(25), hosts(13)).share())
                 .isAtLeast(2);
     }
 
     @Test
-    void everyHostComputesTheSameWhateverTheOrderOfTheList() {
+    void theOrderOfTheHostsDoesNotMatter() {
         ImmutableList<String> hosts = hosts(7);
         assertThat(HolderAssignment.compute(upstream(3), limits(25), hosts.reverse())
                         .holders())
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void upstreamsSpreadOverTheHostsOfAZone() {
+    void upstreamsAreSpreadOverTheHostsOfAZone() {
         Map<String, Integer> held = new HashMap<>();
         for (int number = 0; number < 500; number++) {
             HolderAssignment assignment = HolderAssignment.compute(upstream(number), limits(25), hosts(5));
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/ZoneHoldersTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/ZoneHoldersTest.java
@@ -17,8 +17,8 @@
     private static final ImmutableSortedSet<String> SERVICES = ImmutableSortedSet.copyOf(names("shard", 45));
 
     @Test
-    void holdersAreFewAndHaveEvenParts() {
-        Map<String, Integer> held = heldBy(HOSTS);
+    void holdersAreFewAndEvenlyLoaded() {
+        Map<String, Integer> held = countShardsByHolder(HOSTS);
         assertThat(held).hasSize(4);
         assertThat(Collections.max(held.values())).isAtMost(12);
     }
@@ -33,34 +33,34 @@
     }
 
     @Test
-    void aHostThatHoldsNothingLeavesWithoutMovingAnything() {
-        Map<String, Integer> held = heldBy(HOSTS);
+    void aHostWithoutShardsLeavesWithoutMovingAny() {
+        Map<String, Integer> held = countShardsByHolder(HOSTS);
         String idle = HOSTS.stream()
                 .filter(host -> !held.containsKey(host))
                 .findFirst()
                 .orElseThrow();
-        assertThat(moved(idle)).isEqualTo(0);
+        assertThat(countMoved(idle)).isEqualTo(0);
     }
 
     @Test
-    void aHolderThatLeavesMovesItsOwnShardsAndFewOthers() {
-        for (Map.Entry<String, Integer> holder : heldBy(HOSTS).entrySet()) {
-            assertThat(moved(holder.getKey())).isAtLeast(holder.getValue());
-            assertThat(moved(holder.getKey())).isAtMost(2 * holder.getValue() + 6);
+    void aHolderThatLeavesMovesItsShardsAndFewOthers() {
+        for (Map.Entry<String, Integer> holder : countShardsByHolder(HOSTS).entrySet()) {
+            assertThat(countMoved(holder.getKey())).isAtLeast(holder.getValue());
+            assertThat(countMoved(holder.getKey())).isAtMost(2 * holder.getValue() + 6);
         }
     }
 
     @Test
-    void everyShardHasHostsThatStandIn() {
+    void everyShardHasBackups() {
         ZoneHolders holders = ZoneHolders.compute(HOSTS, SERVICES);
         for (String service : SERVICES) {
-            assertThat(holders.of(service)).hasSize(ZoneHolders.NAMED_A_SHARD);
+            assertThat(holders.of(service)).hasSize(ZoneHolders.HOSTS_PER_SHARD);
             assertThat(holders.of(service)).containsNoDuplicates();
         }
     }
 
     @Test
-    void aZoneWithOneHostOrNoneIsNoError() {
+    void aZoneMayHaveOneHostOrNone() {
         assertThat(ZoneHolders.compute(ImmutableList.of("lone"), SERVICES).of("shard1"))
                 .containsExactly("lone");
         assertThat(ZoneHolders.compute(ImmutableList.of(), SERVICES).of("shard1"))
@@ -68,7 +68,7 @@
         assertThat(ZoneHolders.compute(HOSTS, SERVICES).of("unknown")).isEmpty();
     }
 
-    private static int moved(String gone) {
+    private static int countMoved(String gone) {
         ZoneHolders before = ZoneHolders.compute(HOSTS, SERVICES);
         ZoneHolders after = ZoneHolders.compute(
                 HOSTS.stream().filter(host -> !host.equals(gone)).toList(), SERVICES);
@@ -78,7 +78,7 @@
                 .count();
     }
 
-    private static Map<String, Integer> heldBy(Collection<String> hosts) {
+    private static Map<String, Integer> countShardsByHolder(Collection<String> hosts) {
         ZoneHolders holders = ZoneHolders.compute(hosts, SERVICES);
         Map<String, Integer> held = new HashMap<>();
         SERVICES.forEach(service -> held.merge(holders.of(service).get(0), 1, Integer::sum));
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
@@ -22,97 +22,103 @@
 
     @Test
     void theBoundHoldsUnderAllFaults() {
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            double over = drawn(seed, QuotaSimulation.Plant.NONE).worst();
-            if (over > 0) {
-                broken.add("seed " + seed + " " + troubles(seed) + ": over by " + over);
+            double excess = withRandomFaults(seed, QuotaSimulation.Defect.NONE).maxExcess();
+            if (excess > 0) {
+                violations.add("seed " + seed + " " + randomFaults(seed) + ": over by " + excess);
             }
         }
-        System.out.println("limits on rates: over the bound in " + broken.size() + " of " + SEEDS + " schedules");
-        assertThat(broken).isEmpty();
+        System.out.println("limits on rates: over the bound in " + violations.size() + " of " + SEEDS + " schedules");
+        assertThat(violations).isEmpty();
     }
 
     @Test
     void aTeamWithinItsLimitIsNotRefused() {
-        int asked = 0;
+        int entitled = 0;
         int refused = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
-            QuotaSimulation world = calm(seed, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Plant.NONE);
-            asked += world.owed();
-            refused += world.owedRefused();
+            QuotaSimulation simulation =
+                    withoutFaults(seed, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Defect.NONE);
+            entitled += simulation.entitled();
+            refused += simulation.entitledRefused();
         }
-        System.out.println("limits on rates: refused below the limit " + refused + " of " + asked);
-        assertThat(refused * 1_000.0 / asked).isLessThan(1.0);
+        System.out.println("limits on rates: refused below the limit " + refused + " of " + entitled);
+        assertThat(refused * 1_000.0 / entitled).isLessThan(1.0);
     }
 
     /** Hosts that are killed or stopped in turn, and control that is lost, leave the others in touch. */
     @Test
     void aTeamWithinItsLimitIsNotRefusedWhileHostsComeAndGo() {
-        int asked = 0;
+        int entitled = 0;
         int refused = 0;
-        for (QuotaSimulation.Trouble trouble : List.of(
-                QuotaSimulation.Trouble.KILL, QuotaSimulation.Trouble.ROLL, QuotaSimulation.Trouble.CONTROL_LOST)) {
+        for (QuotaSimulation.Fault fault : List.of(
+                QuotaSimulation.Fault.KILL_HOST,
+                QuotaSimulation.Fault.ROLLING_RESTART,
+                QuotaSimulation.Fault.LOSE_CONTROL_LEADER)) {
             for (int seed = FIRST_SEED; seed < FIRST_SEED + 5; seed++) {
                 QuotaSimulation.Demand usual = new QuotaSimulation.Demand(0.625, 0);
-                QuotaSimulation world =
-                        new QuotaSimulation(seed, EnumSet.of(trouble), 63, 8, usual, QuotaSimulation.Plant.NONE).play();
-                asked += world.owed();
-                refused += world.owedRefused();
+                QuotaSimulation simulation =
+                        new QuotaSimulation(seed, EnumSet.of(fault), 63, 8, usual, QuotaSimulation.Defect.NONE).run();
+                entitled += simulation.entitled();
+                refused += simulation.entitledRefused();
             }
         }
-        System.out.println("limits on rates: refused while hosts come and go " + refused + " of " + asked);
-        assertThat(refused * 1_000.0 / asked).isLessThan(1.0);
+        System.out.println("limits on rates: refused while hosts come and go " + refused + " of " + entitled);
+        assertThat(refused * 1_000.0 / entitled).isLessThan(1.0);
     }
 
     @Test
     void aTeamCanUseItsWholeLimit() {
-        double least = 1;
+        double minUtilization = 1;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
-            least = Math.min(
-                    least,
-                    calm(seed, new QuotaSimulation.Demand(3, 0), QuotaSimulation.Plant.NONE)
-                            .use("t0", 3, 16));
+            minUtilization = Math.min(
+                    minUtilization,
+                    withoutFaults(seed, new QuotaSimulation.Demand(3, 0), QuotaSimulation.Defect.NONE)
+                            .utilization("t0", 3, 16));
         }
-        System.out.println("limits on rates: least use " + least);
-        assertThat(least).isAtLeast(0.95);
+        System.out.println("limits on rates: least use " + minUtilization);
+        assertThat(minUtilization).isAtLeast(0.95);
     }
 
     @Test
-    void plantedFaultsAreFound() {
-        for (QuotaSimulation.Plant plant : List.of(
-                QuotaSimulation.Plant.NOTHING_REPORTED,
-                QuotaSimulation.Plant.NOTHING_TOLD,
-                QuotaSimulation.Plant.ALONE_IS_FREE)) {
-            boolean found = false;
-            for (int seed = 0; seed < 300 && !found; seed++) {
-                found = drawn(seed, plant).worst() > 0;
+    void injectedDefectsAreDetected() {
+        for (QuotaSimulation.Defect defect : List.of(
+                QuotaSimulation.Defect.NOTHING_REPORTED,
+                QuotaSimulation.Defect.NO_HISTORY_REPORTED,
+                QuotaSimulation.Defect.ISOLATED_UNLIMITED)) {
+            boolean detected = false;
+            for (int seed = 0; seed < 300 && !detected; seed++) {
+                detected = withRandomFaults(seed, defect).maxExcess() > 0;
             }
-            assertThat(found ? plant : null).isEqualTo(plant);
+            assertThat(detected ? defect : null).isEqualTo(defect);
         }
-        QuotaSimulation world = calm(1, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Plant.NOTHING_PERMITTED);
-        assertThat(world.owedRefused() * 1_000.0 / world.owed()).isGreaterThan(1.0);
-        assertThat(world.use("t0", 3, 16)).isLessThan(0.95);
+        QuotaSimulation simulation =
+                withoutFaults(1, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Defect.NOTHING_PERMITTED);
+        assertThat(simulation.entitledRefused() * 1_000.0 / simulation.entitled())
+                .isGreaterThan(1.0);
+        assertThat(simulation.utilization("t0", 3, 16)).isLessThan(0.95);
     }
 
-    private static QuotaSimulation calm(int seed, QuotaSimulation.Demand demand, QuotaSimulation.Plant plant) {
-        return new QuotaSimulation(seed, EnumSet.noneOf(QuotaSimulation.Trouble.class), 9, 12, demand, plant).play();
+    private static QuotaSimulation withoutFaults(
+            int seed, QuotaSimulation.Demand demand, QuotaSimulation.Defect defect) {
+        return new QuotaSimulation(seed, EnumSet.noneOf(QuotaSimulation.Fault.class), 9, 12, demand, defect).run();
     }
 
-    private static QuotaSimulation drawn(int seed, QuotaSimulation.Plant plant) {
+    private static QuotaSimulation withRandomFaults(int seed, QuotaSimulation.Defect defect) {
         int hosts = seed % 20 == 0 ? 63 : 6 + seed % 7;
-        return new QuotaSimulation(seed, troubles(seed), hosts, 8, HOT, plant).play();
+        return new QuotaSimulation(seed, randomFaults(seed), hosts, 8, HOT, defect).run();
     }
 
     /** Returns troubles that may come together; any of them may be left out. */
-    private static EnumSet<QuotaSimulation.Trouble> troubles(long seed) {
+    private static EnumSet<QuotaSimulation.Fault> randomFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        EnumSet<QuotaSimulation.Trouble> troubles = EnumSet.noneOf(QuotaSimulation.Trouble.class);
-        for (QuotaSimulation.Trouble trouble : QuotaSimulation.Trouble.values()) {
+        EnumSet<QuotaSimulation.Fault> faults = EnumSet.noneOf(QuotaSimulation.Fault.class);
+        for (QuotaSimulation.Fault fault : QuotaSimulation.Fault.values()) {
             if (random.nextInt(4) == 0) {
-                troubles.add(trouble);
+                faults.add(fault);
             }
         }
-        return troubles;
+        return faults;
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
@@ -16,11 +16,11 @@
     private static final int TEAMS = 630;
 
     @Test
-    void theOrderOfTheTablesChangesNothing() {
-        List<String> turned = new ArrayList<>(hosts(HOSTS));
-        Collections.reverse(turned);
+    void theOrderOfTheHostsDoesNotMatter() {
+        List<String> reversed = new ArrayList<>(hosts(HOSTS));
+        Collections.reverse(reversed);
         QuotaServerOrder one = new QuotaServerOrder(hosts(HOSTS));
-        QuotaServerOrder other = new QuotaServerOrder(turned);
+        QuotaServerOrder other = new QuotaServerOrder(reversed);
         for (int team = 0; team < TEAMS; team++) {
             String owner = one.ownerOf("team-" + team);
             assertThat(other.ownerOf("team-" + team)).isEqualTo(owner);
@@ -32,15 +32,15 @@
     void aHostThatLeavesMovesOnlyItsOwnTeams() {
         QuotaServerOrder before = new QuotaServerOrder(hosts(HOSTS));
         QuotaServerOrder after = new QuotaServerOrder(hosts(HOSTS - 1));
-        Map<String, Integer> teams = new HashMap<>();
+        Map<String, Integer> teamsByOwner = new HashMap<>();
         for (int team = 0; team < TEAMS; team++) {
             String owner = before.ownerOf("team-" + team);
-            teams.merge(owner, 1, Integer::sum);
+            teamsByOwner.merge(owner, 1, Integer::sum);
             if (!owner.equals("host-" + (HOSTS - 1))) {
                 assertThat(after.ownerOf("team-" + team)).isEqualTo(owner);
             }
         }
-        assertThat(Collections.max(teams.values())).isLessThan(4 * TEAMS / HOSTS);
+        assertThat(Collections.max(teamsByOwner.values())).isLessThan(4 * TEAMS / HOSTS);
     }
 
     private static ImmutableList<String> hosts(int count) {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaSimulation.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaSimulation.java
@@ -33,136 +33,136 @@
  */
 final class QuotaSimulation {
     /** What may happen beside requests. */
-    enum Trouble {
+    enum Fault {
         /** Hosts are killed and start again. */
-        KILL,
+        KILL_HOST,
         /** Half of the hosts are killed at one moment. */
-        HERD_KILL,
+        KILL_HALF,
         /** All hosts are killed at one moment. */
-        ALL_KILLED,
+        KILL_ALL,
         /** Hosts are stopped and started in turn. */
-        ROLL,
+        ROLLING_RESTART,
         /** Hosts stand still for seconds, and their clocks leave that out. */
-        FREEZE,
+        FREEZE_HOSTS,
         /** Single hosts are cut off from all others and from control. */
-        CUT,
+        ISOLATE_HOSTS,
         /** A third of the hosts is cut off from the others and from control. */
-        REGION_CUT,
+        ISOLATE_REGION,
         /** Control has no leader. */
-        CONTROL_LOST,
+        LOSE_CONTROL_LEADER,
         /** Limits are raised and lowered. */
-        LIMITS,
+        CHANGE_LIMITS,
         /** Some messages take longer, or are lost. */
         SLOW_MESSAGES
     }
 
     /** A fault of the product, planted to see that the checks find it. */
-    enum Plant {
+    enum Defect {
         NONE,
         /** Hosts never report. */
         NOTHING_REPORTED,
         /** A new keeper is told nothing of what was spent before. */
-        NOTHING_TOLD,
+        NO_HISTORY_REPORTED,
         /** Hosts that reach no keeper make every request. */
-        ALONE_IS_FREE,
+        ISOLATED_UNLIMITED,
         /** Whoever keeps account has every request asked for and permits none. */
         NOTHING_PERMITTED
     }
 
     /** How often a team's callers come, in parts of its limit. */
-    record Demand(double usual, double hot) {}
+    record Demand(double normal, double peak) {}
 
     static final QuotaBound BOUND = new QuotaBound(Duration.ofSeconds(5), 0.1, 20);
-    private static final long SECOND = 1_000_000;
-    private static final long LENGTH = 16 * SECOND;
-    private static final long WINDOW =
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long LENGTH_MICROS = 16 * SECOND_MICROS;
+    private static final long WINDOW_MICROS =
             TimeUnit.MILLISECONDS.toMicros(BOUND.window().toMillis());
-    private static final long DROPPED_AFTER = 6 * SECOND;
-    private static final long CONTROL_SILENCE = SECOND * 1_100 / 1_000;
+    private static final long MEMBER_TIMEOUT_MICROS = 6 * SECOND_MICROS;
+    private static final long CONTROL_TIMEOUT_MICROS = SECOND_MICROS * 1_100 / 1_000;
     private static final int REGIONS = 3;
     /** A team that keeps to this part of its limit is owed every request. */
-    private static final double KEPT = 0.9;
+    private static final double ENTITLED_SHARE = 0.9;
 
     private final SplittableRandom random;
-    private final Plant plant;
+    private final Defect defect;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<Host> hosts = new ArrayList<>();
     private final Map<String, RateLimit> limits = new HashMap<>();
     private final Map<String, List<Long>> runs = new HashMap<>();
-    private final Map<String, Integer> asked = new HashMap<>();
+    private final Map<String, Integer> requested = new HashMap<>();
     private final Map<String, Integer> refused = new HashMap<>();
     private final List<LimitsVersion> versions = new ArrayList<>();
-    private final Set<Host> listed = new HashSet<>();
+    private final Set<Host> listedHosts = new HashSet<>();
     private final Map<String, Double> levels = new HashMap<>();
-    private final Map<String, Long> cameAt = new HashMap<>();
-    private final Set<Long> owed = new HashSet<>();
-    private int owedRefused;
+    private final Map<String, Long> lastArrivalMicros = new HashMap<>();
+    private final Set<Long> entitled = new HashSet<>();
+    private int entitledRefused;
     private boolean slowMessages;
-    private boolean controlLost;
-    private long now;
-    private long order;
-    private long tickets;
+    private boolean controlLeaderLost;
+    private long nowMicros;
+    private long nextSequence;
+    private long nextTicket;
     private int messages;
 
-    QuotaSimulation(long seed, EnumSet<Trouble> troubles, int hostCount, int teamCount, Demand demand, Plant plant) {
+    QuotaSimulation(long seed, EnumSet<Fault> faults, int hostCount, int teamCount, Demand demand, Defect defect) {
         this.random = new SplittableRandom(seed);
-        this.plant = plant;
+        this.defect = defect;
         for (int number = 0; number < hostCount; number++) {
             hosts.add(new Host("h" + number, number % REGIONS));
         }
-        listed.addAll(hosts);
+        listedHosts.addAll(hosts);
         for (int number = 0; number < teamCount; number++) {
             // Zipf's law with exponent 1.2, as seen at the users' sites, with sixty requests a second in all.
             double perSecond = 28 / Math.pow(number + 1, 1.2);
             limits.put("t" + number, new RateLimit(perSecond, perSecond / 2));
         }
-        versions.add(new LimitsVersion(-10 * SECOND));
+        versions.add(new LimitsVersion(-10 * SECOND_MICROS));
         // Hosts have run for longer than the window before the first request.
-        hosts.forEach(host -> host.start(-10 * SECOND));
-        hosts.forEach(Host::follow);
-        limits.keySet().forEach(team -> drawDemand(team, demand));
-        troubles.forEach(this::draw);
+        hosts.forEach(host -> host.start(-10 * SECOND_MICROS));
+        hosts.forEach(Host::followControl);
+        limits.keySet().forEach(team -> scheduleRequests(team, demand));
+        faults.forEach(this::scheduleFault);
     }
 
-    QuotaSimulation play() {
-        while (!events.isEmpty() && events.peek().at <= LENGTH) {
+    QuotaSimulation run() {
+        while (!events.isEmpty() && events.peek().at <= LENGTH_MICROS) {
             Event next = events.poll();
-            now = next.at;
+            nowMicros = next.at;
             next.task.run();
         }
         return this;
     }
 
     /** Returns by how many requests the worst window of any team was over the bound; not above 0 if none was. */
-    double worst() {
-        double worst = -Double.MAX_VALUE;
+    double maxExcess() {
+        double max = -Double.MAX_VALUE;
         for (String team : limits.keySet()) {
-            worst = Math.max(worst, worst(team));
+            max = Math.max(max, maxExcess(team));
         }
-        return worst;
+        return max;
     }
 
     private RateLimit limit(String team) {
         return requireNonNull(limits.get(team));
     }
 
-    private double worst(String team) {
+    private double maxExcess(String team) {
         List<Long> times = runs.getOrDefault(team, List.of()).stream().sorted().toList();
-        double worst = -Double.MAX_VALUE;
+        double max = -Double.MAX_VALUE;
         int first = 0;
         for (int last = 0; last < times.size(); last++) {
-            while (times.get(last) - times.get(first) >= WINDOW) {
+            while (times.get(last) - times.get(first) >= WINDOW_MICROS) {
                 first++;
             }
-            worst = Math.max(worst, last - first + 1 - bound(team, times.get(first), times.get(last)));
+            max = Math.max(max, last - first + 1 - bound(team, times.get(first), times.get(last)));
         }
-        return worst;
+        return max;
     }
 
     /** A limit counts until a window after the last host that is up has learnt of another one. */
     private double bound(String team, long from, long to) {
         return versions.stream()
-                .filter(version -> version.since <= to && version.lastHeld() + WINDOW >= from)
+                .filter(version -> version.since <= to && version.lastHeldMicros() + WINDOW_MICROS >= from)
                 .mapToDouble(version -> BOUND.maxRequests(requireNonNull(version.limits.get(team))))
                 .max()
                 .orElseThrow();
@@ -173,26 +173,26 @@
         private final long since;
         private final Map<String, RateLimit> limits = new HashMap<>(QuotaSimulation.this.limits);
         private final Set<Host> holders = new HashSet<>();
-        private long lastLeft;
+        private long lastReleasedMicros;
 
         LimitsVersion(long since) {
             this.since = since;
-            this.lastLeft = since;
+            this.lastReleasedMicros = since;
         }
 
-        long lastHeld() {
-            return holders.isEmpty() ? lastLeft : Long.MAX_VALUE / 2;
+        long lastHeldMicros() {
+            return holders.isEmpty() ? lastReleasedMicros : Long.MAX_VALUE / 2;
         }
 
-        void leave(Host host) {
+        void release(Host host) {
             if (holders.remove(host)) {
-                lastLeft = now;
+                lastReleasedMicros = nowMicros;
             }
         }
     }
 
-    int asked() {
-        return asked.values().stream().mapToInt(Integer::intValue).sum();
+    int requested() {
+        return requested.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     int refused() {
@@ -200,19 +200,19 @@
     }
 
     /** Returns how many requests came of teams that had kept to 0.9 of their limits. */
-    int owed() {
-        return owed.size();
+    int entitled() {
+        return entitled.size();
     }
 
     /** Returns how many of these were refused. */
-    int owedRefused() {
-        return owedRefused;
+    int entitledRefused() {
+        return entitledRefused;
     }
 
     /** Returns the share of a team's limit that it used from one second to another. */
-    double use(String team, int fromSecond, int toSecond) {
+    double utilization(String team, int fromSecond, int toSecond) {
         long count = runs.getOrDefault(team, List.of()).stream()
-                .filter(at -> at >= fromSecond * SECOND && at < toSecond * SECOND)
+                .filter(at -> at >= fromSecond * SECOND_MICROS && at < toSecond * SECOND_MICROS)
                 .count();
         return count / (limit(team).perSecond() * (toSecond - fromSecond));
     }
@@ -223,147 +223,152 @@
     }
 
     /** Callers come at random; for some seconds, some teams send many times as much, and some to one region only. */
-    private void drawDemand(String team, Demand demand) {
-        boolean hot = demand.hot() > 0 && random.nextInt(2) == 0;
-        long hotFrom = SECOND * random.nextInt(10);
-        long hotTo = hotFrom + 2 * SECOND + random.nextLong(6 * SECOND);
-        int onlyRegion = random.nextInt(2 * REGIONS);
+    private void scheduleRequests(String team, Demand demand) {
+        boolean hasPeak = demand.peak() > 0 && random.nextInt(2) == 0;
+        long peakFrom = SECOND_MICROS * random.nextInt(10);
+        long peakTo = peakFrom + 2 * SECOND_MICROS + random.nextLong(6 * SECOND_MICROS);
+        int peakRegion = random.nextInt(2 * REGIONS);
         long at = 0;
-        while (at < LENGTH) {
-            boolean isHot = hot && at >= hotFrom && at < hotTo;
-            double perSecond = limit(team).perSecond() * (isHot ? demand.hot() : demand.usual());
-            at += (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
-            int region = isHot ? onlyRegion : REGIONS;
-            at(at, () -> arrive(team, region));
+        while (at < LENGTH_MICROS) {
+            boolean inPeak = hasPeak && at >= peakFrom && at < peakTo;
+            double perSecond = limit(team).perSecond() * (inPeak ? demand.peak() : demand.normal());
+            at += (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_MICROS);
+            int region = inPeak ? peakRegion : REGIONS;
+            schedule(at, () -> route(team, region));
         }
     }
 
     /** Returns true if all that a team's callers sent so far keeps to a part of its limit. */
-    private boolean keepsToLimit(String team) {
+    private boolean isWithinLimit(String team) {
         RateLimit limit = limit(team);
-        double most = Math.max(1, KEPT * limit.burst());
-        double refill = KEPT * limit.perSecond() * (now - cameAt.getOrDefault(team, 0L)) / SECOND;
-        double level = Math.min(most, levels.getOrDefault(team, most) + refill) - 1;
+        double maxLevel = Math.max(1, ENTITLED_SHARE * limit.burst());
+        double refill = ENTITLED_SHARE
+                * limit.perSecond()
+                * (nowMicros - lastArrivalMicros.getOrDefault(team, 0L))
+                / SECOND_MICROS;
+        double level = Math.min(maxLevel, levels.getOrDefault(team, maxLevel) + refill) - 1;
         levels.put(team, level);
-        cameAt.put(team, now);
+        lastArrivalMicros.put(team, nowMicros);
         return level >= 0;
     }
 
-    private void arrive(String team, int region) {
-        List<Host> open = hosts.stream()
+    private void route(String team, int region) {
+        List<Host> ready = hosts.stream()
                 .filter(host -> host.up && host.ready && (region >= REGIONS || host.region == region))
                 .toList();
-        if (!open.isEmpty()) {
-            open.get(random.nextInt(open.size())).arrive(team);
+        if (!ready.isEmpty()) {
+            ready.get(random.nextInt(ready.size())).handleRequest(team);
         }
     }
 
-    private void draw(Trouble trouble) {
-        long from = SECOND / 2 + random.nextLong(8 * SECOND);
-        long length = SECOND / 4 + random.nextLong(6 * SECOND);
-        Host one = hosts.get(random.nextInt(hosts.size()));
-        switch (trouble) {
-            case KILL -> kill(one, from, length / 2);
-            case HERD_KILL ->
+    private void scheduleFault(Fault fault) {
+        long from = SECOND_MICROS / 2 + random.nextLong(8 * SECOND_MICROS);
+        long length = SECOND_MICROS / 4 + random.nextLong(6 * SECOND_MICROS);
+        Host chosen = hosts.get(random.nextInt(hosts.size()));
+        switch (fault) {
+            case KILL_HOST -> kill(chosen, from, length / 2);
+            case KILL_HALF ->
                 hosts.stream()
                         .filter(host -> random.nextBoolean())
-                        .forEach(host -> kill(host, from, SECOND / 2 + random.nextLong(2 * SECOND)));
-            case ALL_KILLED -> hosts.forEach(host -> kill(host, from, SECOND / 2 + random.nextLong(2 * SECOND)));
-            case ROLL -> roll(from);
-            case FREEZE ->
+                        .forEach(host -> kill(host, from, SECOND_MICROS / 2 + random.nextLong(2 * SECOND_MICROS)));
+            case KILL_ALL ->
+                hosts.forEach(host -> kill(host, from, SECOND_MICROS / 2 + random.nextLong(2 * SECOND_MICROS)));
+            case ROLLING_RESTART -> rollingRestart(from);
+            case FREEZE_HOSTS ->
                 hosts.stream()
-                        .filter(host -> host == one || random.nextInt(6) == 0)
-                        .forEach(host -> freeze(host, from + random.nextLong(SECOND), length));
-            case CUT ->
+                        .filter(host -> host == chosen || random.nextInt(6) == 0)
+                        .forEach(host -> freeze(host, from + random.nextLong(SECOND_MICROS), length));
+            case ISOLATE_HOSTS ->
                 hosts.stream()
-                        .filter(host -> host == one || random.nextInt(6) == 0)
-                        .forEach(host -> cut(host, 10 + hosts.indexOf(host), from + random.nextLong(SECOND), length));
-            case REGION_CUT ->
-                hosts.stream().filter(host -> host.region == 0).forEach(host -> cut(host, 1, from, length));
-            case CONTROL_LOST -> {
-                at(from, () -> controlLost = true);
-                at(from + length, () -> {
-                    controlLost = false;
+                        .filter(host -> host == chosen || random.nextInt(6) == 0)
+                        .forEach(host ->
+                                isolate(host, 10 + hosts.indexOf(host), from + random.nextLong(SECOND_MICROS), length));
+            case ISOLATE_REGION ->
+                hosts.stream().filter(host -> host.region == 0).forEach(host -> isolate(host, 1, from, length));
+            case LOSE_CONTROL_LEADER -> {
+                schedule(from, () -> controlLeaderLost = true);
+                schedule(from + length, () -> {
+                    controlLeaderLost = false;
                     // A host that begins to lead gives every member a full period of grace.
-                    hosts.forEach(host -> host.heard = now);
+                    hosts.forEach(host -> host.lastContactMicros = nowMicros);
                 });
             }
-            case LIMITS -> drawLimits(from, length);
+            case CHANGE_LIMITS -> scheduleLimitChanges(from, length);
             case SLOW_MESSAGES -> {
-                at(from, () -> slowMessages = true);
-                at(from + length, () -> slowMessages = false);
+                schedule(from, () -> slowMessages = true);
+                schedule(from + length, () -> slowMessages = false);
             }
-            default -> throw new AssertionError(trouble);
+            default -> throw new AssertionError(fault);
         }
     }
 
-    private void drawLimits(long from, long length) {
+    private void scheduleLimitChanges(long from, long length) {
         Map<String, RateLimit> before = new HashMap<>(limits);
-        Map<String, RateLimit> others = new HashMap<>();
+        Map<String, RateLimit> changed = new HashMap<>();
         before.forEach((team, limit) -> {
             double factor = random.nextBoolean() ? 2 : 0.5;
-            others.put(team, new RateLimit(limit.perSecond() * factor, limit.burst() * factor));
+            changed.put(team, new RateLimit(limit.perSecond() * factor, limit.burst() * factor));
         });
-        at(from, () -> putLimits(others));
-        at(from + length, () -> putLimits(before));
+        schedule(from, () -> setLimits(changed));
+        schedule(from + length, () -> setLimits(before));
     }
 
-    private void putLimits(Map<String, RateLimit> changed) {
+    private void setLimits(Map<String, RateLimit> changed) {
         limits.putAll(changed);
-        versions.add(new LimitsVersion(now));
+        versions.add(new LimitsVersion(nowMicros));
     }
 
     private void kill(Host host, long from, long length) {
-        at(from, host::kill);
-        at(from + length, () -> host.start(now));
+        schedule(from, host::kill);
+        schedule(from + length, () -> host.start(nowMicros));
     }
 
     private void freeze(Host host, long from, long length) {
-        at(from, () -> host.frozen = true);
-        at(from + length, () -> host.wakeUp(length));
+        schedule(from, () -> host.frozen = true);
+        schedule(from + length, () -> host.unfreeze(length));
     }
 
-    private void cut(Host host, int side, long from, long length) {
-        at(from, () -> host.side = side);
-        at(from + length, () -> host.side = 0);
+    private void isolate(Host host, int partition, long from, long length) {
+        schedule(from, () -> host.partition = partition);
+        schedule(from + length, () -> host.partition = 0);
     }
 
-    private void roll(long from) {
+    private void rollingRestart(long from) {
         long at = from;
         for (Host host : hosts) {
-            at(at, () -> listed.remove(host));
-            at(at + 3 * SECOND, host::kill);
-            at(at + 4 * SECOND, () -> host.start(now));
-            at += SECOND * 13 / 10;
+            schedule(at, () -> listedHosts.remove(host));
+            schedule(at + 3 * SECOND_MICROS, host::kill);
+            schedule(at + 4 * SECOND_MICROS, () -> host.start(nowMicros));
+            at += SECOND_MICROS * 13 / 10;
         }
     }
 
-    private void at(long time, Runnable task) {
-        events.add(new Event(time, order++, task));
+    private void schedule(long time, Runnable task) {
+        events.add(new Event(time, nextSequence++, task));
     }
 
     private boolean connected(Host one, Host other) {
-        return one.up && other.up && one.side == other.side;
+        return one.up && other.up && one.partition == other.partition;
     }
 
-    private long way(Host from, Host to) {
+    private long latencyMicros(Host from, Host to) {
         if (from == to) {
             return 0;
         }
-        long usual = from.region == to.region ? SECOND * 9 / 10_000 : SECOND * 8 / 1_000;
-        long late = slowMessages && random.nextInt(5) == 0 ? random.nextLong(SECOND / 10) : 0;
-        return usual + random.nextLong(SECOND * 2 / 1_000) + late;
+        long base = from.region == to.region ? SECOND_MICROS * 9 / 10_000 : SECOND_MICROS * 8 / 1_000;
+        long delay = slowMessages && random.nextInt(5) == 0 ? random.nextLong(SECOND_MICROS / 10) : 0;
+        return base + random.nextLong(SECOND_MICROS * 2 / 1_000) + delay;
     }
 
     private @Nullable Host host(String name) {
         return hosts.stream().filter(host -> host.name.equals(name)).findFirst().orElse(null);
     }
 
-    private record Event(long at, long order, Runnable task) implements Comparable<Event> {
+    private record Event(long at, long sequence, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Long.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -372,159 +377,159 @@
         private final String name;
         private final int region;
         private final Map<Long, String> teamsByTicket = new HashMap<>();
-        private final Deque<Runnable> whileFrozen = new ArrayDeque<>();
-        private final Map<Long, Host> askers = new HashMap<>();
-        private QuotaClient spender;
-        private QuotaServer keeper;
-        private int life;
-        private int side;
+        private final Deque<Runnable> deferredTasks = new ArrayDeque<>();
+        private final Map<Long, Host> reporters = new HashMap<>();
+        private QuotaClient client;
+        private QuotaServer server;
+        private int incarnation;
+        private int partition;
         private boolean up;
         private boolean ready;
         private boolean frozen;
-        private long leftOut;
-        private long lastCurrent;
-        private ImmutableSet<String> known = ImmutableSet.of();
-        private Map<String, RateLimit> learnt = new HashMap<>();
-        private boolean current;
-        private long heard;
+        private long frozenMicros;
+        private long lastReachableMicros;
+        private ImmutableSet<String> knownHosts = ImmutableSet.of();
+        private Map<String, RateLimit> knownLimits = new HashMap<>();
+        private boolean controlReachable;
+        private long lastContactMicros;
 
         Host(String name, int region) {
             this.name = name;
             this.region = region;
-            this.spender = new QuotaClient(name, BOUND, new SplittableRandom(1), 0);
-            this.keeper = new QuotaServer(name, BOUND, 0);
+            this.client = new QuotaClient(name, BOUND, new SplittableRandom(1), 0);
+            this.server = new QuotaServer(name, BOUND, 0);
         }
 
         long nanos() {
-            return TimeUnit.MICROSECONDS.toNanos(now - leftOut) + TimeUnit.DAYS.toNanos(1);
+            return TimeUnit.MICROSECONDS.toNanos(nowMicros - frozenMicros) + TimeUnit.DAYS.toNanos(1);
         }
 
-        void start(long began) {
+        void start(long startMicros) {
             up = true;
             frozen = false;
-            ready = began < 0;
-            current = began < 0;
-            life++;
-            long nanos = TimeUnit.MICROSECONDS.toNanos(began - leftOut) + TimeUnit.DAYS.toNanos(1);
-            spender = new QuotaClient(name, BOUND, new SplittableRandom(random.nextLong()), nanos);
-            keeper = new QuotaServer(name, BOUND, nanos);
+            ready = startMicros < 0;
+            controlReachable = startMicros < 0;
+            incarnation++;
+            long nanos = TimeUnit.MICROSECONDS.toNanos(startMicros - frozenMicros) + TimeUnit.DAYS.toNanos(1);
+            client = new QuotaClient(name, BOUND, new SplittableRandom(random.nextLong()), nanos);
+            server = new QuotaServer(name, BOUND, nanos);
             teamsByTicket.clear();
-            askers.clear();
-            whileFrozen.clear();
-            known = ImmutableSet.of();
-            lastCurrent = now;
-            heard = now;
-            if (began < 0) {
-                learn();
+            reporters.clear();
+            deferredTasks.clear();
+            knownHosts = ImmutableSet.of();
+            lastReachableMicros = nowMicros;
+            lastContactMicros = nowMicros;
+            if (startMicros < 0) {
+                applyTables();
             }
-            takeOut();
+            performActions();
         }
 
         void kill() {
             up = false;
             ready = false;
-            life++;
-            versions.forEach(version -> version.leave(this));
+            incarnation++;
+            versions.forEach(version -> version.release(this));
         }
 
-        void wakeUp(long length) {
+        void unfreeze(long lengthMicros) {
             if (!frozen) {
                 return;
             }
             frozen = false;
-            leftOut += length;
-            if (length >= SECOND * 4 / 10) {
-                spender.handleSuspension(nanos());
-                keeper.handleSuspension(nanos());
+            frozenMicros += lengthMicros;
+            if (lengthMicros >= SECOND_MICROS * 4 / 10) {
+                client.handleSuspension(nanos());
+                server.handleSuspension(nanos());
             }
-            while (!whileFrozen.isEmpty()) {
-                whileFrozen.remove().run();
+            while (!deferredTasks.isEmpty()) {
+                deferredTasks.remove().run();
             }
-            takeOut();
+            performActions();
         }
 
         /** Follows the tables, which drop hosts that were silent for long. */
-        void follow() {
-            boolean reached = up && !frozen && side == 0 && !controlLost;
+        void followControl() {
+            boolean reached = up && !frozen && partition == 0 && !controlLeaderLost;
             if (reached) {
-                heard = now;
-                lastCurrent = now;
-                listed.add(this);
-            } else if (!controlLost && now - heard > DROPPED_AFTER) {
-                listed.remove(this);
+                lastContactMicros = nowMicros;
+                lastReachableMicros = nowMicros;
+                listedHosts.add(this);
+            } else if (!controlLeaderLost && nowMicros - lastContactMicros > MEMBER_TIMEOUT_MICROS) {
+                listedHosts.remove(this);
             }
             if (up && !frozen) {
                 if (reached) {
-                    learn();
+                    applyTables();
                     ready = true;
                 }
-                boolean isCurrent = ready && (reached || now - lastCurrent < CONTROL_SILENCE);
-                if (isCurrent != current) {
-                    current = isCurrent;
-                    spender.setControlReachable(isCurrent);
-                    keeper.setControlReachable(isCurrent, nanos());
+                boolean nowReachable = ready && (reached || nowMicros - lastReachableMicros < CONTROL_TIMEOUT_MICROS);
+                if (nowReachable != controlReachable) {
+                    controlReachable = nowReachable;
+                    client.setControlReachable(nowReachable);
+                    server.setControlReachable(nowReachable, nanos());
                 }
-                keeper.wake(nanos());
-                spender.wake(nanos());
-                takeOut();
+                server.wake(nanos());
+                client.wake(nanos());
+                performActions();
             }
-            at(now + SECOND / 20 + random.nextLong(SECOND / 10), this::follow);
+            schedule(nowMicros + SECOND_MICROS / 20 + random.nextLong(SECOND_MICROS / 10), this::followControl);
         }
 
-        private void learn() {
+        private void applyTables() {
             ImmutableSet<String> names = hosts.stream()
-                    .filter(listed::contains)
+                    .filter(listedHosts::contains)
                     .map(host -> host.name)
                     .collect(ImmutableSet.toImmutableSet());
             List<Team> teams = limits.entrySet().stream()
                     .map(limit -> new Team(
                             limit.getKey(), ImmutableSet.of(), OptionalInt.empty(), limit.getValue(), HomeRegions.ANY))
                     .toList();
-            keeper.setTeams(Teams.of(teams));
-            versions.forEach(version -> version.leave(this));
+            server.setTeams(Teams.of(teams));
+            versions.forEach(version -> version.release(this));
             versions.get(versions.size() - 1).holders.add(this);
-            learnt = new HashMap<>(limits);
-            if (!names.equals(known)) {
-                known = names;
-                keeper.setHosts(ImmutableList.copyOf(names), nanos());
-                spender.setHosts(ImmutableList.copyOf(names), nanos());
+            knownLimits = new HashMap<>(limits);
+            if (!names.equals(knownHosts)) {
+                knownHosts = names;
+                server.setHosts(ImmutableList.copyOf(names), nanos());
+                client.setHosts(ImmutableList.copyOf(names), nanos());
             }
-            spender.setControlReachable(true);
-            keeper.setControlReachable(true, nanos());
-            current = true;
+            client.setControlReachable(true);
+            server.setControlReachable(true, nanos());
+            controlReachable = true;
         }
 
-        void arrive(String team) {
+        void handleRequest(String team) {
             if (frozen) {
-                whileFrozen.add(() -> arrive(team));
+                deferredTasks.add(() -> handleRequest(team));
                 return;
             }
-            asked.merge(team, 1, Integer::sum);
-            long ticket = tickets++;
-            if (keepsToLimit(team)) {
-                owed.add(ticket);
+            requested.merge(team, 1, Integer::sum);
+            long ticket = nextTicket++;
+            if (isWithinLimit(team)) {
+                entitled.add(ticket);
             }
             teamsByTicket.put(ticket, team);
-            spender.request(ticket, team, learnt.getOrDefault(team, limit(team)), nanos());
-            takeOut();
+            client.request(ticket, team, knownLimits.getOrDefault(team, limit(team)), nanos());
+            performActions();
         }
 
         /** Has something done here later, unless this life of the host is over. */
-        private void later(long time, Runnable task) {
-            int ofLife = life;
-            at(time, () -> {
-                if (life == ofLife) {
-                    whenAwake(task);
+        private void scheduleHere(long time, Runnable task) {
+            int scheduledIn = incarnation;
+            schedule(time, () -> {
+                if (incarnation == scheduledIn) {
+                    runWhenUnfrozen(task);
                 }
             });
         }
 
-        private void whenAwake(Runnable task) {
+        private void runWhenUnfrozen(Runnable task) {
             if (frozen) {
-                whileFrozen.add(() -> whenAwake(task));
+                deferredTasks.add(() -> runWhenUnfrozen(task));
             } else {
                 task.run();
-                takeOut();
+                performActions();
             }
         }
 
@@ -532,21 +537,21 @@
             if (to != this) {
                 messages++;
             }
-            long arrives = now + way(this, to);
+            long arrives = nowMicros + latencyMicros(this, to);
             boolean lost = slowMessages && random.nextInt(50) == 0;
-            at(arrives, () -> {
+            schedule(arrives, () -> {
                 if (connected(this, to) && !lost) {
-                    to.whenAwake(task);
+                    to.runWhenUnfrozen(task);
                 }
             });
         }
 
-        private void takeOut() {
-            spender.takeActions().forEach(this::take);
-            keeper.takeActions().forEach(this::take);
+        private void performActions() {
+            client.takeActions().forEach(this::perform);
+            server.takeActions().forEach(this::perform);
         }
 
-        private void take(QuotaAction action) {
+        private void perform(QuotaAction action) {
             if (action instanceof QuotaAction.Permit permit) {
                 run(teamsByTicket.remove(permit.ticket()));
             } else if (action instanceof QuotaAction.Refuse refuse) {
@@ -558,12 +563,12 @@
             } else if (action instanceof QuotaAction.Call call) {
                 call(call);
             } else if (action instanceof QuotaAction.Notify tell) {
-                hosts.forEach(to -> sendTo(to, () -> to.spender.handleNotice(tell.notice())));
+                hosts.forEach(to -> sendTo(to, () -> to.client.handleNotice(tell.notice())));
             } else if (action instanceof QuotaAction.Wake wake) {
                 long inMicros = Math.max(0, TimeUnit.NANOSECONDS.toMicros(wake.atNanos() - nanos()) + 1);
-                later(now + inMicros, () -> {
-                    spender.wake(nanos());
-                    keeper.wake(nanos());
+                scheduleHere(nowMicros + inMicros, () -> {
+                    client.wake(nanos());
+                    server.wake(nanos());
                 });
             }
         }
@@ -571,16 +576,16 @@
         /** Makes a request; one in twenty turns out not to have run. */
         private void run(String team) {
             if (random.nextInt(20) == 0) {
-                later(now + random.nextLong(SECOND / 2), () -> spender.refund(team, nanos()));
+                scheduleHere(nowMicros + random.nextLong(SECOND_MICROS / 2), () -> client.refund(team, nanos()));
             } else {
-                runs.computeIfAbsent(team, unused -> new ArrayList<>()).add(now);
+                runs.computeIfAbsent(team, unused -> new ArrayList<>()).add(nowMicros);
             }
         }
 
         private void refuse(QuotaAction.Refuse refuse) {
             String team = teamsByTicket.remove(refuse.ticket());
-            owedRefused += owed.contains(refuse.ticket()) ? 1 : 0;
-            if (plant == Plant.ALONE_IS_FREE && refuse.source() == QuotaAction.DecisionSource.ALONE) {
+            entitledRefused += entitled.contains(refuse.ticket()) ? 1 : 0;
+            if (defect == Defect.ISOLATED_UNLIMITED && refuse.source() == QuotaAction.DecisionSource.ALONE) {
                 run(team);
                 return;
             }
@@ -589,8 +594,8 @@
 
         private void report(QuotaAction.Report report) {
             Host to = host(report.host());
-            if (plant == Plant.NOTHING_REPORTED || plant == Plant.NOTHING_PERMITTED) {
-                boolean permits = plant == Plant.NOTHING_REPORTED;
+            if (defect == Defect.NOTHING_REPORTED || defect == Defect.NOTHING_PERMITTED) {
+                boolean permits = defect == Defect.NOTHING_REPORTED;
                 RateVerdict.Builder verdict = RateVerdict.newBuilder();
                 report.report()
                         .getTeamsList()
@@ -598,33 +603,35 @@
                                 .setTeam(team.getTeam())
                                 .setMustAsk(!permits)
                                 .setGranted(permits ? team.getAsked() : 0));
-                later(now, () -> spender.handleVerdict(report.id(), verdict.build(), nanos()));
+                scheduleHere(nowMicros, () -> client.handleVerdict(report.id(), verdict.build(), nanos()));
                 return;
             }
             if (to == null || !to.up) {
-                later(now, () -> spender.handleReportFailure(report.id(), nanos()));
+                scheduleHere(nowMicros, () -> client.handleReportFailure(report.id(), nanos()));
                 return;
             }
-            later(
-                    now + TimeUnit.NANOSECONDS.toMicros(report.answerTimeout().toNanos()),
-                    () -> spender.handleReportFailure(report.id(), nanos()));
-            int ofLife = life;
+            scheduleHere(
+                    nowMicros
+                            + TimeUnit.NANOSECONDS.toMicros(
+                                    report.answerTimeout().toNanos()),
+                    () -> client.handleReportFailure(report.id(), nanos()));
+            int reportedIn = incarnation;
             sendTo(to, () -> {
-                if (life == ofLife) {
-                    long token = tickets++;
-                    to.askers.put(token, this);
-                    to.keeper.handleReport(name, (token << 20) | report.id(), report.report(), to.nanos());
+                if (incarnation == reportedIn) {
+                    long token = nextTicket++;
+                    to.reporters.put(token, this);
+                    to.server.handleReport(name, (token << 20) | report.id(), report.report(), to.nanos());
                 }
             });
         }
 
         private void answer(QuotaAction.Answer answer) {
-            Host to = askers.remove(answer.token() >> 20);
+            Host to = reporters.remove(answer.token() >> 20);
             if (to != null) {
-                int ofLife = to.life;
+                int answeredIn = to.incarnation;
                 sendTo(to, () -> {
-                    if (to.life == ofLife) {
-                        to.spender.handleVerdict(answer.token() & 0xfffff, answer.verdict(), to.nanos());
+                    if (to.incarnation == answeredIn) {
+                        to.client.handleVerdict(answer.token() & 0xfffff, answer.verdict(), to.nanos());
                     }
                 });
             }
@@ -636,15 +643,15 @@
                 return;
             }
             sendTo(to, () -> {
-                RateCallResult told = to.spender.handleCall(name, call.call(), to.nanos());
-                if (told.getFollows()) {
-                    to.keeper.handleSuperseded(call.call().getOwner(), name, to.nanos());
+                RateCallResult history = to.client.handleCall(name, call.call(), to.nanos());
+                if (history.getFollows()) {
+                    to.server.handleSuperseded(call.call().getOwner(), name, to.nanos());
                 }
-                RateCallResult result = plant == Plant.NOTHING_TOLD
-                        ? told.toBuilder().clearTeams().build()
-                        : told;
+                RateCallResult result = defect == Defect.NO_HISTORY_REPORTED
+                        ? history.toBuilder().clearTeams().build()
+                        : history;
                 to.sendTo(
-                        this, () -> keeper.handleCallResult(to.name, call.call().getOwner(), result, nanos()));
+                        this, () -> server.handleCallResult(to.name, call.call().getOwner(), result, nanos()));
             });
         }
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
@@ -21,14 +21,14 @@
     private final TeamAccount account = new TeamAccount(BOUND, LIMIT, 0);
 
     @Test
-    void aBurstIsPermittedAndThenAsMuchAsTheRateBrings() {
-        assertThat(granted(100, 0)).isEqualTo(CAPACITY);
-        assertThat(granted(100, SECOND)).isEqualTo(10);
-        assertThat(granted(100, SECOND + SECOND / 2)).isEqualTo(5);
+    void aBurstIsGrantedAndThenOnlyTheRate() {
+        assertThat(grant(100, 0)).isEqualTo(CAPACITY);
+        assertThat(grant(100, SECOND)).isEqualTo(10);
+        assertThat(grant(100, SECOND + SECOND / 2)).isEqualTo(5);
     }
 
     @Test
-    void aTeamMustAskOnceTwoThirdsAreSpentAndIsFreeWhenTheyAreBack() {
+    void aTeamMustAskBetweenTheLowAndTheHighMark() {
         account.spent(CAPACITY * 2 / 3, 0);
         assertThat(account.mustAsk()).isFalse();
         account.spent(1, 0);
@@ -40,22 +40,22 @@
     }
 
     @Test
-    void whatWasSpentBeyondWhatIsThereIsWaitedFor() {
+    void overspendingDelaysFurtherGrants() {
         account.spent(CAPACITY + 20, 0);
-        assertThat(granted(1, SECOND)).isEqualTo(0);
-        assertThat(granted(1, 2 * SECOND + SECOND / 5)).isEqualTo(1);
+        assertThat(grant(1, SECOND)).isEqualTo(0);
+        assertThat(grant(1, 2 * SECOND + SECOND / 5)).isEqualTo(1);
     }
 
     @Test
-    void whatIsGivenBackMayBeSpentAgain() {
-        assertThat(granted(CAPACITY, 0)).isEqualTo(CAPACITY);
+    void refundedRequestsCanBeGrantedAgain() {
+        assertThat(grant(CAPACITY, 0)).isEqualTo(CAPACITY);
         account.spent(-3, 0);
-        assertThat(granted(10, 0)).isEqualTo(3);
+        assertThat(grant(10, 0)).isEqualTo(3);
     }
 
     @Test
-    void refusedCallersAreToldToComeBackOneAfterTheOther() {
-        assertThat(granted(CAPACITY, 0)).isEqualTo(CAPACITY);
+    void retryTimesOfRefusedCallersAreSpread() {
+        assertThat(grant(CAPACITY, 0)).isEqualTo(CAPACITY);
         TeamAllowance first = account.grant(2, false, 0).build();
         TeamAllowance second = account.grant(1, false, 0).build();
         assertThat(first.getRetryAfterMillis()).isAtLeast(100);
@@ -64,11 +64,11 @@
     }
 
     @Test
-    void anAccountThatIsTakenOverGoesByWhatWasSpentBefore() {
+    void aTakenOverAccountAppliesEarlierSpending() {
         // The whole limit was spent a moment ago, and what the rate brought before that.
         account.addEarlier(ImmutableList.of(CAPACITY), 0);
         account.recompute(0, 0);
-        assertThat(granted(1, 0)).isEqualTo(0);
+        assertThat(grant(1, 0)).isEqualTo(0);
         // What was spent at the limit's rate for the whole window leaves nearly all of what may be made at once.
         TeamAccount steady = new TeamAccount(BOUND, LIMIT, 0);
         steady.addEarlier(ImmutableList.copyOf(Collections.nCopies(SpentWindow.SLOTS, 2)), 0);
@@ -77,21 +77,21 @@
     }
 
     @Test
-    void whereNobodyTellsOnlyAQuarterOfTheSlackIsPermitted() {
+    void withoutReportsOnlyAQuarterOfTheSlackIsGranted() {
         account.recompute(1, 0);
-        assertThat(granted(100, 0)).isEqualTo(5);
+        assertThat(grant(100, 0)).isEqualTo(5);
     }
 
     @Test
-    void aRaisedLimitIsThereAtOnceAndALowerOneToo() {
-        assertThat(granted(CAPACITY, 0)).isEqualTo(CAPACITY);
+    void raisedAndLoweredLimitsApplyAtOnce() {
+        assertThat(grant(CAPACITY, 0)).isEqualTo(CAPACITY);
         account.setLimit(new RateLimit(10, 25), 0);
-        assertThat(granted(100, 0)).isEqualTo(5);
+        assertThat(grant(100, 0)).isEqualTo(5);
         account.setLimit(new RateLimit(1, 0), 10 * SECOND);
-        assertThat(granted(100, 20 * SECOND)).isEqualTo(10);
+        assertThat(grant(100, 20 * SECOND)).isEqualTo(10);
     }
 
-    private int granted(int asked, long nowNanos) {
-        return account.grant(asked, false, nowNanos).getGranted();
+    private int grant(int requested, long nowNanos) {
+        return account.grant(requested, false, nowNanos).getGranted();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/version/DeclarationReaderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/DeclarationReaderTest.java
@@ -18,7 +18,7 @@
 
     @ParameterizedTest
     @CsvSource({"sagarmatha, 4, 108", "spinifex, 4, 106"})
-    void readsTheExamplesWhole(String partner, int services, int upstreams) throws IOException {
+    void readsTheExamples(String partner, int services, int upstreams) throws IOException {
         Declaration declaration = DeclarationReader.read(example(partner)).get();
         assertThat(declaration.services()).hasSize(services);
         int count = declaration.services().values().stream()
@@ -47,7 +47,7 @@
                 "127.0.0.1:21001|localhost:21001|services[0].upstreams[1].address|not an address",
                 "\"formatVersion\": 1|\"formatVersion\": 2|formatVersion|out of bounds",
             })
-    void namesTheFieldAndTheProblem(String good, String bad, String field, String problem) throws IOException {
+    void reportsTheFieldAndTheProblem(String good, String bad, String field, String problem) throws IOException {
         ImmutableList<ValidationError> faults = faultsOf(replaceFirst(example("sagarmatha"), good, bad));
         assertThat(faults.stream()
                         .anyMatch(fault -> fault.field().equals(field)
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void tellsAllFaultsAtOnceInTheOrderOfTheirLines() throws IOException {
+    void reportsAllErrorsInLineOrder() throws IOException {
         String text = example("spinifex")
                 .replace("\"prefer\": \"coverage\"", "\"prefer\": \"all\"")
                 .replace("\"kind\": \"pooled\"", "\"kind\": \"pool\"");
@@ -71,12 +71,12 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"", "[]", "null", "{", "{} {}", "\"text\"", "{\"a\": 1e400}", "{\"a\": 99999999999999999999}"})
-    void refusesWhatIsNoDeclaration(String text) {
+    void rejectsTextThatIsNoDeclaration(String text) {
         assertThat(faultsOf(text)).isNotEmpty();
     }
 
     @Test
-    void refusesWhatIsTooDeepOrTooLong() {
+    void rejectsTextThatIsNestedTooDeepOrTooLong() {
         assertThat(faultsOf("[".repeat(100_000)).get(0).problem()).contains("nested too deep");
         assertThat(faultsOf("\"" + "x".repeat(9_000_000) + "\"").get(0).problem())
                 .contains("characters");
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomeRegionsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomeRegionsTest.java
@@ -10,7 +10,7 @@
     private static final HomeRegions NORTH_OR_SOUTH = HomeRegions.of(ImmutableList.of("south", "north"));
 
     @Test
-    void anEmptyListBindsNothing() {
+    void anEmptyListRestrictsNothing() {
         assertThat(HomeRegions.of(ImmutableList.of())).isEqualTo(HomeRegions.ANY);
         assertThat(HomeRegions.ANY.allows("anything")).isTrue();
         assertThat(HomeRegions.ANY.allowsNone()).isFalse();
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whereTwoBindBothDo() {
+    void theIntersectionAllowsOnlyRegionsOfBoth() {
         assertThat(NORTH.intersect(NORTH_OR_SOUTH)).isEqualTo(NORTH);
         assertThat(HomeRegions.ANY.intersect(NORTH)).isEqualTo(NORTH);
         assertThat(NORTH.intersect(HomeRegions.ANY)).isEqualTo(NORTH);
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/RoutingConfigurationTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/RoutingConfigurationTest.java
@@ -14,7 +14,7 @@
             ImmutableMap.of("s", new LeafService("s", "/health", 5), "t", new LeafService("t", "/health", 5));
 
     @Test
-    void theLongestPrefixThatBeginsThePathWins() {
+    void theLongestMatchingPrefixWins() {
         RoutingConfiguration configuration = configuration(
                 route("short", "h.example", "/a/", "s"),
                 route("long", "h.example", "/a/b/", "s"),
@@ -27,14 +27,14 @@
     }
 
     @Test
-    void aRouteOfTheRootTakesEveryPath() {
+    void aRootRouteMatchesEveryPath() {
         RoutingConfiguration configuration = configuration(route("root", "h.example", "/", "s"));
         assertThat(name(configuration.find("h.example", "/"))).isEqualTo("root");
         assertThat(name(configuration.find("h.example", "/deep/er"))).isEqualTo("root");
     }
 
     @Test
-    void aPathOutsideOfEveryPrefixFindsNothing() {
+    void aPathOutsideOfEveryPrefixMatchesNoRoute() {
         RoutingConfiguration configuration = configuration(route("r", "h.example", "/a/", "s"));
         assertThat(configuration.find("h.example", "/b/")).isEqualTo(Optional.empty());
         assertThat(configuration.find("h.example", "/a")).isEqualTo(Optional.empty());
@@ -43,27 +43,27 @@
     }
 
     @Test
-    void hostNamesDifferNeitherByCaseNorByPort() {
+    void hostNamesMatchRegardlessOfCaseAndPort() {
         RoutingConfiguration configuration = configuration(route("r", "H.Example", "/a/", "s"));
         assertThat(name(configuration.find("h.example:8080", "/a/"))).isEqualTo("r");
     }
 
     @Test
-    void aRouteToAnUnknownServiceIsRefused() {
+    void aRouteToAnUnknownServiceIsRejected() {
         IllegalArgumentException fault =
                 assertThrows(IllegalArgumentException.class, () -> configuration(route("r", "h", "/a/", "unknown")));
         assertThat(fault).hasMessageThat().contains("add it there");
     }
 
     @Test
-    void twoRoutesInOnePlaceAreRefused() {
+    void twoRoutesOfTheSameHostAndPrefixAreRejected() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> configuration(route("r", "h", "/a/", "s"), route("q", "h", "/a/", "t")));
     }
 
     @Test
-    void whatNoRequestCouldBeServedByIsRefused() {
+    void invalidRoutesAndTargetsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> route("r", "h", "a", "s"));
         assertThrows(
                 IllegalArgumentException.class,
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/TeamsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/TeamsTest.java
@@ -10,7 +10,7 @@
 
 final class TeamsTest {
     @Test
-    void namesAndKeysAreOfOneTeamEach() {
+    void namesAndKeysAreUnique() {
         assertThrows(IllegalArgumentException.class, () -> Teams.of(List.of(team("a", "k"), team("a", "l"))));
         IllegalArgumentException shared = assertThrows(
                 IllegalArgumentException.class, () -> Teams.of(List.of(team("a", "kkk"), team("b", "kkk"))));
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aKeyIsComparedByItsDigestWhichTellsNothingOfIt() {
+    void keysAreComparedByDigestAndNotPrinted() {
         assertThat(KeyDigest.of("secret")).isEqualTo(KeyDigest.of("secret"));
         assertThat(KeyDigest.of("secret")).isNotEqualTo(KeyDigest.of("Secret"));
         assertThat(team("a", "secret").toString()).doesNotContain("secret");
