--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
@@ -6,22 +6,22 @@
 import org.bramblerack.wire.RateReport;
 import org.bramblerack.wire.RateVerdict;
 
-/** What is to be done about permissions. Immutable and safe for use by many threads. */
+/** An action that a quota client or server requests. Immutable and safe for use by many threads. */
 public sealed interface QuotaAction {
-    /** A request may be made. */
+    /** Permits a request. */
     record Permit(long ticket, DecisionSource source) implements QuotaAction {}
 
-    /** A request is refused, since its team has made as many as it may. */
+    /** Refuses a request, since its team has reached its limit. */
     record Refuse(long ticket, long retryAfterMillis, DecisionSource source) implements QuotaAction {}
 
-    /** Sends a report to a host, maybe this one, and hands back the verdict, or that none came in time. */
+    /** Sends a report to a host, which may be this one; the client then handles the verdict or its time-out. */
     record Report(String host, long id, RateReport report) implements QuotaAction {
-        /** Several ways there and back between far regions; requests wait for the answer. */
+        /** Allows several round trips between distant regions; requests wait for the answer. */
         private static final Duration PERMISSION_TIMEOUT = Duration.ofMillis(150);
-        /** Nobody waits, and a host that is behind for a moment is not one that is away. */
+        /** Longer, since no request waits, and a server that lags briefly must not count as unreachable. */
         private static final Duration REPORT_TIMEOUT = Duration.ofMillis(600);
 
-        /** Returns for how long an answer is waited for before another host is asked. */
+        /** Returns how long to wait for an answer before another server is tried. */
         public Duration answerTimeout() {
             boolean asksPermission = report.getTeamsList().stream().anyMatch(team -> team.getAsked() > 0);
             return asksPermission ? PERMISSION_TIMEOUT : REPORT_TIMEOUT;
@@ -31,27 +31,27 @@
     /** Answers a report. */
     record Answer(long token, RateVerdict verdict) implements QuotaAction {}
 
-    /** Asks a host, maybe this one, to report here from now on, and hands back its answer if one comes. */
+    /** Calls a host, which may be this one, to report here from now on; the server then handles its reply. */
     record Call(String host, RateCall call) implements QuotaAction {}
 
-    /** This host begins to keep the accounts of an owner's teams that another one kept, or may have kept. */
+    /** Records that this host takes over the accounts of an owner's teams. */
     record RecordTakeover(String owner) implements QuotaAction {}
 
-    /** Tells every host. */
+    /** Sends a notice to every host. */
     record Notify(RateNotice notice) implements QuotaAction {}
 
-    /** The parts want to be woken then. */
+    /** Calls {@code wake} of client and server at the given time. */
     record Wake(long atNanos) implements QuotaAction {}
 
-    /** Where a decision about a request came from. */
+    /** How a request was decided. */
     enum DecisionSource {
-        /** The team is far from its limit: requests are made and then reported. */
+        /** Permitted without asking, since the team is far from its limit. */
         FREE,
-        /** The host that keeps account was asked. */
+        /** Decided by the owner of the team. */
         ASKED,
-        /** One that stands in for it was asked. */
+        /** Decided by a backup of the owner. */
         STAND_IN,
-        /** No host that keeps account was reached. */
+        /** Decided by this host, since no quota server permits requests or can be reached. */
         ALONE
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
@@ -6,49 +6,49 @@
 import org.bramblerack.version.routing.RateLimit;
 
 /**
- * How far all hosts together may go beyond the limits of teams: in any window, what the limit allows, a share of that
- * more, and a number of requests.
+ * The bound on how far all hosts together may exceed a team's rate limit: within any window, the requests that the
+ * limit allows, a share of these in addition, and a fixed number of requests.
  *
- * <p>What lies beyond the limit is divided once. Half of the slack enlarges what a team may make at once, so that one
- * which keeps to its limit is not refused for what hosts do not know of each other. The rest, the headroom, covers what
- * the host that keeps account cannot know in time: one half requests that were made and not reported yet, and the
- * change from one such host to another; the other half the permissions of hosts that reach none.
+ * <p>Half of the slack enlarges the token bucket, so that a team within its limit is not refused because of delayed
+ * reports. The rest is the headroom. One half of the headroom covers requests that are not reported yet and the change
+ * from one quota server to another; the other half covers requests permitted by hosts that reach no server.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param window the time for which the bound holds
- * @param excess the share of the limit that may be made beyond it
- * @param slack the requests that may be made beyond that
+ * @param window the sliding window in which requests are counted
+ * @param excess the excess over the limit, as a share of it
+ * @param slack the number of requests allowed in addition
  */
 public record QuotaBound(Duration window, double excess, double slack) {
-    /** Refuses negative bounds. */
+    /** Rejects a window that is not positive and negative bounds. */
     public QuotaBound {
-        checkArgument(!window.isNegative() && !window.isZero(), "a window of %s; give a positive one", window);
-        checkArgument(excess >= 0, "an excess of %s; give 0 for none", excess);
-        checkArgument(slack >= 0, "a slack of %s; give 0 for none", slack);
+        checkArgument(
+                !window.isNegative() && !window.isZero(), "the window %s is not positive; give a positive one", window);
+        checkArgument(excess >= 0, "the excess %s is negative; give 0 for none", excess);
+        checkArgument(slack >= 0, "the slack %s is negative; give 0 for none", slack);
     }
 
-    /** Returns how many requests of a team may run within any window. */
+    /** Returns the maximum number of a team's requests within any window. */
     public double maxRequests(RateLimit limit) {
         return withinLimit(limit) * (1 + excess) + slack;
     }
 
-    /** Returns what a team that made none of late may make at once, beside what its rate brings. */
+    /** Returns the capacity of a team's token bucket. */
     double capacity(RateLimit limit) {
         return Math.max(1, limit.burst() + slack / 2);
     }
 
-    /** Returns what an account whose past is in doubt permits, if nothing is known to have been spent. */
+    /** Returns what an account may grant while earlier spending may be unreported, before refill. */
     double allowanceWhileUncertain() {
         return slack / 4;
     }
 
-    /** Returns how many requests a host makes at the most before the first of them is answered for. */
+    /** Returns the maximum number of requests that a host permits without confirmation by the quota server. */
     int maxUnconfirmed(RateLimit limit, int hosts) {
         return Math.max(1, (int) (headroom(limit) / 2 / Math.max(1, hosts)));
     }
 
-    /** Returns how many requests all hosts together may make within a window that reach none which keeps account. */
+    /** Returns how many requests all hosts that reach no quota server may permit together within a window. */
     int allowanceOfIsolatedHosts(RateLimit limit) {
         return (int) (headroom(limit) / 2);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaClient.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaClient.java
@@ -23,29 +23,31 @@
 import org.bramblerack.wire.TeamAllowance;
 
 /**
- * Spends the limits of teams on one host: makes requests freely as long as a team is far from its limit, and asks the
- * host that keeps account otherwise.
+ * Enforces the rate limits of teams on one host. While a team is far from its limit, its requests are permitted at once
+ * and reported afterwards; otherwise each request waits for permission from the team's quota server.
  *
- * <p>Invariants: of the requests that it made freely, no more than a few of a team are not answered for at any time;
- * beyond these, a request waits for a word. A host that reaches none that keeps account makes only its part of what the
- * sum over all hosts leaves safe. Owned by one thread.
+ * <p>Invariants: only a bounded number of a team's requests that were permitted at once are unconfirmed by the server
+ * at any time; further requests wait. A host that reaches no server permits only its share of an allowance that keeps
+ * all hosts together within the bound. Owned by one thread.
  */
 public final class QuotaClient {
-    /** The least time between two reports to one host: what comes meanwhile goes together. */
+    /** The minimum interval between two reports on one owner's teams; spending in between is batched. */
     private static final long REPORT_INTERVAL_NANOS = Duration.ofMillis(10).toNanos();
-    /** For how long a host that did not answer is not asked. */
+    /** How long a server that did not answer is skipped. */
     private static final long UNREACHABLE_NANOS = Duration.ofSeconds(2).toNanos();
-    /** When a caller is to come back that reached a host without any that keeps account: others are reached sooner. */
+    /** The minimum retry delay of a caller that was refused because this host reaches no server. */
     private static final int ISOLATED_RETRY_MILLIS = 500;
 
     private final String self;
     private final QuotaBound bound;
     private final RandomGenerator random;
     private final Map<String, TeamQuotaClient> teams = new LinkedHashMap<>();
+    /** By the owner of the teams. */
     private final Map<String, TeamGroup> groups = new HashMap<>();
+
     private final Map<String, Long> unreachableUntilNanos = new HashMap<>();
     private final Map<Long, PendingReport> pendingReports = new LinkedHashMap<>();
-    /** The teams of which every request is to be asked for. */
+    /** The teams whose every request needs permission from their server. */
     private final Set<String> mustAsk = new HashSet<>();
 
     private final List<QuotaAction> actions = new ArrayList<>();
@@ -55,7 +57,7 @@
     private long lastReportId;
 
     /**
-     * Creates a spender that has spent nothing.
+     * Creates a client that has spent nothing.
      *
      * @param self the peer address of this host
      */
@@ -66,7 +68,9 @@
         this.startedNanos = nowNanos;
     }
 
-    /** Takes the entry hosts of the agreed tables; what was spent of teams that others keep now is told to these. */
+    /**
+     * Sets the entry hosts of the replicated tables, and reports the spending of reassigned teams to their new owners.
+     */
     public void setHosts(Collection<String> entryHosts, long nowNanos) {
         serverOrder = new QuotaServerOrder(entryHosts);
         groups.keySet().removeIf(owner -> !serverOrder.hosts().contains(owner));
@@ -79,12 +83,12 @@
         wake(nowNanos);
     }
 
-    /** Takes whether this host is in touch with a leader of control; if not, it makes no requests freely. */
+    /** Sets whether this host is connected to a leader of control; if not, every request needs permission. */
     public void setControlReachable(boolean reachable) {
         controlReachable = reachable;
     }
 
-    /** Takes word that this host was suspended: permissions from before are void, and nothing is known to be free. */
+    /** Drops pending reports after this host was suspended, and has every team ask for permission again. */
     public void handleSuspension(long nowNanos) {
         mustAsk.addAll(teams.keySet());
         List.copyOf(pendingReports.keySet()).forEach(id -> revert(id));
@@ -92,9 +96,10 @@
     }
 
     /**
-     * Asks for the permission to make one request, which is decided by an action, mostly at once.
+     * Requests permission for one request. A {@link QuotaAction.Permit} or {@link QuotaAction.Refuse} follows, mostly
+     * at once.
      *
-     * @param ticket names the request in the action
+     * @param ticket identifies the request in the action
      */
     public void request(long ticket, String team, RateLimit limit, long nowNanos) {
         TeamQuotaClient client = teams.computeIfAbsent(team, unused -> addTeam(team, nowNanos));
@@ -112,7 +117,7 @@
         wake(nowNanos);
     }
 
-    /** Takes word that a request which was permitted did not run. */
+    /** Refunds a request that was permitted but did not run. */
     public void refund(String team, long nowNanos) {
         TeamQuotaClient client = teams.get(team);
         if (client != null) {
@@ -122,7 +127,7 @@
         }
     }
 
-    /** Takes the answer to a report. */
+    /** Handles the answer to a report. */
     public void handleVerdict(long id, RateVerdict verdict, long nowNanos) {
         PendingReport report = pendingReports.remove(id);
         if (report == null) {
@@ -141,9 +146,9 @@
     }
 
     /**
-     * Takes word that no answer to a report came in time: another host is asked.
+     * Handles the time-out of a report: its content is reported to another server.
      *
-     * @return false if the report was answered or given up before
+     * @return false if the report was answered or abandoned before
      */
     public boolean handleReportFailure(long id, long nowNanos) {
         PendingReport report = pendingReports.get(id);
@@ -156,14 +161,14 @@
         return true;
     }
 
-    /** Takes word of a host that keeps account. */
+    /** Handles a server's notice of which teams must ask for permission. */
     public void handleNotice(RateNotice notice) {
         for (TeamAllowance allowance : notice.getTeamsList()) {
             setMustAsk(allowance);
         }
     }
 
-    /** Takes the call of a host that keeps account from now on, and returns what was spent before. */
+    /** Handles the call of a server that takes over an owner's teams, and returns what was spent on them before. */
     public RateCallResult handleCall(String from, RateCall call, long nowNanos) {
         String owner = call.getOwner();
         RateCallResult.Builder result = RateCallResult.newBuilder();
@@ -195,7 +200,7 @@
                 .build();
     }
 
-    /** Does what is due. */
+    /** Sends the reports that are due. */
     public void wake(long nowNanos) {
         for (TeamGroup group : List.copyOf(groups.values())) {
             if (group.dueTeams.isEmpty()) {
@@ -211,13 +216,13 @@
         }
     }
 
-    /** Forgets teams of which nothing was spent within the window. To be called now and then. */
+    /** Removes teams that spent nothing within the window. Call it periodically. */
     public void evictIdle(long nowNanos) {
         teams.values().removeIf(client -> client.isIdle(nowNanos));
         groups.values().forEach(group -> group.clients.removeIf(client -> client.isIdle(nowNanos)));
     }
 
-    /** Returns what is to be done, once. */
+    /** Returns the actions since the last call, and removes them. */
     public ImmutableList<QuotaAction> takeActions() {
         ImmutableList<QuotaAction> taken = ImmutableList.copyOf(actions);
         actions.clear();
@@ -225,8 +230,8 @@
     }
 
     /**
-     * A host that has just started, or reports to another one than before, does not know of which teams it must ask; so
-     * it asks for the first request.
+     * Returns true if a request may be permitted without asking. After a start or a change of server the host does not
+     * know which teams must ask, so a team's first request asks.
      */
     private boolean maySendFreely(TeamQuotaClient client, long nowNanos) {
         long sinceNanos = group(client.owner()).serverSinceNanos;
@@ -265,7 +270,7 @@
         }
     }
 
-    /** Decides by what the sum over all hosts leaves safe. */
+    /** Decides a request by this host's share of the allowance of hosts that reach no server. */
     private void decideIsolated(long ticket, TeamQuotaClient client, long nowNanos) {
         if (client.spendIsolated(isolatedShare(client), nowNanos)) {
             actions.add(new QuotaAction.Permit(ticket, QuotaAction.DecisionSource.ALONE));
@@ -275,7 +280,7 @@
         }
     }
 
-    /** Returns this host's part of the permissions of hosts that reach none; whole ones, by turns among the hosts. */
+    /** Returns this host's share of the allowance of isolated hosts; the remainder is spread by team and position. */
     private int isolatedShare(TeamQuotaClient client) {
         int count = serverOrder.hosts().size();
         int position = serverOrder.hosts().indexOf(self);
@@ -291,7 +296,7 @@
         return groups.computeIfAbsent(owner, unused -> new TeamGroup(owner, startedNanos));
     }
 
-    /** Returns the host to report to: the first that is not known to be away. */
+    /** Returns the first server that is not known to be unreachable, or empty if there is none. */
     private Optional<String> selectServer(TeamGroup group, long nowNanos) {
         int first = nowNanos < group.minRankUntilNanos ? group.minRank : 0;
         return serverOrder.servers(group.owner).stream()
@@ -384,15 +389,17 @@
         }
     }
 
-    /** The teams of one host, by the agreed tables. */
+    /** The teams that the replicated tables assign to one owner, and the server that they are reported to. */
     private static final class TeamGroup {
         private final String owner;
         private final Set<String> dueTeams = new LinkedHashSet<>();
         private String server;
-        /** When a host began to keep account that may not have been told all; the start of this host at first. */
+        /** When the current server took over, or when this host started. */
         private long serverSinceNanos;
 
+        /** Servers before this rank are skipped until {@link #minRankUntilNanos}. */
         private int minRank;
+
         private long minRankUntilNanos = Long.MIN_VALUE;
         private long lastReportNanos = Long.MIN_VALUE / 2;
         private long wakeNanos = Long.MIN_VALUE;
@@ -405,7 +412,7 @@
         }
     }
 
-    /** A report that is not answered yet. */
+    /** A report that was sent and is not answered yet. */
     private static final class PendingReport {
         private final String host;
         private final TeamGroup group;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
@@ -22,38 +22,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps account of the limits of some teams for all hosts: of those that are this host's by the agreed tables, and of
- * those of a host that it stands in for.
+ * Accounts for the rate limits of teams on behalf of all hosts: the teams that the replicated tables assign to this
+ * host, and those of an owner for which this host is the backup.
  *
- * <p>A host that begins to keep accounts which another one kept, or may have kept, calls on all hosts: from then on
- * they report to it, and they tell what they spent before. Until it has heard of most hosts it permits nothing, so that
- * of two hosts that both believe to be in charge one at the most permits anything. Its accounts begin with what was
- * spent; for hosts that do not tell, it assumes that they spent twice their even part.
+ * <p>A server that takes over accounts that another host has kept, or may have kept, calls all hosts. From then on the
+ * hosts report to it, and they reply with what they spent before. The server permits nothing until a majority of hosts
+ * has replied, so that of two servers for the same owner at most one permits requests. It rebuilds its accounts from
+ * the replies, and assumes that a host which does not reply spent twice its even share.
  *
  * <p>Owned by one thread.
  */
 public final class QuotaServer {
-    /** How often hosts are called again that have not answered, or must be heard of late. */
+    /** The interval between calls to hosts that have not replied, or whose recent contact is required. */
     private static final long CALL_INTERVAL_NANOS = Duration.ofMillis(250).toNanos();
-    /** How long a host counts as one that reports here: two calls and the way. */
+    /** How long after its last contact a host counts as reporting here: two call intervals and the network delay. */
     private static final long CONTACT_TIMEOUT_NANOS = Duration.ofMillis(600).toNanos();
     /**
-     * How long reports wait for most hosts to answer a call: three times the way there and back between far regions,
-     * and less than those that report wait.
+     * How long reports are queued until a majority of hosts replies to a call: three round trips between distant
+     * regions, and less than the time-out of a report.
      */
     private static final long CALL_REPLY_WAIT_NANOS = Duration.ofMillis(80).toNanos();
-    /** How long what hosts spent under another keeper may be under way: a change of the tables and a report. */
+    /** How long reports to the previous server may still be in transit: a change of the tables and a report. */
     private static final long HANDOVER_NANOS = Duration.ofMillis(400).toNanos();
     /**
-     * How long a host may take to notice that it is cut off from control: a reply that does not come, with some to
-     * spare. A host that was in charge before may permit requests for so long.
+     * The longest time in which a host detects that it lost control: a reply time-out with a margin. A previous server
+     * may still permit requests for this long.
      */
     private static final long CONTROL_LOSS_DETECTION_NANOS =
             Duration.ofMillis(1_500).toNanos();
-    /** A stand-in that was not asked for so long may have been followed by another one. */
+    /** A backup that receives no report for this long discards its accounts, since another host may serve them. */
     private static final long BACKUP_EXPIRY_NANOS = Duration.ofSeconds(2).toNanos();
 
+    /** How many even shares a host that did not reply is assumed to have spent. */
     private static final double ASSUMED_EVEN_SHARES = 2;
+
     private static final int MAX_QUEUED_REPORTS = 10_000;
 
     private final String self;
@@ -67,7 +69,7 @@
     private boolean controlReachable;
 
     /**
-     * Creates a keeper that remembers nothing.
+     * Creates a server without accounts.
      *
      * @param self the peer address of this host
      */
@@ -78,12 +80,12 @@
         this.hostsChangedNanos = nowNanos;
     }
 
-    /** Takes the limits in force. */
+    /** Sets the teams in force, with their limits. */
     public void setTeams(Teams inForce) {
         teams = inForce;
     }
 
-    /** Takes the entry hosts of the agreed tables. */
+    /** Sets the entry hosts of the replicated tables, and removes the accounts of owners that are gone. */
     public void setHosts(Collection<String> entryHosts, long nowNanos) {
         hosts = ImmutableSet.copyOf(entryHosts);
         hostsChangedNanos = nowNanos;
@@ -94,7 +96,7 @@
         });
     }
 
-    /** Takes whether this host is in touch with a leader of control. */
+    /** Sets whether this host is connected to a leader of control; once it is not, it calls all hosts. */
     public void setControlReachable(boolean reachable, long nowNanos) {
         if (controlReachable != reachable) {
             controlReachable = reachable;
@@ -104,13 +106,13 @@
         }
     }
 
-    /** Forgets every account, since this host was suspended: another one may have kept them meanwhile. */
+    /** Discards all accounts after this host was suspended, since another host may have kept them meanwhile. */
     public void handleSuspension(long nowNanos) {
         groups.clear();
         historySinceNanos = nowNanos;
     }
 
-    /** Takes word that another host calls on all to report to it. */
+    /** Discards the accounts of an owner, since another host has called all hosts to report to it. */
     public void handleSuperseded(String owner, String by, long nowNanos) {
         if (!by.equals(self)) {
             groups.remove(owner);
@@ -121,9 +123,9 @@
     }
 
     /**
-     * Takes a report, which is answered by an action, now or later.
+     * Handles a report, which is answered by a {@link QuotaAction.Answer}, now or later.
      *
-     * @param token names the report in the answer
+     * @param token identifies the report in the answer
      */
     public void handleReport(String from, long token, RateReport report, long nowNanos) {
         AccountGroup group = groups.get(report.getOwner());
@@ -144,7 +146,7 @@
         }
     }
 
-    /** Takes what a host says to a call. */
+    /** Handles a host's reply to a call. */
     public void handleCallResult(String from, String owner, RateCallResult result, long nowNanos) {
         AccountGroup group = groups.get(owner);
         if (group == null || !hosts.contains(from)) {
@@ -156,7 +158,7 @@
         }
         group.recordContact(from, nowNanos);
         if (!group.historyComplete && group.historyMillisByHost.put(from, result.getRememberedMillis()) == null) {
-            result.getTeamsList().forEach(spending -> group.historyMillisByHost(spending, nowNanos));
+            result.getTeamsList().forEach(spending -> group.addHistory(spending, nowNanos));
             group.recomputeAccounts(nowNanos);
             group.completeHistoryIfAllReported(nowNanos);
         }
@@ -165,7 +167,7 @@
         }
     }
 
-    /** Does what is due. */
+    /** Answers reports that have been queued long enough, and repeats calls that are due. */
     public void wake(long nowNanos) {
         for (AccountGroup group : groups.values()) {
             if (!group.queuedReports.isEmpty() && !group.awaitsCallReplies(nowNanos)) {
@@ -177,12 +179,12 @@
         }
     }
 
-    /** Forgets accounts of which nothing was spent within the window. To be called now and then. */
+    /** Removes accounts that spent nothing within the window. Call it periodically. */
     public void evictIdle(long nowNanos) {
         groups.values().forEach(group -> group.accounts.values().removeIf(account -> account.isIdle(nowNanos)));
     }
 
-    /** Returns what is to be done, once. */
+    /** Returns the actions since the last call, and removes them. */
     public ImmutableList<QuotaAction> takeActions() {
         ImmutableList<QuotaAction> taken = ImmutableList.copyOf(actions);
         actions.clear();
@@ -209,7 +211,7 @@
         actions.add(new QuotaAction.Answer(queued.token, verdict.build()));
     }
 
-    /** Counts what was spent, and permits nothing. */
+    /** Counts what the report says was spent, but permits nothing. */
     private void decline(AccountGroup group, QueuedReport queued, long nowNanos) {
         RateVerdict.Builder verdict = RateVerdict.newBuilder().setDeclined(true);
         for (TeamSpending spending : queued.report.getTeamsList()) {
@@ -220,15 +222,15 @@
         actions.add(new QuotaAction.Answer(queued.token, verdict.build()));
     }
 
-    /** A report that waits until most hosts have answered. */
+    /** A report that waits until a majority of hosts has replied to a call. */
     private record QueuedReport(String from, long token, RateReport report) {}
 
-    /** The accounts of the teams of one host, by the agreed tables. */
+    /** The accounts of the teams that the replicated tables assign to one owner. */
     private final class AccountGroup {
         private final String owner;
         private final Map<String, TeamAccount> accounts = new HashMap<>();
         private final Map<String, Long> lastContactNanos = new HashMap<>();
-        /** Of the hosts that told what they spent, for how many milliseconds they remember it. */
+        /** For each host that reported its earlier spending, how many milliseconds the report covers. */
         private final Map<String, Integer> historyMillisByHost = new HashMap<>();
 
         private final List<QueuedReport> queuedReports = new ArrayList<>();
@@ -249,7 +251,7 @@
             return !owner.equals(self) && nowNanos - lastReportNanos > BACKUP_EXPIRY_NANOS;
         }
 
-        /** Forgets the accounts and has every host tell what it spent. */
+        /** Clears the accounts and requests the earlier spending of every host. */
         void restart(long nowNanos) {
             accounts.clear();
             lastContactNanos.clear();
@@ -260,7 +262,7 @@
             callHosts(nowNanos);
         }
 
-        /** Calls on the hosts that have not answered; while this host is not in touch with control, on all. */
+        /** Calls the hosts that have not reported their history; calls all if a majority is required. */
         void callHosts(long nowNanos) {
             lastCallNanos = nowNanos;
             for (String host : hosts) {
@@ -283,7 +285,8 @@
         }
 
         /**
-         * Returns true if most hosts must have been heard of late, since requests of some team are permitted singly.
+         * Returns true if a majority of hosts must have been in contact recently: control is unreachable, or some team
+         * must ask for each request.
          */
         private boolean needsMajority() {
             return !controlReachable || accounts.values().stream().anyMatch(TeamAccount::mustAsk);
@@ -300,8 +303,8 @@
         }
 
         /**
-         * Returns true if no other host can be in charge: most hosts report here, or this host has been in touch with
-         * control for longer than it takes to notice that it is not.
+         * Returns true if no other server can permit requests of the same owner: a majority of hosts reports here, or
+         * this host has been connected to control for longer than a host needs to detect that it is not.
          */
         boolean mayPermit(long nowNanos) {
             boolean isExclusive = historyComplete || nowNanos - startedNanos > CONTROL_LOSS_DETECTION_NANOS;
@@ -332,7 +335,7 @@
             }
         }
 
-        void historyMillisByHost(TeamSpending spending, long nowNanos) {
+        void addHistory(TeamSpending spending, long nowNanos) {
             TeamAccount account = account(spending.getTeam(), nowNanos);
             if (account != null) {
                 account.addEarlier(spending.getEarlierList(), nowNanos);
@@ -362,9 +365,10 @@
         }
 
         /**
-         * Takes what a host tells of one team.
+         * Applies a host's report on one team.
          *
-         * @param moved true if the host reported to another one before: it tells what it spent when it is called
+         * @param moved true if the host reported to another server before; its spending then comes in its reply to a
+         *     call, and is not counted here
          */
         TeamAllowance.Builder apply(TeamSpending spending, boolean moved, long nowNanos) {
             TeamAccount account = account(spending.getTeam(), nowNanos);
@@ -387,6 +391,7 @@
             return allowance;
         }
 
+        /** Returns true if hosts may have spent what this server does not know of yet. */
         private boolean isUncertain(long nowNanos) {
             return (!historyComplete && nowNanos - startedNanos < bound.window().toNanos())
                     || nowNanos - Math.max(startedNanos, hostsChangedNanos) < HANDOVER_NANOS;
@@ -398,6 +403,7 @@
                     .build()));
         }
 
+        /** Returns the account of a team, or null if the team has no limit. */
         private @Nullable TeamAccount account(String team, long nowNanos) {
             RateLimit limit = teams.named(team).map(Team::limit).orElse(RateLimit.NONE);
             if (limit.isUnlimited()) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServerOrder.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServerOrder.java
@@ -8,11 +8,10 @@
 import java.util.Map;
 
 /**
- * Which host keeps account of a team's limit, by the agreed tables, and which ones stand in for it.
+ * Assigns each team to the host that owns its quota, and each owner to its backups, by a rendezvous hash.
  *
- * <p>A host that comes or goes moves only the teams that it takes or had. All teams of one host have the same
- * stand-ins, so that a host which fails is missed once and not for each team. Not safe for use by several threads,
- * since what was worked out is remembered.
+ * <p>A host that joins or leaves moves only its own teams. All teams of one owner have the same backups, so that its
+ * failure is detected once and not for each team. Not safe for use by several threads, since results are cached.
  */
 final class QuotaServerOrder {
     private static final int BACKUPS = 2;
@@ -24,12 +23,12 @@
         this.hosts = ImmutableList.sortedCopyOf(hosts);
     }
 
-    /** Returns the hosts in an order that is the same everywhere. */
+    /** Returns the hosts, sorted, so that their positions are the same on every host. */
     ImmutableList<String> hosts() {
         return hosts;
     }
 
-    /** Returns the host that is to keep account of a team; empty if there is none. */
+    /** Returns the host that owns a team's quota, or an empty string if there are no hosts. */
     String ownerOf(String team) {
         String owner = "";
         long maxWeight = Long.MIN_VALUE;
@@ -43,7 +42,7 @@
         return owner;
     }
 
-    /** Returns the host that is to keep account, then those that stand in for it. */
+    /** Returns the owner, followed by its backups. */
     ImmutableList<String> servers(String owner) {
         return serversByOwner.computeIfAbsent(owner, this::computeServers);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/SpentWindow.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/SpentWindow.java
@@ -5,12 +5,11 @@
 import java.util.List;
 
 /**
- * How much was spent within the last window, by age.
+ * Counts the requests spent within a sliding window, in slots by age.
  *
  * <p>Not safe for use by several threads.
  */
 final class SpentWindow {
-    /** What is spent within a twentieth of the window is counted together. */
     static final int SLOTS = 20;
 
     private final long slotNanos;
@@ -22,18 +21,18 @@
         this.slot = Math.floorDiv(nowNanos, slotNanos);
     }
 
-    /** Returns the time that is counted together. */
+    /** Returns the length of a slot. */
     long slotNanos() {
         return slotNanos;
     }
 
-    /** Adds what is spent now; negative if it is given back. */
+    /** Adds requests spent now; a negative count is a refund. */
     void add(int count, long nowNanos) {
         advance(nowNanos);
         spent[index(0)] += count;
     }
 
-    /** Adds what was spent by age, the latest first. */
+    /** Adds earlier spending by slot, the latest first. */
     void addByAge(List<Integer> byAge, long nowNanos) {
         advance(nowNanos);
         for (int age = 0; age < Math.min(SLOTS, byAge.size()); age++) {
@@ -41,13 +40,13 @@
         }
     }
 
-    /** Moves all that another window holds to this one. */
+    /** Moves the spending of another window to this one. */
     void moveFrom(SpentWindow other, long nowNanos) {
         addByAge(other.byAge(nowNanos), nowNanos);
         other.clear();
     }
 
-    /** Returns what was spent by age, the latest first. */
+    /** Returns the spending by slot, the latest first. */
     ImmutableList<Integer> byAge(long nowNanos) {
         advance(nowNanos);
         ImmutableList.Builder<Integer> ages = ImmutableList.builderWithExpectedSize(SLOTS);
@@ -66,7 +65,7 @@
         return total;
     }
 
-    /** Returns true if nothing was spent, or all of it given back. */
+    /** Returns true if nothing was spent, or everything was refunded. */
     boolean isEmpty(long nowNanos) {
         advance(nowNanos);
         for (int each : spent) {
@@ -85,6 +84,7 @@
         return Math.floorMod(slot - age, SLOTS);
     }
 
+    /** Advances to the slot of the given time, clearing the slots that leave the window. */
     private void advance(long nowNanos) {
         long now = Math.floorDiv(nowNanos, slotNanos);
         if (now - slot >= SLOTS) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
@@ -6,18 +6,20 @@
 import org.bramblerack.wire.TeamAllowance;
 
 /**
- * The account of what one team spends on all hosts: a token bucket, and what was spent within the window.
+ * The account of one team's requests on all hosts: a token bucket, and the spending within the window.
  *
- * <p>The load that it answers: most teams make far fewer requests than their limit, and must not wait for a word; a few
- * make many times as many, and must be held to it within a fraction of a second. So a team makes requests freely, and
- * is told to ask once two thirds of what it may make at once are spent: the last third covers what is spent until the
- * hosts hear of that. It asks until two thirds are there again.
+ * <p>A team's requests are permitted without asking until less than a third of the bucket is left; from then on each
+ * request needs permission, until two thirds are available again. The last third covers what hosts spend before they
+ * receive the notice that the team must ask.
  *
- * <p>What is reported is always counted, also beyond what is there. Not safe for use by several threads.
+ * <p>Reported spending is always counted, so the level may become negative. Not safe for use by several threads.
  */
 final class TeamAccount {
+    /** As a share of the capacity. */
     private static final double MUST_ASK_BELOW = 1.0 / 3;
+    /** As a share of the capacity. */
     private static final double FREE_ABOVE = 2.0 / 3;
+
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final QuotaBound bound;
@@ -31,7 +33,7 @@
     private boolean notifiedMustAsk;
     private long nextRetryNanos;
 
-    /** Creates an account of which nothing was spent. */
+    /** Creates an account with a full bucket. */
     TeamAccount(QuotaBound bound, RateLimit limit, long nowNanos) {
         this.bound = bound;
         this.limit = limit;
@@ -42,7 +44,7 @@
         this.nextRetryNanos = nowNanos;
     }
 
-    /** Takes over a changed limit: a raised one at once, a lower one with what was spent under the other. */
+    /** Changes the limit: a raised burst is available at once, and a lower one caps the level. */
     void setLimit(RateLimit changed, long nowNanos) {
         if (!changed.equals(limit)) {
             refill(nowNanos);
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Counts what was spent without being asked for; negative if it is given back. */
+    /** Counts requests that were made without permission from this account; a negative count is a refund. */
     void spent(int count, long nowNanos) {
         refill(nowNanos);
         level = Math.min(capacity(), level - count);
@@ -61,7 +63,7 @@
     }
 
     /**
-     * Permits as many requests as there is room for.
+     * Grants as many of the requests as the level allows.
      *
      * @param uncertain true if hosts may have spent what this account does not know of yet
      */
@@ -78,22 +80,22 @@
         return refused == 0 ? allowance : scheduleRetries(refused, allowance, nowNanos);
     }
 
-    /** Adds what was spent before, by age, the latest first. */
+    /** Adds earlier spending by age, the latest first; {@link #recompute} applies it to the level. */
     void addEarlier(List<Integer> byAge, long nowNanos) {
         spent.addByAge(byAge, nowNanos);
     }
 
     /**
-     * Works out what is there from what was spent within the window.
+     * Recomputes the level from the spending within the window.
      *
-     * @param unreportedShare the part of the limit that may have been spent by hosts that did not tell
+     * @param unreportedShare the share of the limit that hosts may have spent without reporting it, 0 to 1
      */
     void recompute(double unreportedShare, long nowNanos) {
         double maxLevel = capacity() * (1 - unreportedShare);
         double perSlot = tokensPerNano() * (1 - unreportedShare) * spent.slotNanos();
         List<Integer> byAge = spent.byAge(nowNanos);
         double recomputed = maxLevel;
-        // Refilled before it is spent: what the limit of the bucket cuts off is at its greatest then.
+        // Refills before spending, so that the cap of the bucket discards the most and the level is a lower bound.
         for (int age = byAge.size() - 1; age >= 0; age--) {
             recomputed = Math.min(maxLevel, recomputed + perSlot) - byAge.get(age);
         }
@@ -106,14 +108,14 @@
         return mustAsk;
     }
 
-    /** Returns true, once, if hosts were told otherwise of whether they must ask. */
+    /** Returns true if {@link #mustAsk} differs from what hosts were last notified of, and marks them as notified. */
     boolean takeMustAskChange() {
         boolean changed = mustAsk != notifiedMustAsk;
         notifiedMustAsk = mustAsk;
         return changed;
     }
 
-    /** Returns true if nothing is left to be remembered. */
+    /** Returns true if the account can be removed without loss of information. */
     boolean isIdle(long nowNanos) {
         refill(nowNanos);
         return level >= capacity() && spent.isEmpty(nowNanos);
@@ -126,7 +128,7 @@
         }
     }
 
-    /** Tells refused callers to come back one after the other, as permissions will be there. */
+    /** Spreads the retries of refused callers over the times at which tokens become available. */
     private TeamAllowance.Builder scheduleRetries(int refused, TeamAllowance.Builder allowance, long nowNanos) {
         double stepNanos = 1 / tokensPerNano();
         long firstNanos = nowNanos + (long) Math.max(0, (1 - level) * stepNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamQuotaClient.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamQuotaClient.java
@@ -8,37 +8,40 @@
 import org.bramblerack.wire.TeamSpending;
 
 /**
- * What one host spends of one team's limit, and what of that it has told.
+ * One host's spending of one team's limit, and which of it has been reported to the team's quota server.
  *
- * <p>Invariant: what was spent is told to the host that keeps account exactly once, or twice if it is not known whether
- * that host got it. Not safe for use by several threads.
+ * <p>Invariant: spending is reported to a server exactly once, or again if it is unknown whether the server received
+ * the report. Not safe for use by several threads.
  */
 final class TeamQuotaClient {
     private final String team;
     private final QuotaBound bound;
     private final Deque<Long> waitingTickets = new ArrayDeque<>();
-    /** What was spent before this host reported to the one that it reports to. */
+    /** Spent before the current server took over. */
     private final SpentWindow spentEarlier;
 
+    /** Spent since the current server took over. */
     private final SpentWindow spentSince;
+    /** Spent from this host's share of the allowance of isolated hosts. */
     private final SpentWindow spentIsolated;
+
     private RateLimit limit = RateLimit.NONE;
     private String owner;
     private boolean earlierUnreported;
     private boolean confirmed;
-    /** Spent and not told yet, less what was given back. */
+    /** Requests spent and not reported yet, less refunds. */
     private int unreported;
-    /** Made freely and not told yet. */
+    /** Requests permitted without asking and not reported yet. */
     private int freeUnreported;
-    /** Made freely and not answered for yet. */
+    /** Requests permitted without asking and not confirmed by the server yet. */
     private int unconfirmed;
-    /** Counts the hosts to which this one reported: what an earlier one was told is not told again. */
+    /** Counts changes of server, so that the answer of a previous server is not applied. */
     private int serverCount;
 
     /**
-     * Creates a record that nothing was spent.
+     * Creates a client that has spent nothing.
      *
-     * @param owner the host that is to keep account by the agreed tables
+     * @param owner the host that the replicated tables assign the team to
      */
     TeamQuotaClient(String team, String owner, QuotaBound bound, long nowNanos) {
         this.team = team;
@@ -66,16 +69,17 @@
         limit = inForce;
     }
 
-    /** Returns true if the host that keeps account has answered since it began to. */
+    /** Returns true if the current server has answered a report. */
     boolean isConfirmed() {
         return confirmed;
     }
 
-    /** Returns true if so few requests are not answered for that one more may be made first and told then. */
+    /** Returns true if few enough requests are unconfirmed that one more may be permitted without asking. */
     boolean maySendFreely(int hosts) {
         return waitingTickets.isEmpty() && unconfirmed < bound.maxUnconfirmed(limit, hosts);
     }
 
+    /** Records a request that was permitted without asking. */
     void recordFree(long nowNanos) {
         spentSince.add(1, nowNanos);
         unreported++;
@@ -83,12 +87,12 @@
         unconfirmed++;
     }
 
-    /** Notes a request that the host which keeps account has permitted, and counted. */
+    /** Records a request that the server permitted, and has counted. */
     void recordPermitted(long nowNanos) {
         spentSince.add(1, nowNanos);
     }
 
-    /** Makes a request by this host's part of what is safe; returns false if that is spent. */
+    /** Spends one request of this host's share while no server is reachable; returns false if the share is used up. */
     boolean spendIsolated(int share, long nowNanos) {
         if (spentIsolated.total(nowNanos) >= share) {
             return false;
@@ -108,26 +112,26 @@
         waitingTickets.add(ticket);
     }
 
-    /** Returns the requests that wait, which do so no longer. */
+    /** Returns and removes the waiting requests. */
     ImmutableList<Long> drainWaiting() {
         ImmutableList<Long> taken = ImmutableList.copyOf(waitingTickets);
         waitingTickets.clear();
         return taken;
     }
 
-    /** Has another host keep account by the agreed tables. */
+    /** Sets a new owner, which also becomes the server. */
     void setOwner(String other, long nowNanos) {
         owner = other;
         changeServer(nowNanos);
         earlierUnreported = true;
     }
 
-    /** Returns true if there is something to tell before the next request. */
+    /** Returns true if requests wait, or spending before the current server must be reported. */
     boolean needsReport(long nowNanos) {
         return !waitingTickets.isEmpty() || !spentEarlier.isEmpty(nowNanos);
     }
 
-    /** Begins to report to a host that is told everything which was spent. */
+    /** Switches to a server that receives everything that was spent as earlier spending. */
     void changeServer(long nowNanos) {
         spentEarlier.moveFrom(spentSince, nowNanos);
         unreported = 0;
@@ -137,7 +141,7 @@
         serverCount++;
     }
 
-    /** Returns what was spent before this host reported to the one that it reports to, if anything was. */
+    /** Returns what was spent before the current server took over, or empty if nothing was. */
     Optional<TeamSpending> reportEarlier(long nowNanos) {
         earlierUnreported = false;
         if (spentEarlier.isEmpty(nowNanos)) {
@@ -149,12 +153,12 @@
                 .build());
     }
 
-    /** Takes out what is to be told and asked. */
+    /** Starts a report on unreported spending and waiting requests, and marks these as reported. */
     TeamReport startReport() {
         return new TeamReport();
     }
 
-    /** Returns true if nothing is left to be remembered. */
+    /** Returns true if the team can be removed without loss of information. */
     boolean isIdle(long nowNanos) {
         boolean nothingPending = waitingTickets.isEmpty() && unreported == 0 && unconfirmed == 0;
         return nothingPending
@@ -163,7 +167,7 @@
                 && spentIsolated.isEmpty(nowNanos);
     }
 
-    /** What one report tells of the team; until it is answered, it may have to be told again. */
+    /** The team's part of one report; it is reverted if the report remains unanswered. */
     final class TeamReport {
         private final ImmutableList<Long> tickets = drainWaiting();
         private final int spent = unreported;
@@ -181,7 +185,7 @@
             return TeamQuotaClient.this;
         }
 
-        /** Returns the requests that wait for the answer. */
+        /** Returns the tickets of the requests that wait for the answer. */
         ImmutableList<Long> tickets() {
             return tickets;
         }
@@ -202,7 +206,7 @@
             }
         }
 
-        /** Puts back what was told, since it is not known whether anybody got it. */
+        /** Marks the content as unreported again, since the server may not have received it. */
         void revert() {
             tickets.reverse().forEach(waitingTickets::addFirst);
             if (serverNumber == serverCount) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/package-info.java
@@ -1,4 +1,4 @@
-/** How many requests each team makes on all hosts together: who keeps account, and who may make the next one. */
+/** Distributed enforcement of teams' rate limits over all hosts: quota servers, quota clients and their accounts. */
 @NullMarked
 package org.bramblerack.process.quota;
 
