--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ConnectionShare.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ConnectionShare.java
@@ -1,16 +1,17 @@
 package org.bramblerack.connection;
 
-/** Shares the connections that a leaf takes out among hosts. Stateless and safe for use by many threads. */
+/** Divides the connections that a leaf accepts among hosts. Stateless and safe for use by many threads. */
 public final class ConnectionShare {
-    /** The part of a leaf's connections that the hosts share out; the rest is for those of hosts that have left. */
+    /** The rest is reserved for connections of hosts that have left and that the leaf may still count. */
     private static final double ALLOCATED_FRACTION = 0.85;
 
     private ConnectionShare() {}
 
     /**
-     * Returns how many connections each of some hosts may have; 0 if there are too few for one each.
+     * Returns how many connections each host may open; 0 if there are too few for one each.
      *
-     * @param maxConnections how many the leaf takes from all hosts together
+     * @param maxConnections how many connections the leaf accepts from all hosts together
+     * @param hosts the number of hosts that connect to the leaf
      */
     public static int of(int maxConnections, int hosts) {
         return (int) (maxConnections * ALLOCATED_FRACTION / Math.max(1, hosts));
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/HolderAssignment.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/HolderAssignment.java
@@ -11,23 +11,24 @@
 import org.bramblerack.version.UpstreamName;
 
 /**
- * Which hosts hold the connections to an upstream, and how many each may open.
+ * Assigns the hosts that hold the connections to an upstream, and the number of connections that each may open.
  *
- * <p>The holders are the first hosts of the upstream's own availability zone in the order of a rendezvous hash, so
- * every host computes the same ones from the same list, and a zone that is cut off keeps what it needs to serve itself.
+ * <p>The holders are the first hosts of the upstream's own availability zone in the order of a rendezvous hash. Every
+ * host computes the same holders from the same list, and a zone that is cut off can still reach its upstreams.
  *
- * <p>The fact that keeps the sum safe: the list of hosts and the limits are the same agreed input everywhere, and a
- * share allows for {@value #MAX_INCARNATIONS} lives of each holder at once, because an upstream may still count the
- * connections of a holder that vanished. A holder opens connections only after {@link #startDelayNanos} of its life, so
- * no more than that many lives can have open connections within the linger time. No view of who is alive enters.
+ * <p>Invariant: all holders together stay within the upstream's connection limit. The list of hosts and the limits are
+ * the same on every host, and no liveness information is used. An upstream may still count the connections of a holder
+ * that crashed, so a share allows for {@value #MAX_INCARNATIONS} incarnations of each holder at once. A holder opens
+ * connections only after {@link #startDelayNanos}, so no more incarnations than that can have connections that the
+ * upstream counts.
  *
  * <p>Immutable and safe for use by many threads.
  */
 public final class HolderAssignment {
-    /** How many lives of one holder an upstream may count connections of at once. */
+    /** The maximum number of incarnations of one holder whose connections an upstream may count at once. */
     static final int MAX_INCARNATIONS = 3;
 
-    /** How many hosts hold the connections to one upstream, if its zone has as many. */
+    /** The maximum number of holders of one upstream. */
     static final int MAX_HOLDERS = 2;
 
     private final ImmutableList<String> holders;
@@ -41,8 +42,7 @@
     /**
      * Computes the assignment of an upstream.
      *
-     * @param upstream the upstream
-     * @param limits the limits of its service
+     * @param limits the limits of the upstream's service
      * @param zoneHosts the names of all hosts of its availability zone, live or not
      */
     public static HolderAssignment compute(UpstreamName upstream, UpstreamLimits limits, List<String> zoneHosts) {
@@ -58,13 +58,13 @@
         return new HolderAssignment(holders, share);
     }
 
-    /** Returns how long a process must have lived before it opens connections to an upstream. */
+    /** Returns how long a process waits after its start before it opens connections to an upstream. */
     public static long startDelayNanos(UpstreamLimits limits) {
-        checkArgument(MAX_INCARNATIONS > 1, "lives %s", MAX_INCARNATIONS);
+        checkArgument(MAX_INCARNATIONS > 1, "%s incarnations; 2 or more are needed", MAX_INCARNATIONS);
         return limits.connectionLinger().toNanos() / (MAX_INCARNATIONS - 1);
     }
 
-    /** Returns the holders; the first one is preferred. */
+    /** Returns the holders in order of preference. */
     public ImmutableList<String> holders() {
         return holders;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/HolderOrder.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/HolderOrder.java
@@ -6,7 +6,7 @@
 import org.bramblerack.process.HostState;
 
 /**
- * Decides through which holder a call goes: the preferred one, so that an upstream has one queue, unless it is silent.
+ * Orders the holders of an upstream for a call. All hosts prefer the same holder, so that an upstream has one queue.
  *
  * <p>Stateless and safe for use by many threads.
  */
@@ -14,9 +14,10 @@
     private HolderOrder() {}
 
     /**
-     * Returns the holders in the order in which to try them; a silent one is tried last, as the view may be wrong.
+     * Returns the holders in the order in which to try them. A silent holder comes last but stays in the list, since it
+     * may be live after all.
      *
-     * @param stateOf what is known of each host; this host itself counts as live
+     * @param stateOf the known state of each host; this host itself counts as live
      */
     public static ImmutableList<String> of(HolderAssignment assignment, Function<String, HostState> stateOf) {
         return assignment.holders().stream()
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/LimiterAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/LimiterAction.java
@@ -2,14 +2,14 @@
 
 import org.bramblerack.request.LeafFailure;
 
-/** What a gate wants done, in the order given. */
+/** An action that a {@link ReplicaLimiter} requests; actions are performed in the order returned. */
 public sealed interface LimiterAction {
-    /** Send the call to the upstream. */
+    /** Sends the call to the upstream. */
     record Dispatch(String callId) implements LimiterAction {}
 
-    /** Tell the sender that the call was not run. */
+    /** Reports to the sender that the call did not run. */
     record Refuse(String callId, LeafFailure failure) implements LimiterAction {}
 
-    /** Tell the upstream to stop working on the call. */
+    /** Cancels the call at the upstream. */
     record CancelAtUpstream(String callId) implements LimiterAction {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
@@ -16,13 +16,14 @@
 import org.bramblerack.version.Priority;
 
 /**
- * The one queue before an upstream, kept by the host that holds its connections.
+ * Limits the concurrent calls to one upstream and queues the rest, on the host that holds the connections to it.
  *
- * <p>Invariants: at most the limit of calls are at the upstream; an urgent call goes before every normal one, except
- * that one dispatch in {@value #NORMAL_INTERVAL} goes to a waiting normal call; a call that cannot finish within its
- * deadline is refused before it is sent, at once if that is clear when it comes.
+ * <p>Invariants: no more calls than the concurrency limit run at the upstream; urgent calls are dispatched before
+ * normal ones, except that one dispatch in {@value #NORMAL_INTERVAL} goes to a queued normal call; a call that cannot
+ * finish within its deadline is refused without being sent. The limit grows additively with each finished call, and
+ * decreases by a factor when the upstream sheds one.
  *
- * <p>Not safe for use by several threads: the holder's table guards each gate with its lock.
+ * <p>Not safe for use by several threads: callers guard each limiter with a lock.
  */
 public final class ReplicaLimiter {
     static final int NORMAL_INTERVAL = 8;
@@ -40,7 +41,7 @@
     private int dispatchesSinceNormal;
 
     /**
-     * Creates the gate of an idle upstream.
+     * Creates the limiter of an idle upstream.
      *
      * @param slots how many calls the upstream works on at a time, at least 1
      */
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Takes over how many calls the upstream works on at a time. */
+    /** Sets how many calls the upstream works on at a time. */
     public void setSlots(int declared) {
         checkArgument(declared > 0, "slots %s is not positive", declared);
         if (declared != slots) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Takes a new call. */
+    /** Submits a call, which is dispatched, queued, or refused if it cannot finish within its deadline. */
     public List<LimiterAction> submit(String callId, Priority priority, long deadlineNanos, long nowNanos) {
         if (waiting() >= MAX_QUEUED || !canFinish(priority, deadlineNanos, nowNanos)) {
             return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.QUEUE_FULL));
@@ -71,7 +72,7 @@
         return dispatch(nowNanos);
     }
 
-    /** Takes the end of a call that the upstream worked on. */
+    /** Handles the end of a call that the upstream ran. */
     public List<LimiterAction> onFinished(String callId, long nowNanos) {
         Long since = runningSinceNanos.remove(callId);
         if (since != null) {
@@ -81,7 +82,7 @@
         return dispatch(nowNanos);
     }
 
-    /** Takes the end of a call that the upstream shed: fewer are sent at a time for a while. */
+    /** Handles a call that the upstream shed, and decreases the concurrency limit. */
     public List<LimiterAction> onShed(String callId, long nowNanos) {
         if (runningSinceNanos.remove(callId) != null) {
             limit = Math.max(1.0, limit * DECREASE_FACTOR);
@@ -89,7 +90,7 @@
         return dispatch(nowNanos);
     }
 
-    /** Cancels a call, waiting or running. A running one keeps its place until it has finished. */
+    /** Cancels a queued or running call. A running one occupies its slot until it has finished. */
     public List<LimiterAction> cancel(String callId) {
         for (Deque<QueuedCall> queue : queues.values()) {
             if (queue.removeIf(waiting -> waiting.callId().equals(callId))) {
@@ -101,7 +102,7 @@
                 : ImmutableList.of();
     }
 
-    /** Returns how many calls wait. */
+    /** Returns the number of queued calls. */
     public int waiting() {
         int total = 0;
         for (Deque<QueuedCall> queue : queues.values()) {
@@ -110,7 +111,7 @@
         return total;
     }
 
-    /** Returns how many calls are at the upstream. */
+    /** Returns the number of calls at the upstream. */
     public int running() {
         return runningSinceNanos.size();
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ZoneHolders.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ZoneHolders.java
@@ -16,28 +16,23 @@
 import java.util.Map;
 
 /**
- * Which hosts hold the connections to the shards of one availability zone.
+ * Assigns the hosts that hold the connections to the shards of one availability zone.
  *
- * <p>A fleet with more hosts than a leaf takes connections cannot connect every host to every leaf. So each shard of a
- * zone is given to one of a few hosts, and all other hosts reach its leaf through that one. The hosts and the shards
- * are the same agreed input everywhere, so every host computes the same holders; one whose tables lag only takes a
- * detour.
+ * <p>A leaf may accept fewer connections than the fleet has hosts. So each shard of a zone is assigned to one of a few
+ * holders, and all other hosts reach its leaf through that holder. Every host computes the same holders from the
+ * replicated tables; a host whose tables lag may forward to another holder, which costs one more hop.
  *
- * <p>Invariants: no holder has more than its even part of the shards, rounded up; a host that comes or goes moves only
- * the shards that it takes or held, and those that the even parts then push on. Immutable and safe for use by many
- * threads.
+ * <p>Invariants: no holder has more than its even share of the shards, rounded up; a host that joins or leaves moves
+ * only its own shards and those that rebalancing requires. Immutable and safe for use by many threads.
  */
 public final class ZoneHolders {
-    /**
-     * How many shards a holder asks for one query: at some 0.2 ms of processor time a leaf call, a dozen keep a host
-     * with a third of a core busy for 7 ms, which a goal of 80 ms leaves room for.
-     */
+    /** The target number of shards that a holder calls for one query; bounds the time that it spends on the calls. */
     static final int SHARDS_PER_HOLDER = 12;
 
-    /** With one holder alone, its loss would take the whole zone's shards at once. */
+    /** More than one, so that the loss of a holder does not affect all shards of the zone. */
     static final int MIN_HOLDERS = 2;
 
-    /** How many hosts are named for a shard: the holder, and two that stand in for it. */
+    /** The holder of a shard and its backups. */
     static final int HOSTS_PER_SHARD = 3;
 
     private final ImmutableMap<String, ImmutableList<String>> hostsByService;
@@ -49,8 +44,8 @@
     /**
      * Computes the holders of a zone.
      *
-     * @param hosts the names of the hosts that may hold connections there, live by the agreed tables
-     * @param services the shards that have a leaf in the zone
+     * @param hosts the names of the hosts that may hold connections there, live by the replicated tables
+     * @param services the names of the shards that have a leaf in the zone
      */
     public static ZoneHolders compute(Collection<String> hosts, ImmutableSortedSet<String> services) {
         if (hosts.isEmpty()) {
@@ -73,12 +68,12 @@
         return new ZoneHolders(byService.buildOrThrow());
     }
 
-    /** Returns the holder of a shard, then the hosts that stand in for it; empty if there is none. */
+    /** Returns the holder of a shard, followed by its backups; empty if the shard has no holder. */
     public ImmutableList<String> of(String service) {
         return hostsByService.getOrDefault(requireNonNull(service), ImmutableList.of());
     }
 
-    /** Returns the hosts that hold any shard or stand in for one that does. */
+    /** Returns the hosts that are the holder or a backup of any shard. */
     public ImmutableSet<String> hosts() {
         ImmutableSet.Builder<String> all = ImmutableSet.builder();
         hostsByService.values().forEach(all::addAll);
@@ -95,9 +90,9 @@
     }
 
     /**
-     * Orders hosts by a rendezvous hash, so that a host that leaves changes nothing about the order of the others.
+     * Orders hosts by a rendezvous hash, so that the loss of a host does not change the order of the others.
      *
-     * <p>Each weight is worked out once: a comparator that hashes would do so for every comparison.
+     * <p>Weights are computed once for each host rather than in the comparator.
      */
     private static ImmutableList<String> rank(String key, Collection<String> hosts) {
         List<WeightedHost> weighted = new ArrayList<>(hosts.size());
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What lives as long as the connections to one upstream: who may hold them, how many, and the queue before them.
+ * Connections to upstreams and leaves: which hosts hold them, how many, and the queue of calls to each upstream.
  *
- * <p>Nothing here does I/O. Every class takes events and the present time and returns actions.
+ * <p>No class does I/O: each takes events and the current time, and returns actions.
  */
 @NullMarked
 package org.bramblerack.connection;
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Configuration.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Configuration.java
@@ -6,30 +6,30 @@
 import java.util.Optional;
 
 /**
- * The configuration of one revision: every partner's declaration.
+ * One revision of the declared configuration, with every partner's declaration.
  *
  * <p>Immutable and safe for use by many threads. A process replaces its configuration only by one of a higher revision.
  *
- * @param revision the revision, 0 before anything was applied
+ * @param revision the revision; 0 before any declaration was applied
  * @param declarations the declarations, by partner
  */
 public record Configuration(long revision, ImmutableMap<String, Declaration> declarations) {
-    /** The configuration before anything was applied. */
+    /** The configuration before any declaration was applied. */
     public static final Configuration EMPTY = new Configuration(0, ImmutableMap.of());
 
-    /** Refuses a negative revision. */
+    /** Rejects a negative revision. */
     public Configuration {
         checkArgument(revision >= 0, "revision %s is negative", revision);
     }
 
-    /** Returns the service of a name, if it is declared. */
+    /** Returns the service with the given name, if it is declared. */
     public Optional<Service> service(ServiceName name) {
         return Optional.ofNullable(declarations.get(name.partner()))
                 .flatMap(declaration ->
                         Optional.ofNullable(declaration.services().get(name.service())));
     }
 
-    /** Returns the upstream of a name, if it is declared. */
+    /** Returns the upstream with the given name, if it is declared. */
     public Optional<Upstream> upstream(UpstreamName name) {
         return service(name.service()).flatMap(service -> service.upstream(name.upstream()));
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
@@ -16,12 +16,12 @@
 import org.bramblerack.process.document.ValidationError;
 
 /**
- * Reads a partner's declaration file strictly: it is read whole, or all its faults are returned.
+ * Parses and validates a partner's declaration file, and returns either the declaration or all errors.
  *
  * <p>The format is described in {@code docs/DECLARATION.md}. Stateless and safe for use by many threads.
  */
 public final class DeclarationReader {
-    /** The one version of the format that this reader knows. */
+    /** The only version of the format that this reader accepts. */
     public static final int FORMAT_VERSION = 1;
 
     private static final int MAX_SERVICES = 200;
@@ -45,8 +45,8 @@
     /**
      * Reads a declaration.
      *
-     * @param text the file's text
-     * @return the declaration, or every fault found with its line, never empty
+     * @param text the content of the file
+     * @return the declaration, or a non-empty list of all errors with their lines
      */
     public static Either<ImmutableList<ValidationError>, Declaration> read(String text) {
         return DocumentReader.read(text, DeclarationReader::readDeclaration);
@@ -165,7 +165,7 @@
         return ImmutableMap.copyOf(result);
     }
 
-    /** Keeps reading possible when a name is missing or malformed; the fault itself is reported already. */
+    /** Replaces a missing or malformed name, which has been reported as an error, so that reading can continue. */
     private static String orPlaceholder(String name) {
         return name.isEmpty() || name.indexOf('/') >= 0 ? "unnamed" : name;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Preference.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Preference.java
@@ -1,9 +1,9 @@
 package org.bramblerack.version;
 
-/** What a class of queries prefers when its time runs out before every shard has answered. */
+/** What to return for a query whose time runs out before every shard has answered. */
 public enum Preference {
-    /** The partial answer, with its true coverage. */
+    /** The partial answer, with its coverage. */
     TIME,
-    /** A refusal rather than an answer that lacks a shard. */
+    /** A refusal instead of a partial answer. */
     COVERAGE
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Priority.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Priority.java
@@ -1,9 +1,9 @@
 package org.bramblerack.version;
 
-/** How much a class of requests matters: an urgent request never waits behind a normal one for long. */
+/** The priority of a class of requests. */
 public enum Priority {
     /** Served first. */
     URGENT,
-    /** Served after the urgent, but never starved entirely. */
+    /** Served after urgent requests, with a minimum share so that it is not starved. */
     NORMAL
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/RequestClass.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/RequestClass.java
@@ -9,13 +9,13 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name the name that callers give
- * @param priority how much the class matters
- * @param deadline the time that a query has when its caller states none, and the most that a caller may ask for
- * @param preference what to do when the time runs out
+ * @param name the name by which callers request it
+ * @param priority the priority of its queries
+ * @param deadline the default and maximum deadline of a query
+ * @param preference what to return when the time runs out
  */
 public record RequestClass(String name, Priority priority, Duration deadline, Preference preference) {
-    /** Refuses a deadline that is not positive. */
+    /** Rejects a deadline that is not positive. */
     public RequestClass {
         checkArgument(!deadline.isZero() && !deadline.isNegative(), "deadline %s is not positive", deadline);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Service.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Service.java
@@ -9,13 +9,13 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name the full name
- * @param kind how its upstreams divide the work
- * @param shards how many shards it is declared to have; 1 for a pool
- * @param limits what each upstream can bear
+ * @param name the full name, with the partner
+ * @param kind how requests are distributed over its upstreams
+ * @param shards the declared number of shards; 1 for a pool
+ * @param limits the limits of each upstream
  * @param classes the classes of queries, by name
  * @param operations the once-only operations, by name
- * @param upstreams its upstreams, in the order of the file
+ * @param upstreams the upstreams, in the order of the declaration
  */
 public record Service(
         ServiceName name,
@@ -26,7 +26,7 @@
         ImmutableMap<String, Operation> operations,
         ImmutableList<Upstream> upstreams) {
 
-    /** Returns the upstream of a name, if it is declared. */
+    /** Returns the upstream with the given name, if it is declared. */
     public Optional<Upstream> upstream(String upstreamName) {
         return upstreams.stream()
                 .filter(upstream -> upstream.name().upstream().equals(upstreamName))
--- a/bramblerack-core/src/main/java/org/bramblerack/version/ServiceKind.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/ServiceKind.java
@@ -1,6 +1,6 @@
 package org.bramblerack.version;
 
-/** How the upstreams of a service divide its work. */
+/** How requests are distributed over the upstreams of a service. */
 public enum ServiceKind {
     /** Every query goes to one replica of each shard. */
     SHARDED,
--- a/bramblerack-core/src/main/java/org/bramblerack/version/ServiceName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/ServiceName.java
@@ -11,10 +11,16 @@
  * @param service the name within that partner
  */
 public record ServiceName(String partner, String service) implements Comparable<ServiceName> {
-    /** Refuses empty parts and parts with a slash. */
+    /** Rejects parts that are empty or contain a slash. */
     public ServiceName {
-        checkArgument(!partner.isEmpty() && partner.indexOf('/') < 0, "bad partner name: %s", partner);
-        checkArgument(!service.isEmpty() && service.indexOf('/') < 0, "bad service name: %s", service);
+        checkArgument(
+                !partner.isEmpty() && partner.indexOf('/') < 0,
+                "partner name is empty or contains a slash: %s",
+                partner);
+        checkArgument(
+                !service.isEmpty() && service.indexOf('/') < 0,
+                "service name is empty or contains a slash: %s",
+                service);
     }
 
     /**
@@ -24,7 +30,7 @@
      */
     public static ServiceName parse(String text) {
         int slash = text.indexOf('/');
-        checkArgument(slash > 0, "not of the form partner/service: %s", text);
+        checkArgument(slash > 0, "service name is not of the form partner/service: %s", text);
         return new ServiceName(text.substring(0, slash), text.substring(slash + 1));
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Upstream.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Upstream.java
@@ -9,14 +9,14 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name the full name
+ * @param name the full name, with the service
  * @param shard the shard that it is declared to serve, counted from 0
- * @param zone the availability zone that it stands in
- * @param address where it listens
- * @param leaving true if the declaration says that it is leaving: it gets no new work
+ * @param zone its availability zone
+ * @param address the address that it listens on
+ * @param leaving true if it is declared as leaving, so that it gets no new work
  */
 public record Upstream(UpstreamName name, int shard, String zone, HostAndPort address, boolean leaving) {
-    /** Refuses a negative shard. */
+    /** Rejects a negative shard. */
     public Upstream {
         checkArgument(shard >= 0, "shard %s is negative", shard);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/UpstreamName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/UpstreamName.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * The full name of an upstream: its service and its own name within it.
+ * The full name of an upstream: its service and its name within that service.
  *
  * <p>Immutable and safe for use by many threads.
  *
@@ -11,7 +11,7 @@
  * @param upstream the name within the service
  */
 public record UpstreamName(ServiceName service, String upstream) implements Comparable<UpstreamName> {
-    /** Refuses an empty name. */
+    /** Rejects an empty name. */
     public UpstreamName {
         checkArgument(!upstream.isEmpty(), "empty upstream name in %s", service);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/VersionRegistry.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/VersionRegistry.java
@@ -10,27 +10,27 @@
 import java.util.TreeMap;
 
 /**
- * What is known of the index versions that the upstreams of one service serve.
+ * Tracks the index versions that the upstreams of one service serve.
  *
- * <p>Invariant: {@link #newest} returns the newest among the versions of the highest coverage, so a version that every
- * shard is known to serve always goes before one that lacks a shard. A statement is kept until it is replaced. A shard
- * counts as covered by a version if a usable upstream states that it serves it.
+ * <p>Invariant: {@link #newest} returns the newest among the versions with the highest coverage, so a version with all
+ * shards is always preferred to one that lacks a shard. A version covers a shard if a usable upstream reports that it
+ * serves it. A report is kept until it is replaced.
  *
  * <p>Safe for use by many threads. Its lock is the last of the lock order (see {@code docs/DESIGN.md}); nothing is
- * called while it is held. The newest map is kept between changes, so that a look-up costs one lock.
+ * called while it is held. The newest map is cached between changes.
  */
 public final class VersionRegistry {
     private final Map<UpstreamName, ReportedVersions> reports = new HashMap<>();
     private Optional<ShardMap> cachedNewest = Optional.empty();
     private boolean cacheValid = true;
 
-    /** Replaces what an upstream states that it serves. */
+    /** Replaces the versions that an upstream reports to serve. */
     public synchronized void record(UpstreamName upstream, ImmutableSet<ServedVersion> served) {
         ReportedVersions known = reportOf(upstream);
         replace(upstream, known, new ReportedVersions(served, known.usable()));
     }
 
-    /** Adds a version that a checked reply showed to be served. */
+    /** Adds a version that a validated reply of the upstream was computed from. */
     public synchronized void recordReply(UpstreamName upstream, ServedVersion served) {
         ReportedVersions known = reportOf(upstream);
         if (!known.served().contains(served)) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Removes a version that an upstream said it no longer serves. */
+    /** Removes a version that an upstream reported as no longer served. */
     public synchronized void recordGone(UpstreamName upstream, long indexVersion) {
         ReportedVersions known = reportOf(upstream);
         ImmutableSet<ServedVersion> fewer = known.served().stream()
@@ -51,25 +51,25 @@
         replace(upstream, known, new ReportedVersions(fewer, known.usable()));
     }
 
-    /** States whether an upstream may get new work; one that is not known yet may. */
+    /** Sets whether an upstream may get new work; an unknown upstream is usable. */
     public synchronized void setUsable(UpstreamName upstream, boolean usable) {
         ReportedVersions known = reportOf(upstream);
         replace(upstream, known, new ReportedVersions(known.served(), usable));
     }
 
-    /** Forgets every upstream that is not among the given ones. */
+    /** Removes every upstream that is not among the given ones. */
     public synchronized void retainAll(ImmutableSet<UpstreamName> declared) {
         if (reports.keySet().retainAll(declared)) {
             cacheValid = false;
         }
     }
 
-    /** Returns the upstreams that stated anything. */
+    /** Returns the upstreams that have an entry. */
     public synchronized ImmutableSet<UpstreamName> known() {
         return ImmutableSet.copyOf(reports.keySet());
     }
 
-    /** Returns the map of the version to pin for a new query, or empty if no version is known. */
+    /** Returns the shard map of the version that a new query uses, or empty if no version is known. */
     public synchronized Optional<ShardMap> newest() {
         if (!cacheValid) {
             cachedNewest = newestAfter(Long.MIN_VALUE);
@@ -78,7 +78,7 @@
         return cachedNewest;
     }
 
-    /** Returns the same as {@link #newest} among the versions newer than the given one. */
+    /** Returns the same as {@link #newest}, but only among versions newer than the given one. */
     public synchronized Optional<ShardMap> newestAfter(long indexVersion) {
         TreeMap<Long, VersionCoverage> coverages = new TreeMap<>();
         reports.forEach((upstream, report) -> {
@@ -112,12 +112,12 @@
         }
     }
 
-    /** What one upstream serves, and whether it may get new work. */
+    /** The versions that one upstream serves, and whether it may get new work. */
     private record ReportedVersions(ImmutableSet<ServedVersion> served, boolean usable) {
         static final ReportedVersions NONE = new ReportedVersions(ImmutableSet.of(), true);
     }
 
-    /** The replicas of one version. Upstreams that disagree on the number of shards go by the largest. */
+    /** The replicas of one version. If upstreams report different shard counts, the largest applies. */
     private static final class VersionCoverage {
         private final List<List<UpstreamName>> shards = new ArrayList<>();
         private final List<Boolean> covered = new ArrayList<>();
--- a/bramblerack-core/src/main/java/org/bramblerack/version/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/package-info.java
@@ -1,4 +1,4 @@
-/** What lives for one version: an index version of a service, or a revision of the declared configuration. */
+/** The index versions that upstreams serve, and the revisions of the declared configuration. */
 @NullMarked
 package org.bramblerack.version;
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/HomeRegions.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/HomeRegions.java
@@ -5,12 +5,12 @@
 import java.util.Collection;
 
 /**
- * The regions that may serve a request and see its body.
+ * The regions in which a request may be served and its body processed.
  *
  * <p>Immutable and safe for use by many threads.
  */
 public final class HomeRegions {
-    /** Every region may. */
+    /** Allows every region. */
     public static final HomeRegions ANY = new HomeRegions(false, ImmutableSortedSet.of());
 
     private final boolean restricted;
@@ -21,17 +21,17 @@
         this.regions = regions;
     }
 
-    /** Returns the homes that a list of regions stands for; an empty list binds nothing. */
+    /** Returns the home regions with the given names; an empty list allows every region. */
     public static HomeRegions of(Collection<String> regions) {
         return regions.isEmpty() ? ANY : new HomeRegions(true, ImmutableSortedSet.copyOf(regions));
     }
 
-    /** Returns true if the region may serve the request and see its body. */
+    /** Returns true if the request may be served in the region. */
     public boolean allows(String region) {
         return !restricted || regions.contains(region);
     }
 
-    /** Returns the regions that both allow, which may be none at all. */
+    /** Returns the regions that both allow, which may be none. */
     public HomeRegions intersect(HomeRegions other) {
         if (!restricted) {
             return other;
@@ -42,17 +42,17 @@
         return new HomeRegions(true, ImmutableSortedSet.copyOf(Sets.intersection(regions, other.regions)));
     }
 
-    /** Returns true if every region may serve the request. */
+    /** Returns true if every region is allowed. */
     public boolean isUnrestricted() {
         return !restricted;
     }
 
-    /** Returns true if no region may serve the request. */
+    /** Returns true if no region is allowed. */
     public boolean allowsNone() {
         return restricted && regions.isEmpty();
     }
 
-    /** Returns the regions that are named; none if every region may serve the request. */
+    /** Returns the allowed regions; also empty if every region is allowed. */
     public ImmutableSortedSet<String> regions() {
         return regions;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/KeyDigest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/KeyDigest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The SHA-256 digest of a team's key, by which keys are held and compared once a configuration has been read.
+ * The SHA-256 digest of a team's key. Keys are stored and compared only as digests once a configuration has been read.
  *
  * <p>Immutable and safe for use by many threads.
  */
@@ -16,7 +16,7 @@
         this.digest = digest;
     }
 
-    /** Returns the digest of a key. */
+    /** Computes the digest of a key. */
     public static KeyDigest of(String key) {
         return new KeyDigest(Hashing.sha256().hashString(key, StandardCharsets.UTF_8));
     }
@@ -31,7 +31,7 @@
         return digest.hashCode();
     }
 
-    /** Returns nothing of the key. */
+    /** Returns a constant, so that logs do not reveal the key. */
     @Override
     public String toString() {
         return "key";
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RequestLimits.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RequestLimits.java
@@ -5,29 +5,30 @@
 import java.time.Duration;
 
 /**
- * What a caller may send, and how long it may take or rest.
+ * Limits on the size of callers' requests and on the time that a caller may take to send them.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param maxHeaderBytes the longest head of a request
- * @param maxBodyBytes the longest body of a request
- * @param headerTimeout how long a head may take to arrive
- * @param idleTimeout how long a connection may rest between requests
+ * @param maxHeaderBytes the maximum size of a request's header section
+ * @param maxBodyBytes the maximum size of a request's body
+ * @param headerTimeout how long the header section may take to arrive
+ * @param idleTimeout how long a connection may be idle between requests
  */
 public record RequestLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
-    /** What holds until a configuration says otherwise. */
+    /** The limits until a configuration is known. */
     public static final RequestLimits DEFAULT =
             new RequestLimits(16 * 1024, 256 * 1024, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
-    /** What operators may send, whose documents grow with the routes. */
+    /** The limits of operators' requests, which carry whole configurations. */
     public static final RequestLimits FOR_OPERATORS =
             new RequestLimits(16 * 1024, 8 * 1024 * 1024, Duration.ofSeconds(10), Duration.ofSeconds(60));
 
-    /** Refuses limits under which no request could be sent. */
+    /** Rejects limits that allow no request, and negative times. */
     public RequestLimits {
-        checkArgument(maxHeaderBytes > 0, "heads of %s bytes allow no request; allow more", maxHeaderBytes);
-        checkArgument(maxBodyBytes >= 0, "bodies of %s bytes cannot be; allow 0 at least", maxBodyBytes);
-        checkArgument(!headerTimeout.isNegative(), "the time %s for a head is negative", headerTimeout);
-        checkArgument(!idleTimeout.isNegative(), "the idle time %s is negative", idleTimeout);
+        checkArgument(
+                maxHeaderBytes > 0, "a maximum header size of %s bytes allows no request; allow more", maxHeaderBytes);
+        checkArgument(maxBodyBytes >= 0, "the maximum body size %s is negative; allow 0 at least", maxBodyBytes);
+        checkArgument(!headerTimeout.isNegative(), "the header time-out %s is negative", headerTimeout);
+        checkArgument(!idleTimeout.isNegative(), "the idle time-out %s is negative", idleTimeout);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
@@ -6,19 +6,19 @@
 import java.time.Duration;
 
 /**
- * One route of the configuration.
+ * A route of the routing configuration: which requests it matches, and how they are served.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name what operators call it
- * @param host the host name of the requests that it takes
- * @param prefix what the path of such a request begins with; begins and ends with a slash
+ * @param name the name in the configuration
+ * @param host the host name of the requests that it matches
+ * @param prefix the path prefix of the requests that it matches; begins and ends with a slash
  * @param kind whether its requests may run more than once
- * @param timeout how long a request is held at most
- * @param goal within which an answer is worth most; zero if the operator names none
- * @param priority its rank; 0 is the highest
- * @param maxAttempts how many leafs a request may be sent to, for a fan-out at each shard
- * @param target where its requests go
+ * @param timeout the time after which a request without an answer fails
+ * @param goal the latency goal (soft deadline); zero if none is configured
+ * @param priority the priority; 0 is the highest
+ * @param maxAttempts how many leaves a request may be sent to, for a fan-out in each shard
+ * @param target the service or services that its requests are sent to
  * @param homeRegions the regions that may serve its requests
  * @param isPublic true if its callers need no key although the configuration has teams
  */
@@ -34,7 +34,7 @@
         RouteTarget target,
         HomeRegions homeRegions,
         boolean isPublic) {
-    /** Refuses what no request could be served by. */
+    /** Rejects a malformed prefix, a time-out that is not positive, and less than one attempt. */
     public Route {
         requireNonNull(kind);
         requireNonNull(target);
@@ -45,7 +45,10 @@
                 prefix,
                 name);
         checkArgument(
-                !timeout.isZero() && !timeout.isNegative(), "route %s has the time-out %s; give more", name, timeout);
+                !timeout.isZero() && !timeout.isNegative(),
+                "route %s has the time-out %s; give a positive one",
+                name,
+                timeout);
         checkArgument(maxAttempts >= 1, "route %s allows %s attempts; allow 1 at least", name, maxAttempts);
     }
 
@@ -64,7 +67,7 @@
         this(name, host, prefix, kind, timeout, goal, priority, maxAttempts, target, homes, false);
     }
 
-    /** Creates a route whose requests every region may serve. */
+    /** Creates a route whose requests may be served in every region. */
     public Route(
             String name,
             String host,
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
@@ -7,17 +7,17 @@
 import com.google.common.collect.ImmutableSet;
 
 /**
- * Where the requests of a route go.
+ * The service or services that the requests of a route are sent to.
  *
  * <p>Implementations are immutable and safe for use by many threads.
  */
 public sealed interface RouteTarget {
-    /** Returns every service that the target may send to. */
+    /** Returns all services of the target. */
     ImmutableList<String> services();
 
-    /** Every request goes to one leaf of one service. */
+    /** Sends each request to one leaf of one service. */
     record Single(String service) implements RouteTarget {
-        /** Refuses a missing name. */
+        /** Rejects a missing name. */
         public Single {
             requireNonNull(service);
         }
@@ -28,9 +28,9 @@
         }
     }
 
-    /** Requests are divided among services in proportion to their weights. */
+    /** Splits requests among services in proportion to their weights. */
     record Split(ImmutableList<Share> shares) implements RouteTarget {
-        /** Refuses shares whose weights add up to nothing. */
+        /** Rejects shares whose weights are all 0. */
         public Split {
             long sum = shares.stream().mapToLong(Share::weight).sum();
             checkArgument(sum > 0, "the weights of a split add up to %s; give one share a weight above 0", sum);
@@ -42,9 +42,9 @@
         }
     }
 
-    /** One share of a split. */
+    /** One service of a split, with its weight. */
     record Share(String service, long weight) {
-        /** Refuses a negative weight. */
+        /** Rejects a negative weight. */
         public Share {
             requireNonNull(service);
             checkArgument(weight >= 0, "the weight %s of %s is negative", weight, service);
@@ -52,22 +52,24 @@
     }
 
     /**
-     * Every request goes to one leaf of every shard, and the answers are merged.
+     * Sends each request to one leaf of every shard, and merges the answers.
      *
-     * @param shards the services that are the shards
-     * @param topRecords how many of the greatest records the answer holds
-     * @param minCoverage the share of the shards, 0 to 1, below which there is no answer
+     * @param shards the services that serve one shard each
+     * @param topRecords how many of the highest-ranked records the merged answer contains
+     * @param minCoverage the fraction of the shards, 0 to 1, that must answer
      */
     record Scatter(ImmutableList<String> shards, int topRecords, double minCoverage) implements RouteTarget {
-        /** Refuses a set of shards that is empty or names one twice. */
+        /** Rejects shards that are missing or duplicate, and values out of range. */
         public Scatter {
             checkArgument(!shards.isEmpty(), "a fan-out names no shard; name one at least");
             checkArgument(
                     ImmutableSet.copyOf(shards).size() == shards.size(),
                     "a fan-out names a shard twice; name each once");
-            checkArgument(topRecords >= 0, "a fan-out asks for %s records; ask for 0 or more", topRecords);
+            checkArgument(topRecords >= 0, "a fan-out returns %s records; give 0 or more", topRecords);
             checkArgument(
-                    minCoverage >= 0 && minCoverage <= 1, "the least share %s is not between 0 and 1", minCoverage);
+                    minCoverage >= 0 && minCoverage <= 1,
+                    "the minimum coverage %s is not between 0 and 1",
+                    minCoverage);
         }
 
         @Override
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RoutingConfiguration.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RoutingConfiguration.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 
 /**
- * One whole version of the routing configuration.
+ * One version of the routing configuration: routes, services, limits and teams.
  *
- * <p>Invariants: every service that a route names is in it, and no two routes have the same host and prefix. Immutable
- * and safe for use by many threads.
+ * <p>Invariants: every service of a route is defined, and no two routes have the same host and prefix. Immutable and
+ * safe for use by many threads.
  */
 public final class RoutingConfiguration {
-    /** What a host holds before it has heard of any; no request finds a route in it. */
+    /** The configuration of a host that has received none yet; it has no routes. */
     public static final RoutingConfiguration NONE =
             new RoutingConfiguration(0, ImmutableList.of(), ImmutableMap.of(), RequestLimits.DEFAULT, Teams.NONE);
 
@@ -47,7 +47,7 @@
     /**
      * Creates a configuration without teams.
      *
-     * @throws IllegalArgumentException if the parts do not fit together; the message names the remedy
+     * @throws IllegalArgumentException if routes are inconsistent with each other or with the services
      */
     public static RoutingConfiguration create(
             long version,
@@ -60,7 +60,7 @@
     /**
      * Creates a configuration.
      *
-     * @throws IllegalArgumentException if the parts do not fit together; the message names the remedy
+     * @throws IllegalArgumentException if routes are inconsistent with each other or with the services
      */
     public static RoutingConfiguration create(
             long version,
@@ -72,12 +72,12 @@
         return new RoutingConfiguration(version, routes, services, limits, teams);
     }
 
-    /** Returns the version; 0 means that no configuration is known. */
+    /** Returns the version; 0 if no configuration has been received. */
     public long version() {
         return version;
     }
 
-    /** Returns every route. */
+    /** Returns all routes, in the order of the configuration. */
     public ImmutableList<Route> routes() {
         return routes;
     }
@@ -87,17 +87,17 @@
         return services;
     }
 
-    /** Returns the bounds on what callers send. */
+    /** Returns the limits on callers' requests. */
     public RequestLimits limits() {
         return limits;
     }
 
-    /** Returns the teams whose callers show their keys. */
+    /** Returns the teams, whose callers authenticate by key. */
     public Teams teams() {
         return teams;
     }
 
-    /** Returns the route of a request: of those of its host, the one with the longest prefix that begins the path. */
+    /** Returns the route of the host with the longest prefix of the path, or empty if no route matches. */
     public Optional<Route> find(String host, String path) {
         Map<String, Route> byPrefix = routesByHostAndPrefix.get(normalize(host));
         if (byPrefix == null) {
@@ -114,7 +114,7 @@
         return Optional.empty();
     }
 
-    /** Returns a route by its name. */
+    /** Returns the route with the given name, if it exists. */
     public Optional<Route> routeNamed(String name) {
         return Optional.ofNullable(routesByName.get(name));
     }
@@ -123,7 +123,7 @@
         for (String service : route.target().services()) {
             checkArgument(
                     services.containsKey(service),
-                    "route %s names the service %s, which is not among the services; add it there",
+                    "route %s refers to the service %s, which is not among the services; add it there",
                     route.name(),
                     service);
         }
@@ -132,7 +132,7 @@
                 .put(route.prefix(), route);
         checkArgument(
                 earlier == null,
-                "the routes %s and %s both take %s%s; remove one",
+                "the routes %s and %s both match %s%s; remove one",
                 earlier == null ? "" : earlier.name(),
                 route.name(),
                 route.host(),
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
@@ -7,19 +7,19 @@
 import java.util.OptionalInt;
 
 /**
- * A team whose callers show its keys.
+ * A team (tenant), whose callers authenticate with one of its keys.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name its name, which leafs are told
- * @param keys the digests of its keys; a team without any cannot make requests
- * @param priority its rank, which goes before that of a route; 0 is the highest, empty leaves it to the route
- * @param limit how many requests it may make
+ * @param name the name, which is sent to leaves
+ * @param keys the digests of its keys; a team without keys cannot make requests
+ * @param priority the priority, which overrides that of a route; 0 is the highest; empty if the route's applies
+ * @param limit the rate limit over all hosts together
  * @param homeRegions the regions that may serve its requests
  */
 public record Team(
         String name, ImmutableSet<KeyDigest> keys, OptionalInt priority, RateLimit limit, HomeRegions homeRegions) {
-    /** Refuses a team without a name. */
+    /** Rejects a team without a name. */
     public Team {
         checkArgument(!name.isEmpty(), "a team has no name; give it one");
         requireNonNull(keys);
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Teams.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Teams.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * The teams of one version of the configuration.
+ * The teams of one version of the routing configuration.
  *
  * <p>Invariants: no two teams share a name or a key. Immutable and safe for use by many threads.
  */
@@ -29,7 +29,7 @@
     /**
      * Creates the teams of a configuration.
      *
-     * @throws IllegalArgumentException if two of them share a name or a key; the message names the remedy
+     * @throws IllegalArgumentException if two teams share a name or a key
      */
     public static Teams of(Collection<Team> teams) {
         Map<String, Team> byName = new HashMap<>();
@@ -48,22 +48,22 @@
         return new Teams(ImmutableMap.copyOf(byName), ImmutableMap.copyOf(byKey));
     }
 
-    /** Returns true if callers need no keys. */
+    /** Returns true if there are no teams, so that callers need no keys. */
     public boolean isEmpty() {
         return byName.isEmpty();
     }
 
-    /** Returns every team. */
+    /** Returns all teams, in no particular order. */
     public ImmutableCollection<Team> all() {
         return byName.values();
     }
 
-    /** Returns the team of a key. */
+    /** Returns the team that owns the key, if any. */
     public Optional<Team> withKey(KeyDigest key) {
         return Optional.ofNullable(byKey.get(key));
     }
 
-    /** Returns the team of a name. */
+    /** Returns the team with the given name, if any. */
     public Optional<Team> named(String name) {
         return Optional.ofNullable(byName.get(name));
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/package-info.java
@@ -1,4 +1,4 @@
-/** The routing configuration: which request goes to which service, and within which bounds. */
+/** The routing configuration: routes, services, teams and limits. */
 @NullMarked
 package org.bramblerack.version.routing;
 
