--- a/bramblerack-core/src/test/java/org/bramblerack/LayersTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/LayersTest.java
@@ -7,7 +7,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Keeps input, output, threads and clocks out of the decisions. */
+/** Guards against I/O, threads and clocks in the packages that decide on requests. */
 final class LayersTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -18,7 +18,7 @@
                     "org.bramblerack.process");
 
     @Test
-    void decisionsUseNoNetworkNoFilesAndNoThreads() {
+    void corePackagesUseNoNetworkFilesOrThreads() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void onlyTheClockReadsTheTime() {
+    void onlyMonotonicClockReadsTheTime() {
         noClasses()
                 .that()
                 .doNotHaveFullyQualifiedName("org.bramblerack.process.MonotonicClock")
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
@@ -18,6 +18,7 @@
 import org.bramblerack.version.UpstreamName;
 import org.junit.jupiter.api.Test;
 
+/** The connections of all holders stay within an upstream's limit, across restarts. */
 final class HolderAssignmentTest {
     private static final ServiceName SERVICE = new ServiceName("p", "s");
 
@@ -30,7 +31,7 @@
         assertThat(assignment.holders().size()).isAtMost(HolderAssignment.MAX_HOLDERS);
     }
 
-    /** Lives that begin and end at any moment: within the linger time after each, its connections still count. */
+    /** Random incarnations of one holder; the connections of each still count for the linger time after its end. */
     @Property(tries = 1_000, seed = "12")
     void noSequenceOfRestartsPassesTheLimit(@ForAll List<@IntRange(min = 1, max = 12_000) Integer> lifetimesMs) {
         UpstreamLimits limits = limits(25);
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/ZoneHoldersTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/ZoneHoldersTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Every host computes the same few holders, evenly loaded, and a host that goes moves little. */
+/** Every host computes the same few holders, evenly loaded, and a host that leaves moves few shards. */
 final class ZoneHoldersTest {
     private static final ImmutableList<String> HOSTS = names("10.1.0.", 14);
     private static final ImmutableSortedSet<String> SERVICES = ImmutableSortedSet.copyOf(names("shard", 45));
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Limits on teams' rates over many drawn schedules: the bound holds whatever happens, who keeps to a limit is not
- * refused, and a limit is used. Each check is shown to find a fault that is planted for it.
+ * Guards against exceeding the bound on teams' rates under faults, refusing teams within their limits, and leaving
+ * limits unused. Injected defects verify that each check can fail.
  */
 final class QuotaScheduleTest {
-    /** More are played by hand: {@code JAVA_TOOL_OPTIONS=-Dquota.seeds=10000}. */
+    /** Run more seeds with {@code JAVA_TOOL_OPTIONS=-Dquota.seeds=10000}. */
     private static final int SEEDS = Integer.getInteger("quota.seeds", 300);
 
     private static final int FIRST_SEED = Integer.getInteger("quota.first", 0);
 
-    private static final QuotaSimulation.Demand HOT = new QuotaSimulation.Demand(0.625, 6.25);
+    private static final QuotaSimulation.Demand WITH_PEAKS = new QuotaSimulation.Demand(0.625, 6.25);
 
     @Test
     void theBoundHoldsUnderAllFaults() {
@@ -47,7 +47,7 @@
         assertThat(refused * 1_000.0 / entitled).isLessThan(1.0);
     }
 
-    /** Hosts that are killed or stopped in turn, and control that is lost, leave the others in touch. */
+    /** Uses only faults that leave the remaining hosts connected. */
     @Test
     void aTeamWithinItsLimitIsNotRefusedWhileHostsComeAndGo() {
         int entitled = 0;
@@ -57,9 +57,9 @@
                 QuotaSimulation.Fault.ROLLING_RESTART,
                 QuotaSimulation.Fault.LOSE_CONTROL_LEADER)) {
             for (int seed = FIRST_SEED; seed < FIRST_SEED + 5; seed++) {
-                QuotaSimulation.Demand usual = new QuotaSimulation.Demand(0.625, 0);
+                QuotaSimulation.Demand normal = new QuotaSimulation.Demand(0.625, 0);
                 QuotaSimulation simulation =
-                        new QuotaSimulation(seed, EnumSet.of(fault), 63, 8, usual, QuotaSimulation.Defect.NONE).run();
+                        new QuotaSimulation(seed, EnumSet.of(fault), 63, 8, normal, QuotaSimulation.Defect.NONE).run();
                 entitled += simulation.entitled();
                 refused += simulation.entitledRefused();
             }
@@ -77,7 +77,7 @@
                     withoutFaults(seed, new QuotaSimulation.Demand(3, 0), QuotaSimulation.Defect.NONE)
                             .utilization("t0", 3, 16));
         }
-        System.out.println("limits on rates: least use " + minUtilization);
+        System.out.println("limits on rates: minimum utilization " + minUtilization);
         assertThat(minUtilization).isAtLeast(0.95);
     }
 
@@ -107,10 +107,10 @@
 
     private static QuotaSimulation withRandomFaults(int seed, QuotaSimulation.Defect defect) {
         int hosts = seed % 20 == 0 ? 63 : 6 + seed % 7;
-        return new QuotaSimulation(seed, randomFaults(seed), hosts, 8, HOT, defect).run();
+        return new QuotaSimulation(seed, randomFaults(seed), hosts, 8, WITH_PEAKS, defect).run();
     }
 
-    /** Returns troubles that may come together; any of them may be left out. */
+    /** Returns a random set of faults, which may be empty. */
     private static EnumSet<QuotaSimulation.Fault> randomFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         EnumSet<QuotaSimulation.Fault> faults = EnumSet.noneOf(QuotaSimulation.Fault.class);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Every host finds the same keepers, and hosts that come or go move few teams. */
+/** Every host computes the same owners and backups, and a host that leaves moves only its own teams. */
 final class QuotaServerOrderTest {
     private static final int HOSTS = 63;
     private static final int TEAMS = 630;
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaSimulation.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaSimulation.java
@@ -27,49 +27,50 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hosts that spend the limits of teams on simulated time, drawn from a seed.
+ * Simulates the quota clients and servers of several hosts on virtual time, with requests and faults chosen at random
+ * from a seed.
  *
- * <p>A host that is cut off from others still takes requests and reaches leafs, which is the worst that it can do.
+ * <p>An isolated host still accepts requests and reaches leaves, which is the worst case for the bound.
  */
 final class QuotaSimulation {
-    /** What may happen beside requests. */
+    /** Faults that can be injected. */
     enum Fault {
-        /** Hosts are killed and start again. */
+        /** One host is killed and restarted. */
         KILL_HOST,
-        /** Half of the hosts are killed at one moment. */
+        /** About half of the hosts are killed at the same time. */
         KILL_HALF,
-        /** All hosts are killed at one moment. */
+        /** All hosts are killed at the same time. */
         KILL_ALL,
-        /** Hosts are stopped and started in turn. */
+        /** Hosts are stopped and restarted one after the other. */
         ROLLING_RESTART,
-        /** Hosts stand still for seconds, and their clocks leave that out. */
+        /** Hosts are suspended, and their monotonic clocks stop meanwhile. */
         FREEZE_HOSTS,
-        /** Single hosts are cut off from all others and from control. */
+        /** Single hosts are disconnected from all others and from control. */
         ISOLATE_HOSTS,
-        /** A third of the hosts is cut off from the others and from control. */
+        /** A third of the hosts is disconnected from the others and from control. */
         ISOLATE_REGION,
         /** Control has no leader. */
         LOSE_CONTROL_LEADER,
-        /** Limits are raised and lowered. */
+        /** Limits are doubled or halved, and restored. */
         CHANGE_LIMITS,
-        /** Some messages take longer, or are lost. */
+        /** Some messages are delayed or lost. */
         SLOW_MESSAGES
     }
 
-    /** A fault of the product, planted to see that the checks find it. */
+    /** A defect that replaces correct behavior, to verify that the checks detect it. */
     enum Defect {
         NONE,
         /** Hosts never report. */
         NOTHING_REPORTED,
-        /** A new keeper is told nothing of what was spent before. */
+        /** Replies to a new server's call omit earlier spending. */
         NO_HISTORY_REPORTED,
-        /** Hosts that reach no keeper make every request. */
+        /** Hosts that reach no server permit every request. */
         ISOLATED_UNLIMITED,
-        /** Whoever keeps account has every request asked for and permits none. */
+        /** Every request needs permission, and none is permitted. */
         NOTHING_PERMITTED
     }
 
-    /** How often a team's callers come, in parts of its limit. */
+    /** The request rate of a team as a multiple of its limit; {@code peak} is 0 for no peaks. */
     record Demand(double normal, double peak) {}
 
     static final QuotaBound BOUND = new QuotaBound(Duration.ofSeconds(5), 0.1, 20);
@@ -80,7 +81,7 @@
     private static final long MEMBER_TIMEOUT_MICROS = 6 * SECOND_MICROS;
     private static final long CONTROL_TIMEOUT_MICROS = SECOND_MICROS * 1_100 / 1_000;
     private static final int REGIONS = 3;
-    /** A team that keeps to this part of its limit is owed every request. */
+    /** A request is entitled to be permitted if its team stays within this share of its limit. */
     private static final double ENTITLED_SHARE = 0.9;
 
     private final SplittableRandom random;
@@ -112,12 +113,12 @@
         }
         listedHosts.addAll(hosts);
         for (int number = 0; number < teamCount; number++) {
-            // Zipf's law with exponent 1.2, as seen at the users' sites, with sixty requests a second in all.
+            // Zipf distribution with exponent 1.2, about sixty requests per second in total.
             double perSecond = 28 / Math.pow(number + 1, 1.2);
             limits.put("t" + number, new RateLimit(perSecond, perSecond / 2));
         }
         versions.add(new LimitsVersion(-10 * SECOND_MICROS));
-        // Hosts have run for longer than the window before the first request.
+        // Hosts start earlier than a window before the first request, so that their history is complete.
         hosts.forEach(host -> host.start(-10 * SECOND_MICROS));
         hosts.forEach(Host::followControl);
         limits.keySet().forEach(team -> scheduleRequests(team, demand));
@@ -133,7 +134,7 @@
         return this;
     }
 
-    /** Returns by how many requests the worst window of any team was over the bound; not above 0 if none was. */
+    /** Returns the maximum excess over the bound in any window of any team; not above 0 if the bound held. */
     double maxExcess() {
         double max = -Double.MAX_VALUE;
         for (String team : limits.keySet()) {
@@ -159,7 +160,7 @@
         return max;
     }
 
-    /** A limit counts until a window after the last host that is up has learnt of another one. */
+    /** A limit applies until one window after the last live host has replaced it. */
     private double bound(String team, long from, long to) {
         return versions.stream()
                 .filter(version -> version.since <= to && version.lastHeldMicros() + WINDOW_MICROS >= from)
@@ -168,7 +169,7 @@
                 .orElseThrow();
     }
 
-    /** One version of all limits, and by whom it was held until when. */
+    /** A version of all limits, with the hosts that apply it and the time when the last one ceased to. */
     private final class LimitsVersion {
         private final long since;
         private final Map<String, RateLimit> limits = new HashMap<>(QuotaSimulation.this.limits);
@@ -199,17 +200,17 @@
         return refused.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Returns how many requests came of teams that had kept to 0.9 of their limits. */
+    /** Returns the number of requests within {@link #ENTITLED_SHARE} of their team's limit. */
     int entitled() {
         return entitled.size();
     }
 
-    /** Returns how many of these were refused. */
+    /** Returns the number of entitled requests that were refused. */
     int entitledRefused() {
         return entitledRefused;
     }
 
-    /** Returns the share of a team's limit that it used from one second to another. */
+    /** Returns the fraction of a team's limit that was used within the given seconds. */
     double utilization(String team, int fromSecond, int toSecond) {
         long count = runs.getOrDefault(team, List.of()).stream()
                 .filter(at -> at >= fromSecond * SECOND_MICROS && at < toSecond * SECOND_MICROS)
@@ -217,12 +218,12 @@
         return count / (limit(team).perSecond() * (toSecond - fromSecond));
     }
 
-    /** Returns how many messages passed between hosts. */
+    /** Returns the number of messages sent between hosts. */
     int messages() {
         return messages;
     }
 
-    /** Callers come at random; for some seconds, some teams send many times as much, and some to one region only. */
+    /** Schedules requests as a Poisson process; a team may have a peak, which may go to a single region. */
     private void scheduleRequests(String team, Demand demand) {
         boolean hasPeak = demand.peak() > 0 && random.nextInt(2) == 0;
         long peakFrom = SECOND_MICROS * random.nextInt(10);
@@ -238,7 +239,7 @@
         }
     }
 
-    /** Returns true if all that a team's callers sent so far keeps to a part of its limit. */
+    /** Returns true if the request now arriving is within {@link #ENTITLED_SHARE} of the team's limit. */
     private boolean isWithinLimit(String team) {
         RateLimit limit = limit(team);
         double maxLevel = Math.max(1, ENTITLED_SHARE * limit.burst());
@@ -289,7 +290,7 @@
                 schedule(from, () -> controlLeaderLost = true);
                 schedule(from + length, () -> {
                     controlLeaderLost = false;
-                    // A host that begins to lead gives every member a full period of grace.
+                    // A new leader restarts the time-out of every member.
                     hosts.forEach(host -> host.lastContactMicros = nowMicros);
                 });
             }
@@ -372,7 +373,7 @@
         }
     }
 
-    /** A host: its two parts, and the messages between them and others. */
+    /** A host with its quota client and server, which exchanges messages with other hosts. */
     private final class Host {
         private final String name;
         private final int region;
@@ -448,7 +449,7 @@
             performActions();
         }
 
-        /** Follows the tables, which drop hosts that were silent for long. */
+        /** Applies the replicated tables periodically, and removes this host from them if it is silent too long. */
         void followControl() {
             boolean reached = up && !frozen && partition == 0 && !controlLeaderLost;
             if (reached) {
@@ -514,7 +515,7 @@
             performActions();
         }
 
-        /** Has something done here later, unless this life of the host is over. */
+        /** Schedules a task on this host, which is dropped if the host restarts before. */
         private void scheduleHere(long time, Runnable task) {
             int scheduledIn = incarnation;
             schedule(time, () -> {
@@ -562,8 +563,8 @@
                 answer(answer);
             } else if (action instanceof QuotaAction.Call call) {
                 call(call);
-            } else if (action instanceof QuotaAction.Notify tell) {
-                hosts.forEach(to -> sendTo(to, () -> to.client.handleNotice(tell.notice())));
+            } else if (action instanceof QuotaAction.Notify notify) {
+                hosts.forEach(to -> sendTo(to, () -> to.client.handleNotice(notify.notice())));
             } else if (action instanceof QuotaAction.Wake wake) {
                 long inMicros = Math.max(0, TimeUnit.NANOSECONDS.toMicros(wake.atNanos() - nanos()) + 1);
                 scheduleHere(nowMicros + inMicros, () -> {
@@ -573,7 +574,7 @@
             }
         }
 
-        /** Makes a request; one in twenty turns out not to have run. */
+        /** Runs a permitted request; one in twenty does not run and is refunded. */
         private void run(String team) {
             if (random.nextInt(20) == 0) {
                 scheduleHere(nowMicros + random.nextLong(SECOND_MICROS / 2), () -> client.refund(team, nanos()));
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
@@ -9,7 +9,7 @@
 import org.bramblerack.wire.TeamAllowance;
 import org.junit.jupiter.api.Test;
 
-/** What one account permits: a burst, a steady load above the limit, and what came before it was kept here. */
+/** Grants of one account: a burst, a steady load above the limit, and a takeover with earlier spending. */
 final class TeamAccountTest {
     private static final QuotaBound BOUND = new QuotaBound(Duration.ofSeconds(5), 0.1, 20);
     private static final RateLimit LIMIT = new RateLimit(10, 20);
@@ -65,11 +65,11 @@
 
     @Test
     void aTakenOverAccountAppliesEarlierSpending() {
-        // The whole limit was spent a moment ago, and what the rate brought before that.
+        // The whole burst was spent just now, so nothing is left.
         account.addEarlier(ImmutableList.of(CAPACITY), 0);
         account.recompute(0, 0);
         assertThat(grant(1, 0)).isEqualTo(0);
-        // What was spent at the limit's rate for the whole window leaves nearly all of what may be made at once.
+        // Spending at exactly the limit's rate leaves nearly the whole burst.
         TeamAccount steady = new TeamAccount(BOUND, LIMIT, 0);
         steady.addEarlier(ImmutableList.copyOf(Collections.nCopies(SpentWindow.SLOTS, 2)), 0);
         steady.recompute(0, 0);
