--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
@@ -28,9 +28,9 @@
 public final class ReplicaLimiter {
     static final int NORMAL_INTERVAL = 8;
     private static final int MAX_QUEUED = 256;
-    private static final double SMOOTHING = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
     private static final double DECREASE_FACTOR = 0.5;
-    private static final double INCREASE = 0.1;
+    private static final double LIMIT_INCREASE = 0.1;
     private static final long INITIAL_SERVICE_NANOS = Duration.ofMillis(1).toNanos();
 
     private int slots;
@@ -76,8 +76,8 @@
     public List<LimiterAction> onFinished(String callId, long nowNanos) {
         Long since = runningSinceNanos.remove(callId);
         if (since != null) {
-            serviceNanos += SMOOTHING * (nowNanos - since - serviceNanos);
-            limit = Math.min(slots, limit + INCREASE);
+            serviceNanos += SMOOTHING_FACTOR * (nowNanos - since - serviceNanos);
+            limit = Math.min(slots, limit + LIMIT_INCREASE);
         }
         return dispatch(nowNanos);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
@@ -113,8 +113,8 @@
     }
 
     /** Discards the accounts of an owner, since another host has called all hosts to report to it. */
-    public void handleSuperseded(String owner, String by, long nowNanos) {
-        if (!by.equals(self)) {
+    public void handleSuperseded(String owner, String newServer, long nowNanos) {
+        if (!newServer.equals(self)) {
             groups.remove(owner);
             if (owner.equals(self)) {
                 historySinceNanos = nowNanos;
@@ -380,7 +380,7 @@
                 account.recompute(0, nowNanos);
             }
             if (!moved) {
-                account.spent(spending.getSpent(), nowNanos);
+                account.recordSpent(spending.getSpent(), nowNanos);
             }
             TeamAllowance.Builder allowance = account.grant(spending.getAsked(), isUncertain(nowNanos), nowNanos)
                     .setTeam(spending.getTeam())
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/TeamAccount.java
@@ -23,7 +23,7 @@
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final QuotaBound bound;
-    private final SpentWindow spent;
+    private final SpentWindow recordSpent;
     private final long createdNanos;
     private RateLimit limit;
     private double level;
@@ -37,7 +37,7 @@
     TeamAccount(QuotaBound bound, RateLimit limit, long nowNanos) {
         this.bound = bound;
         this.limit = limit;
-        this.spent = new SpentWindow(bound.window().toNanos(), nowNanos);
+        this.recordSpent = new SpentWindow(bound.window().toNanos(), nowNanos);
         this.createdNanos = nowNanos;
         this.level = capacity();
         this.levelNanos = nowNanos;
@@ -55,10 +55,10 @@
     }
 
     /** Counts requests that were made without permission from this account; a negative count is a refund. */
-    void spent(int count, long nowNanos) {
+    void recordSpent(int count, long nowNanos) {
         refill(nowNanos);
         level = Math.min(capacity(), level - count);
-        spent.add(count, nowNanos);
+        recordSpent.add(count, nowNanos);
         updateMustAsk();
     }
 
@@ -73,7 +73,7 @@
         int granted = (int) Math.max(0, Math.min(requested, Math.floor(available)));
         grantedWhileUncertain += granted;
         level -= granted;
-        spent.add(granted, nowNanos);
+        recordSpent.add(granted, nowNanos);
         updateMustAsk();
         TeamAllowance.Builder allowance = TeamAllowance.newBuilder().setGranted(granted);
         int refused = requested - granted;
@@ -82,7 +82,7 @@
 
     /** Adds earlier spending by age, the latest first; {@link #recompute} applies it to the level. */
     void addEarlier(List<Integer> byAge, long nowNanos) {
-        spent.addByAge(byAge, nowNanos);
+        recordSpent.addByAge(byAge, nowNanos);
     }
 
     /**
@@ -92,14 +92,14 @@
      */
     void recompute(double unreportedShare, long nowNanos) {
         double maxLevel = capacity() * (1 - unreportedShare);
-        double perSlot = tokensPerNano() * (1 - unreportedShare) * spent.slotNanos();
-        List<Integer> byAge = spent.byAge(nowNanos);
+        double perSlot = tokensPerNano() * (1 - unreportedShare) * recordSpent.slotNanos();
+        List<Integer> byAge = recordSpent.byAge(nowNanos);
         double recomputed = maxLevel;
         // Refills before spending, so that the cap of the bucket discards the most and the level is a lower bound.
         for (int age = byAge.size() - 1; age >= 0; age--) {
             recomputed = Math.min(maxLevel, recomputed + perSlot) - byAge.get(age);
         }
-        level = Math.max(recomputed, bound.allowanceWhileUncertain() - spent.total(nowNanos));
+        level = Math.max(recomputed, bound.allowanceWhileUncertain() - recordSpent.total(nowNanos));
         levelNanos = nowNanos;
         updateMustAsk();
     }
@@ -118,7 +118,7 @@
     /** Returns true if the account can be removed without loss of information. */
     boolean isIdle(long nowNanos) {
         refill(nowNanos);
-        return level >= capacity() && spent.isEmpty(nowNanos);
+        return level >= capacity() && recordSpent.isEmpty(nowNanos);
     }
 
     private void refill(long nowNanos) {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/TeamAccountTest.java
@@ -28,20 +28,20 @@
     }
 
     @Test
-    void aTeamMustAskBetweenTheLowAndTheHighMark() {
-        account.spent(CAPACITY * 2 / 3, 0);
+    void aTeamMustAskBelowOneThirdUntilTwoThirdsAreAvailable() {
+        account.recordSpent(CAPACITY * 2 / 3, 0);
         assertThat(account.mustAsk()).isFalse();
-        account.spent(1, 0);
+        account.recordSpent(1, 0);
         assertThat(account.mustAsk()).isTrue();
-        account.spent(0, SECOND);
+        account.recordSpent(0, SECOND);
         assertThat(account.mustAsk()).isTrue();
-        account.spent(0, 2 * SECOND);
+        account.recordSpent(0, 2 * SECOND);
         assertThat(account.mustAsk()).isFalse();
     }
 
     @Test
     void overspendingDelaysFurtherGrants() {
-        account.spent(CAPACITY + 20, 0);
+        account.recordSpent(CAPACITY + 20, 0);
         assertThat(grant(1, SECOND)).isEqualTo(0);
         assertThat(grant(1, 2 * SECOND + SECOND / 5)).isEqualTo(1);
     }
@@ -49,7 +49,7 @@
     @Test
     void refundedRequestsCanBeGrantedAgain() {
         assertThat(grant(CAPACITY, 0)).isEqualTo(CAPACITY);
-        account.spent(-3, 0);
+        account.recordSpent(-3, 0);
         assertThat(grant(10, 0)).isEqualTo(3);
     }
 
