--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
@@ -16,31 +16,32 @@
 import org.bramblerack.version.Priority;
 
 /**
- * The one queue before an upstream, kept by the host that holds its connections.
+ * Limits the concurrent calls to one upstream and queues the rest, on the host that holds the connections to it.
  *
- * <p>Invariants: at most the limit of calls are at the upstream; an urgent call goes before every normal one, except
- * that one dispatch in {@value #NORMAL_EVERY} goes to a waiting normal call; a call that cannot finish within its
- * deadline is refused before it is sent, at once if that is clear when it comes.
+ * <p>Invariants: no more calls than the concurrency limit run at the upstream; urgent calls are dispatched before
+ * normal ones, except that one dispatch in {@value #NORMAL_INTERVAL} goes to a queued normal call; a call that cannot
+ * finish within its deadline is refused without being sent. The limit grows additively with each finished call, and
+ * decreases by a factor when the upstream sheds one.
  *
- * <p>Not safe for use by several threads: the holder's table guards each gate with its lock.
+ * <p>Not safe for use by several threads: callers guard each limiter with a lock.
  */
 public final class ReplicaLimiter {
-    static final int NORMAL_EVERY = 8;
-    private static final int MAX_WAITING = 256;
-    private static final double SMOOTHING = 0.1;
-    private static final double SHED_FACTOR = 0.5;
-    private static final double GROWTH = 0.1;
+    static final int NORMAL_INTERVAL = 8;
+    private static final int MAX_QUEUED = 256;
+    private static final double SMOOTHING_FACTOR = 0.1;
+    private static final double DECREASE_FACTOR = 0.5;
+    private static final double LIMIT_INCREASE = 0.1;
     private static final long INITIAL_SERVICE_NANOS = Duration.ofMillis(1).toNanos();
 
     private int slots;
-    private final Map<Priority, Deque<Waiting>> queues = new EnumMap<>(Priority.class);
+    private final Map<Priority, Deque<QueuedCall>> queues = new EnumMap<>(Priority.class);
     private final Map<String, Long> runningSinceNanos = new HashMap<>();
     private double limit;
     private double serviceNanos = INITIAL_SERVICE_NANOS;
     private int dispatchesSinceNormal;
 
     /**
-     * Creates the gate of an idle upstream.
+     * Creates the limiter of an idle upstream.
      *
      * @param slots how many calls the upstream works on at a time, at least 1
      */
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Takes over how many calls the upstream works on at a time. */
+    /** Sets how many calls the upstream works on at a time. */
     public void setSlots(int declared) {
         checkArgument(declared > 0, "slots %s is not positive", declared);
         if (declared != slots) {
@@ -62,36 +63,36 @@
         }
     }
 
-    /** Takes a new call. */
+    /** Submits a call, which is dispatched, queued, or refused if it cannot finish within its deadline. */
     public List<LimiterAction> submit(String callId, Priority priority, long deadlineNanos, long nowNanos) {
-        if (waiting() >= MAX_WAITING || !canFinish(priority, deadlineNanos, nowNanos)) {
+        if (waiting() >= MAX_QUEUED || !canFinish(priority, deadlineNanos, nowNanos)) {
             return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.QUEUE_FULL));
         }
-        queueOf(priority).addLast(new Waiting(callId, deadlineNanos));
+        queueOf(priority).addLast(new QueuedCall(callId, deadlineNanos));
         return dispatch(nowNanos);
     }
 
-    /** Takes the end of a call that the upstream worked on. */
+    /** Handles the end of a call that the upstream ran. */
     public List<LimiterAction> onFinished(String callId, long nowNanos) {
         Long since = runningSinceNanos.remove(callId);
         if (since != null) {
-            serviceNanos += SMOOTHING * (nowNanos - since - serviceNanos);
-            limit = Math.min(slots, limit + GROWTH);
+            serviceNanos += SMOOTHING_FACTOR * (nowNanos - since - serviceNanos);
+            limit = Math.min(slots, limit + LIMIT_INCREASE);
         }
         return dispatch(nowNanos);
     }
 
-    /** Takes the end of a call that the upstream shed: fewer are sent at a time for a while. */
+    /** Handles a call that the upstream shed, and decreases the concurrency limit. */
     public List<LimiterAction> onShed(String callId, long nowNanos) {
         if (runningSinceNanos.remove(callId) != null) {
-            limit = Math.max(1.0, limit * SHED_FACTOR);
+            limit = Math.max(1.0, limit * DECREASE_FACTOR);
         }
         return dispatch(nowNanos);
     }
 
-    /** Cancels a call, waiting or running. A running one keeps its place until it has finished. */
+    /** Cancels a queued or running call. A running one occupies its slot until it has finished. */
     public List<LimiterAction> cancel(String callId) {
-        for (Deque<Waiting> queue : queues.values()) {
+        for (Deque<QueuedCall> queue : queues.values()) {
             if (queue.removeIf(waiting -> waiting.callId().equals(callId))) {
                 return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.CANCELLED));
             }
@@ -101,16 +102,16 @@
                 : ImmutableList.of();
     }
 
-    /** Returns how many calls wait. */
+    /** Returns the number of queued calls. */
     public int waiting() {
         int total = 0;
-        for (Deque<Waiting> queue : queues.values()) {
+        for (Deque<QueuedCall> queue : queues.values()) {
             total += queue.size();
         }
         return total;
     }
 
-    /** Returns how many calls are at the upstream. */
+    /** Returns the number of calls at the upstream. */
     public int running() {
         return runningSinceNanos.size();
     }
@@ -126,18 +127,18 @@
         List<LimiterAction> actions = new ArrayList<>();
         refuseExpired(nowNanos, actions);
         while (running() < (int) limit && waiting() > 0) {
-            Waiting next = takeNext();
+            QueuedCall next = pollNext();
             runningSinceNanos.put(next.callId(), nowNanos);
             actions.add(new LimiterAction.Dispatch(next.callId()));
         }
         return actions;
     }
 
-    private Waiting takeNext() {
-        Deque<Waiting> urgent = queueOf(Priority.URGENT);
-        Deque<Waiting> normal = queueOf(Priority.NORMAL);
-        boolean turnOfNormal = !normal.isEmpty() && dispatchesSinceNormal >= NORMAL_EVERY - 1;
-        if (urgent.isEmpty() || turnOfNormal) {
+    private QueuedCall pollNext() {
+        Deque<QueuedCall> urgent = queueOf(Priority.URGENT);
+        Deque<QueuedCall> normal = queueOf(Priority.NORMAL);
+        boolean normalIsDue = !normal.isEmpty() && dispatchesSinceNormal >= NORMAL_INTERVAL - 1;
+        if (urgent.isEmpty() || normalIsDue) {
             dispatchesSinceNormal = 0;
             return normal.removeFirst();
         }
@@ -146,10 +147,10 @@
     }
 
     private void refuseExpired(long nowNanos, List<LimiterAction> actions) {
-        for (Deque<Waiting> queue : queues.values()) {
-            Iterator<Waiting> iterator = queue.iterator();
+        for (Deque<QueuedCall> queue : queues.values()) {
+            Iterator<QueuedCall> iterator = queue.iterator();
             while (iterator.hasNext()) {
-                Waiting waiting = iterator.next();
+                QueuedCall waiting = iterator.next();
                 if (nowNanos + (long) (serviceNanos / 2) - waiting.deadlineNanos() >= 0) {
                     iterator.remove();
                     actions.add(new LimiterAction.Refuse(waiting.callId(), LeafFailure.EXPIRED));
@@ -158,13 +159,13 @@
         }
     }
 
-    private Deque<Waiting> queueOf(Priority priority) {
-        Deque<Waiting> queue = queues.get(priority);
+    private Deque<QueuedCall> queueOf(Priority priority) {
+        Deque<QueuedCall> queue = queues.get(priority);
         if (queue == null) {
             throw new IllegalStateException("no queue for " + priority);
         }
         return queue;
     }
 
-    private record Waiting(String callId, long deadlineNanos) {}
+    private record QueuedCall(String callId, long deadlineNanos) {}
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
@@ -9,108 +9,116 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Limits on teams' rates over many drawn schedules: the bound holds whatever happens, who keeps to a limit is not
- * refused, and a limit is used. Each check is shown to find a fault that is planted for it.
+ * Guards against exceeding the bound on teams' rates under faults, refusing teams within their limits, and leaving
+ * limits unused. Injected defects verify that each check can fail.
  */
 final class QuotaScheduleTest {
-    /** More are played by hand: {@code JAVA_TOOL_OPTIONS=-Dquota.seeds=10000}. */
+    /** Run more seeds with {@code JAVA_TOOL_OPTIONS=-Dquota.seeds=10000}. */
     private static final int SEEDS = Integer.getInteger("quota.seeds", 300);
 
     private static final int FIRST_SEED = Integer.getInteger("quota.first", 0);
 
-    private static final QuotaWorld.Demand HOT = new QuotaWorld.Demand(0.625, 6.25);
+    private static final QuotaSimulation.Demand WITH_PEAKS = new QuotaSimulation.Demand(0.625, 6.25);
 
     @Test
     void theBoundHoldsUnderAllFaults() {
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            double over = drawn(seed, QuotaWorld.Plant.NONE).worst();
-            if (over > 0) {
-                broken.add("seed " + seed + " " + troubles(seed) + ": over by " + over);
+            double excess = withRandomFaults(seed, QuotaSimulation.Defect.NONE).maxExcess();
+            if (excess > 0) {
+                violations.add("seed " + seed + " " + randomFaults(seed) + ": over by " + excess);
             }
         }
-        System.out.println("limits on rates: over the bound in " + broken.size() + " of " + SEEDS + " schedules");
-        assertThat(broken).isEmpty();
+        System.out.println("limits on rates: over the bound in " + violations.size() + " of " + SEEDS + " schedules");
+        assertThat(violations).isEmpty();
     }
 
     @Test
     void aTeamWithinItsLimitIsNotRefused() {
-        int asked = 0;
+        int entitled = 0;
         int refused = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
-            QuotaWorld world = calm(seed, new QuotaWorld.Demand(0.9, 0), QuotaWorld.Plant.NONE);
-            asked += world.owed();
-            refused += world.owedRefused();
+            QuotaSimulation simulation =
+                    withoutFaults(seed, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Defect.NONE);
+            entitled += simulation.entitled();
+            refused += simulation.entitledRefused();
         }
-        System.out.println("limits on rates: refused below the limit " + refused + " of " + asked);
-        assertThat(refused * 1_000.0 / asked).isLessThan(1.0);
+        System.out.println("limits on rates: refused below the limit " + refused + " of " + entitled);
+        assertThat(refused * 1_000.0 / entitled).isLessThan(1.0);
     }
 
-    /** Hosts that are killed or stopped in turn, and control that is lost, leave the others in touch. */
+    /** Uses only faults that leave the remaining hosts connected. */
     @Test
     void aTeamWithinItsLimitIsNotRefusedWhileHostsComeAndGo() {
-        int asked = 0;
+        int entitled = 0;
         int refused = 0;
-        for (QuotaWorld.Trouble trouble :
-                List.of(QuotaWorld.Trouble.KILL, QuotaWorld.Trouble.ROLL, QuotaWorld.Trouble.CONTROL_LOST)) {
+        for (QuotaSimulation.Fault fault : List.of(
+                QuotaSimulation.Fault.KILL_HOST,
+                QuotaSimulation.Fault.ROLLING_RESTART,
+                QuotaSimulation.Fault.LOSE_CONTROL_LEADER)) {
             for (int seed = FIRST_SEED; seed < FIRST_SEED + 5; seed++) {
-                QuotaWorld.Demand usual = new QuotaWorld.Demand(0.625, 0);
-                QuotaWorld world =
-                        new QuotaWorld(seed, EnumSet.of(trouble), 63, 8, usual, QuotaWorld.Plant.NONE).play();
-                asked += world.owed();
-                refused += world.owedRefused();
+                QuotaSimulation.Demand normal = new QuotaSimulation.Demand(0.625, 0);
+                QuotaSimulation simulation =
+                        new QuotaSimulation(seed, EnumSet.of(fault), 63, 8, normal, QuotaSimulation.Defect.NONE).run();
+                entitled += simulation.entitled();
+                refused += simulation.entitledRefused();
             }
         }
-        System.out.println("limits on rates: refused while hosts come and go " + refused + " of " + asked);
-        assertThat(refused * 1_000.0 / asked).isLessThan(1.0);
+        System.out.println("limits on rates: refused while hosts come and go " + refused + " of " + entitled);
+        assertThat(refused * 1_000.0 / entitled).isLessThan(1.0);
     }
 
     @Test
     void aTeamCanUseItsWholeLimit() {
-        double least = 1;
+        double minUtilization = 1;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
-            least = Math.min(
-                    least,
-                    calm(seed, new QuotaWorld.Demand(3, 0), QuotaWorld.Plant.NONE)
-                            .use("t0", 3, 16));
+            minUtilization = Math.min(
+                    minUtilization,
+                    withoutFaults(seed, new QuotaSimulation.Demand(3, 0), QuotaSimulation.Defect.NONE)
+                            .utilization("t0", 3, 16));
         }
-        System.out.println("limits on rates: least use " + least);
-        assertThat(least).isAtLeast(0.95);
+        System.out.println("limits on rates: minimum utilization " + minUtilization);
+        assertThat(minUtilization).isAtLeast(0.95);
     }
 
     @Test
-    void plantedFaultsAreFound() {
-        for (QuotaWorld.Plant plant : List.of(
-                QuotaWorld.Plant.NOTHING_REPORTED, QuotaWorld.Plant.NOTHING_TOLD, QuotaWorld.Plant.ALONE_IS_FREE)) {
-            boolean found = false;
-            for (int seed = 0; seed < 300 && !found; seed++) {
-                found = drawn(seed, plant).worst() > 0;
+    void injectedDefectsAreDetected() {
+        for (QuotaSimulation.Defect defect : List.of(
+                QuotaSimulation.Defect.NOTHING_REPORTED,
+                QuotaSimulation.Defect.NO_HISTORY_REPORTED,
+                QuotaSimulation.Defect.ISOLATED_UNLIMITED)) {
+            boolean detected = false;
+            for (int seed = 0; seed < 300 && !detected; seed++) {
+                detected = withRandomFaults(seed, defect).maxExcess() > 0;
             }
-            assertThat(found ? plant : null).isEqualTo(plant);
+            assertThat(detected ? defect : null).isEqualTo(defect);
         }
-        QuotaWorld world = calm(1, new QuotaWorld.Demand(0.9, 0), QuotaWorld.Plant.NOTHING_PERMITTED);
-        assertThat(world.owedRefused() * 1_000.0 / world.owed()).isGreaterThan(1.0);
-        assertThat(world.use("t0", 3, 16)).isLessThan(0.95);
+        QuotaSimulation simulation =
+                withoutFaults(1, new QuotaSimulation.Demand(0.9, 0), QuotaSimulation.Defect.NOTHING_PERMITTED);
+        assertThat(simulation.entitledRefused() * 1_000.0 / simulation.entitled())
+                .isGreaterThan(1.0);
+        assertThat(simulation.utilization("t0", 3, 16)).isLessThan(0.95);
     }
 
-    private static QuotaWorld calm(int seed, QuotaWorld.Demand demand, QuotaWorld.Plant plant) {
-        return new QuotaWorld(seed, EnumSet.noneOf(QuotaWorld.Trouble.class), 9, 12, demand, plant).play();
+    private static QuotaSimulation withoutFaults(
+            int seed, QuotaSimulation.Demand demand, QuotaSimulation.Defect defect) {
+        return new QuotaSimulation(seed, EnumSet.noneOf(QuotaSimulation.Fault.class), 9, 12, demand, defect).run();
     }
 
-    private static QuotaWorld drawn(int seed, QuotaWorld.Plant plant) {
+    private static QuotaSimulation withRandomFaults(int seed, QuotaSimulation.Defect defect) {
         int hosts = seed % 20 == 0 ? 63 : 6 + seed % 7;
-        return new QuotaWorld(seed, troubles(seed), hosts, 8, HOT, plant).play();
+        return new QuotaSimulation(seed, randomFaults(seed), hosts, 8, WITH_PEAKS, defect).run();
     }
 
-    /** Returns troubles that may come together; any of them may be left out. */
-    private static EnumSet<QuotaWorld.Trouble> troubles(long seed) {
+    /** Returns a random set of faults, which may be empty. */
+    private static EnumSet<QuotaSimulation.Fault> randomFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        EnumSet<QuotaWorld.Trouble> troubles = EnumSet.noneOf(QuotaWorld.Trouble.class);
-        for (QuotaWorld.Trouble trouble : QuotaWorld.Trouble.values()) {
+        EnumSet<QuotaSimulation.Fault> faults = EnumSet.noneOf(QuotaSimulation.Fault.class);
+        for (QuotaSimulation.Fault fault : QuotaSimulation.Fault.values()) {
             if (random.nextInt(4) == 0) {
-                troubles.add(trouble);
+                faults.add(fault);
             }
         }
-        return troubles;
+        return faults;
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/KeeperOrderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaServerOrderTest.java
@@ -10,37 +10,37 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Every host finds the same keepers, and hosts that come or go move few teams. */
-final class KeeperOrderTest {
+/** Every host computes the same owners and backups, and a host that leaves moves only its own teams. */
+final class QuotaServerOrderTest {
     private static final int HOSTS = 63;
     private static final int TEAMS = 630;
 
     @Test
-    void theOrderOfTheTablesChangesNothing() {
-        List<String> turned = new ArrayList<>(hosts(HOSTS));
-        Collections.reverse(turned);
-        KeeperOrder one = new KeeperOrder(hosts(HOSTS));
-        KeeperOrder other = new KeeperOrder(turned);
+    void theOrderOfTheHostsDoesNotMatter() {
+        List<String> reversed = new ArrayList<>(hosts(HOSTS));
+        Collections.reverse(reversed);
+        QuotaServerOrder one = new QuotaServerOrder(hosts(HOSTS));
+        QuotaServerOrder other = new QuotaServerOrder(reversed);
         for (int team = 0; team < TEAMS; team++) {
             String owner = one.ownerOf("team-" + team);
             assertThat(other.ownerOf("team-" + team)).isEqualTo(owner);
-            assertThat(other.keepers(owner)).isEqualTo(one.keepers(owner));
+            assertThat(other.servers(owner)).isEqualTo(one.servers(owner));
         }
     }
 
     @Test
     void aHostThatLeavesMovesOnlyItsOwnTeams() {
-        KeeperOrder before = new KeeperOrder(hosts(HOSTS));
-        KeeperOrder after = new KeeperOrder(hosts(HOSTS - 1));
-        Map<String, Integer> teams = new HashMap<>();
+        QuotaServerOrder before = new QuotaServerOrder(hosts(HOSTS));
+        QuotaServerOrder after = new QuotaServerOrder(hosts(HOSTS - 1));
+        Map<String, Integer> teamsByOwner = new HashMap<>();
         for (int team = 0; team < TEAMS; team++) {
             String owner = before.ownerOf("team-" + team);
-            teams.merge(owner, 1, Integer::sum);
+            teamsByOwner.merge(owner, 1, Integer::sum);
             if (!owner.equals("host-" + (HOSTS - 1))) {
                 assertThat(after.ownerOf("team-" + team)).isEqualTo(owner);
             }
         }
-        assertThat(Collections.max(teams.values())).isLessThan(4 * TEAMS / HOSTS);
+        assertThat(Collections.max(teamsByOwner.values())).isLessThan(4 * TEAMS / HOSTS);
     }
 
     private static ImmutableList<String> hosts(int count) {
