--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
@@ -99,7 +99,7 @@
         return state == State.NOT_SENT || state == State.BARRED;
     }
 
-    boolean isBarred() {
+    boolean isQuarantined() {
         return state == State.BARRED;
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    void finish(State end) {
-        state = end;
+    void finish(State finalState) {
+        state = finalState;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
@@ -50,21 +50,21 @@
         if (teams.isEmpty()) {
             return new Result.Known(CallerIdentity.ANONYMOUS);
         }
-        PresentedCredentials shown = shown(credentials);
-        Optional<Team> team = shown == PresentedCredentials.A_KEY
-                ? key(credentials.get(0)).flatMap(teams::withKey)
+        PresentedCredentials presented = classify(credentials);
+        Optional<Team> team = presented == PresentedCredentials.A_KEY
+                ? parseKey(credentials.get(0)).flatMap(teams::withKey)
                 : Optional.empty();
         return team.isPresent() || route.isPublic()
                 ? new Result.Known(new CallerIdentity(team))
-                : new Result.Unknown(shown);
+                : new Result.Unknown(presented);
     }
 
     /** Returns true if credentials may hold the key of a team, whether it is known or not. */
     public static boolean mayContainKey(String credentials) {
-        return key(credentials).isPresent();
+        return parseKey(credentials).isPresent();
     }
 
-    private static PresentedCredentials shown(List<String> credentials) {
+    private static PresentedCredentials classify(List<String> credentials) {
         if (credentials.isEmpty()) {
             return PresentedCredentials.NOTHING;
         }
@@ -74,7 +74,7 @@
         return mayContainKey(credentials.get(0)) ? PresentedCredentials.A_KEY : PresentedCredentials.NO_KEY;
     }
 
-    private static Optional<KeyDigest> key(String credentials) {
+    private static Optional<KeyDigest> parseKey(String credentials) {
         String trimmed = credentials.strip();
         int end = SCHEME.length();
         boolean hasScheme = trimmed.regionMatches(true, 0, SCHEME, 0, end)
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerElapsedTime.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerElapsedTime.java
@@ -18,9 +18,9 @@
      * So many tries tell more than the time-out, which may be far longer than anyone waits: even after an outage, one
      * in some of them is a first one.
      */
-    private static final int ENOUGH_TRIES = 16;
+    private static final int MIN_SAMPLES = 16;
 
-    private final Map<String, Longest> longestByRoute = new HashMap<>();
+    private final Map<String, WindowedMaximum> maximumByRoute = new HashMap<>();
 
     /**
      * Notes a try and returns how long its caller has waited already, in nanoseconds.
@@ -29,35 +29,35 @@
      * @param timeoutNanos the time-out of the route
      */
     public long elapsedNanos(String route, long waitNanos, long timeoutNanos, long nowNanos) {
-        Longest longest = longestByRoute.computeIfAbsent(route, unused -> new Longest());
-        longest.note(Math.min(waitNanos, timeoutNanos), nowNanos);
-        return Math.max(0, longest.nanos(timeoutNanos) - waitNanos);
+        WindowedMaximum maximum = maximumByRoute.computeIfAbsent(route, unused -> new WindowedMaximum());
+        maximum.record(Math.min(waitNanos, timeoutNanos), nowNanos);
+        return Math.max(0, maximum.maxNanos(timeoutNanos) - waitNanos);
     }
 
     /** The longest wait of the present window and of the one before. */
-    private static final class Longest {
-        private boolean begun;
-        private int tries;
+    private static final class WindowedMaximum {
+        private boolean started;
+        private int samples;
         private long windowStartNanos;
-        private long inWindowNanos;
-        private long beforeNanos;
+        private long currentMaxNanos;
+        private long previousMaxNanos;
 
-        void note(long waitNanos, long nowNanos) {
-            if (!begun) {
-                begun = true;
+        void record(long waitNanos, long nowNanos) {
+            if (!started) {
+                started = true;
                 windowStartNanos = nowNanos;
             } else if (nowNanos - windowStartNanos >= WINDOW_NANOS) {
                 windowStartNanos = nowNanos;
-                beforeNanos = inWindowNanos;
-                inWindowNanos = 0;
+                previousMaxNanos = currentMaxNanos;
+                currentMaxNanos = 0;
             }
-            tries = Math.min(ENOUGH_TRIES, tries + 1);
-            inWindowNanos = Math.max(inWindowNanos, waitNanos);
+            samples = Math.min(MIN_SAMPLES, samples + 1);
+            currentMaxNanos = Math.max(currentMaxNanos, waitNanos);
         }
 
         /** The first few tries may all be those of callers who have waited. */
-        long nanos(long timeoutNanos) {
-            return tries >= ENOUGH_TRIES ? Math.max(inWindowNanos, beforeNanos) : timeoutNanos;
+        long maxNanos(long timeoutNanos) {
+            return samples >= MIN_SAMPLES ? Math.max(currentMaxNanos, previousMaxNanos) : timeoutNanos;
         }
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/DeferredStarts.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/DeferredStarts.java
@@ -15,11 +15,11 @@
  * @param <T> what stands for a request
  */
 public final class DeferredStarts<T> {
-    private final PriorityQueue<Held<T>> held = new PriorityQueue<>(
-            Comparator.<Held<T>>comparingLong(Held::startByNanos).thenComparingLong(Held::number));
-    private long lastNumber;
+    private final PriorityQueue<Deferred<T>> queue = new PriorityQueue<>(
+            Comparator.<Deferred<T>>comparingLong(Deferred::startByNanos).thenComparingLong(Deferred::sequence));
+    private long lastSequence;
 
-    private record Held<T>(T request, long startByNanos, long number) {}
+    private record Deferred<T>(T request, long startByNanos, long sequence) {}
 
     /**
      * Holds a request back.
@@ -27,40 +27,40 @@
      * @param startByNanos when it starts at the latest
      */
     public void defer(T request, long startByNanos) {
-        held.add(new Held<>(request, startByNanos, ++lastNumber));
+        queue.add(new Deferred<>(request, startByNanos, ++lastSequence));
     }
 
     /** Forgets a request whose caller went away. */
     public void remove(T request) {
-        held.removeIf(each -> each.request().equals(request));
+        queue.removeIf(each -> each.request().equals(request));
     }
 
     /**
      * Returns the requests that start now, which are not held any more: those whose limit has come, and one more if the
      * leafs have room.
      */
-    public ImmutableList<T> pollDue(boolean room, long nowNanos) {
+    public ImmutableList<T> pollDue(boolean hasCapacity, long nowNanos) {
         ImmutableList.Builder<T> due = ImmutableList.builder();
-        boolean roomLeft = room;
-        while (!held.isEmpty() && (roomLeft || nowNanos - held.peek().startByNanos() >= 0)) {
-            roomLeft &= nowNanos - held.peek().startByNanos() >= 0;
-            due.add(held.remove().request());
+        boolean capacityLeft = hasCapacity;
+        while (!queue.isEmpty() && (capacityLeft || nowNanos - queue.peek().startByNanos() >= 0)) {
+            capacityLeft &= nowNanos - queue.peek().startByNanos() >= 0;
+            due.add(queue.remove().request());
         }
         return due.build();
     }
 
     /** Returns the request that starts next, if one is held. */
     public Optional<T> peek() {
-        return Optional.ofNullable(held.peek()).map(Held::request);
+        return Optional.ofNullable(queue.peek()).map(Deferred::request);
     }
 
     /** Returns true if no request is held. */
     public boolean isEmpty() {
-        return held.isEmpty();
+        return queue.isEmpty();
     }
 
     /** Returns how many requests are held. */
     public int size() {
-        return held.size();
+        return queue.size();
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/BreakProbe.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/DisconnectProbe.java
@@ -17,19 +17,19 @@
  * <p>Invariant: until a leaf has answered, at most one shard asks again after a break. Not safe for use by several
  * threads.
  */
-final class BreakProbe {
+final class DisconnectProbe {
     private final Deque<ShardRequest> waiting = new ArrayDeque<>();
     private @Nullable ShardRequest probe;
-    private boolean survived;
-    private boolean brokeTwice;
+    private boolean leafSurvived;
+    private boolean disconnectedTwice;
 
     /** Returns true if a shard may ask again now after its call broke; otherwise it is to wait, or to give up. */
-    boolean mayAskAgain(ShardRequest shard) {
-        if (survived) {
+    boolean mayRetry(ShardRequest shard) {
+        if (leafSurvived) {
             return true;
         }
-        brokeTwice |= shard == probe;
-        if (!brokeTwice && (probe == null || probe.isFinished())) {
+        disconnectedTwice |= shard == probe;
+        if (!disconnectedTwice && (probe == null || probe.isFinished())) {
             probe = shard;
             return true;
         }
@@ -38,13 +38,13 @@
     }
 
     /** Returns true while a call has broken and no leaf has answered. */
-    boolean isInDoubt() {
-        return probe != null && !survived;
+    boolean isHarmPossible() {
+        return probe != null && !leafSurvived;
     }
 
     /** Notes that a leaf has answered the query. */
-    void survived() {
-        survived = true;
+    void leafSurvived() {
+        leafSurvived = true;
     }
 
     /**
@@ -52,14 +52,14 @@
      *
      * @param unfinishedCount how many shards of the query may still bring an answer, those that wait here included
      */
-    void advance(int unfinishedCount, long nowNanos, List<RoutedAction> actions) {
+    void resumeDecided(int unfinishedCount, long nowNanos, List<RoutedAction> actions) {
         waiting.removeIf(ShardRequest::isFinished);
-        if (survived) {
+        if (leafSurvived) {
             resumeAll(nowNanos, actions);
-        } else if (brokeTwice && waiting.size() == unfinishedCount) {
-            waiting.forEach(shard -> shard.giveUpHeld(actions));
+        } else if (disconnectedTwice && waiting.size() == unfinishedCount) {
+            waiting.forEach(shard -> shard.failDeferred(actions));
             waiting.clear();
-        } else if (!brokeTwice && !waiting.isEmpty() && probe != null && probe.isFinished()) {
+        } else if (!disconnectedTwice && !waiting.isEmpty() && probe != null && probe.isFinished()) {
             probe = waiting.remove();
             probe.resume(nowNanos, actions);
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
@@ -19,10 +19,10 @@
     private final ShardRequest request;
     private final RequestBounds bounds;
     private Optional<Attempt> lastFailure = Optional.empty();
-    private boolean lost;
+    private boolean outcomeUnknown;
     private boolean over;
-    private long armedWakeNanos;
-    private boolean wakeArmed;
+    private long scheduledWakeNanos;
+    private boolean wakeScheduled;
 
     /**
      * Creates a request; nothing is asked before {@link #start}.
@@ -38,7 +38,7 @@
     public List<RoutedAction> start(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         request.start(nowNanos, actions);
-        decide(nowNanos, actions);
+        finishOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -50,7 +50,7 @@
             actions.add(new RoutedAction.Count(AttemptCounter.LATE_ANSWER));
             return actions;
         }
-        request.answered(attempt, actions);
+        request.onAnswer(attempt, actions);
         end(actions);
         actions.add(new RoutedAction.DeliverAnswer(attempt));
         return actions;
@@ -66,10 +66,10 @@
         if (hasAnswer) {
             lastFailure = Optional.of(attempt);
         }
-        lost |= outcome == LeafOutcome.BROKEN || outcome == LeafOutcome.GARBLED;
-        request.failed(attempt, outcome, nowNanos, actions);
+        outcomeUnknown |= outcome == LeafOutcome.BROKEN || outcome == LeafOutcome.GARBLED;
+        request.onFailure(attempt, outcome, nowNanos, actions);
         if (!over) {
-            decide(nowNanos, actions);
+            finishOrScheduleWake(nowNanos, actions);
         }
         return actions;
     }
@@ -80,9 +80,9 @@
         if (over) {
             return actions;
         }
-        wakeArmed = false;
+        wakeScheduled = false;
         request.wake(Optional.empty(), nowNanos, actions);
-        decide(nowNanos, actions);
+        finishOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -101,8 +101,8 @@
      * Returns why the request is refused, by what came of the attempts that were given up with it: if none of them had
      * been sent, it has not run.
      */
-    public RefusalReason finalRefusalReason(RefusalReason decided) {
-        return request.isNotRun() ? request.notRunReason() : decided;
+    public RefusalReason finalRefusalReason(RefusalReason provisional) {
+        return request.isNotRun() ? request.notRunReason() : provisional;
     }
 
     /** Returns in words what was tried, for a log line. */
@@ -110,10 +110,10 @@
         return request.describe(nowNanos);
     }
 
-    private void decide(long nowNanos, List<RoutedAction> actions) {
-        boolean deadlineCome = nowNanos - bounds.deadlineNanos() >= 0;
-        if (!request.isFinished() && !deadlineCome) {
-            armWake(actions);
+    private void finishOrScheduleWake(long nowNanos, List<RoutedAction> actions) {
+        boolean deadlineReached = nowNanos - bounds.deadlineNanos() >= 0;
+        if (!request.isFinished() && !deadlineReached) {
+            scheduleWake(actions);
             return;
         }
         boolean notRun = request.isNotRun();
@@ -124,7 +124,7 @@
             actions.add(new RoutedAction.Refuse(request.notRunReason()));
         } else {
             actions.add(new RoutedAction.Refuse(
-                    deadlineCome && !lost ? RefusalReason.TIME_UP : RefusalReason.OUTCOME_UNKNOWN));
+                    deadlineReached && !outcomeUnknown ? RefusalReason.TIME_UP : RefusalReason.OUTCOME_UNKNOWN));
         }
     }
 
@@ -133,15 +133,15 @@
         request.finish(actions);
     }
 
-    private void armWake(List<RoutedAction> actions) {
+    private void scheduleWake(List<RoutedAction> actions) {
         long next = bounds.deadlineNanos();
         long wakeNanos = request.nextWakeNanos(next);
         if (wakeNanos - next < 0) {
             next = wakeNanos;
         }
-        if (!wakeArmed || next - armedWakeNanos < 0) {
-            wakeArmed = true;
-            armedWakeNanos = next;
+        if (!wakeScheduled || next - scheduledWakeNanos < 0) {
+            wakeScheduled = true;
+            scheduledWakeNanos = next;
             actions.add(new RoutedAction.Wake(next));
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/GatheredParts.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/GatheredParts.java
@@ -9,7 +9,7 @@
 /**
  * The parts of one query that are in: which shards, their signatures, and the greatest of their records.
  *
- * <p>Invariants: each signature is in once. What {@link #takeNew} has returned is not returned again. Not safe for use
+ * <p>Invariants: each signature is in once. What {@link #drainNew} has returned is not returned again. Not safe for use
  * by several threads.
  */
 final class GatheredParts {
@@ -48,21 +48,22 @@
         if (!signatures.add(part.signature())) {
             return false;
         }
-        note(shard, part.signature());
+        record(shard, part.signature());
         newRecords.addAll(part.records());
         return true;
     }
 
     /** Returns true if none of the signatures is in, and none appears twice. */
-    boolean areNew(List<String> others) {
-        return new HashSet<>(others).size() == others.size() && others.stream().noneMatch(signatures::contains);
+    boolean areUnknown(List<String> candidates) {
+        return new HashSet<>(candidates).size() == candidates.size()
+                && candidates.stream().noneMatch(signatures::contains);
     }
 
     /** Adds the merged parts of several shards, whose signatures are new. */
     void addAll(StageReply reply) {
         for (int position = 0; position < reply.shards().size(); position++) {
             signatures.add(reply.signatures().get(position));
-            note(reply.shards().get(position), reply.signatures().get(position));
+            record(reply.shards().get(position), reply.signatures().get(position));
         }
         newRecords.addAll(reply.records());
     }
@@ -72,7 +73,7 @@
      *
      * @param notSent the numbers of the shards that no leaf was sent the query for
      */
-    MergedAnswer takeNew(ImmutableList<Integer> notSent) {
+    MergedAnswer drainNew(ImmutableList<Integer> notSent) {
         MergedAnswer answer = new MergedAnswer(
                 newShards.build(), newSignatures.build(), shardCount - shards.size(), notSent, newRecords.toBytes());
         newShards = ImmutableList.builder();
@@ -82,7 +83,7 @@
         return answer;
     }
 
-    private void note(int shard, String signature) {
+    private void record(int shard, String signature) {
         shards.add(shard);
         newShards.add(shard);
         newSignatures.add(signature);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeSchedule.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeSchedule.java
@@ -9,51 +9,51 @@
  */
 final class HedgeSchedule {
     /** How often a hedge of a late attempt is considered, each time a part of the first delay later. */
-    private static final int MAX_REFUSED = 4;
+    private static final int MAX_DENIALS = 4;
 
-    private static final int AGAIN_DIVISOR = 4;
+    private static final int RECHECK_DELAY_DIVISOR = 4;
 
-    private final long delayNanos;
-    private int refused;
-    private boolean refusedEarly;
+    private final long lateAfterNanos;
+    private int denials;
+    private boolean deniedEarly;
     private long notBeforeNanos;
 
     /**
      * Creates a schedule.
      *
-     * @param delayNanos after how long an attempt is late among all calls of its route
+     * @param lateAfterNanos after how long an attempt is late among all calls of its route
      */
-    HedgeSchedule(long delayNanos) {
-        this.delayNanos = delayNanos;
+    HedgeSchedule(long lateAfterNanos) {
+        this.lateAfterNanos = lateAfterNanos;
     }
 
     /** Returns true unless the hedge was refused too often. */
     boolean isOpen() {
-        return refused < MAX_REFUSED;
+        return denials < MAX_DENIALS;
     }
 
     /** Returns when an attempt is to be hedged. */
     long dueNanos(Attempt first) {
-        return refused > 0 || refusedEarly ? notBeforeNanos : Math.min(first.overdueNanos(), lateNanos(first));
+        return denials > 0 || deniedEarly ? notBeforeNanos : Math.min(first.overdueNanos(), lateAtNanos(first));
     }
 
     /** Returns true if an attempt is not late among all calls of its route yet. */
     boolean isEarly(Attempt first, long nowNanos) {
-        return nowNanos - lateNanos(first) < 0;
+        return nowNanos - lateAtNanos(first) < 0;
     }
 
     /** Notes that the hedge of an attempt was not made. */
-    void refuse(Attempt first, long nowNanos) {
+    void recordDenial(Attempt first, long nowNanos) {
         if (isEarly(first, nowNanos)) {
-            refusedEarly = true;
-            notBeforeNanos = lateNanos(first);
+            deniedEarly = true;
+            notBeforeNanos = lateAtNanos(first);
         } else {
-            refused++;
-            notBeforeNanos = nowNanos + delayNanos / AGAIN_DIVISOR;
+            denials++;
+            notBeforeNanos = nowNanos + lateAfterNanos / RECHECK_DELAY_DIVISOR;
         }
     }
 
-    private long lateNanos(Attempt first) {
-        return first.sentNanos() + delayNanos;
+    private long lateAtNanos(Attempt first) {
+        return first.sentNanos() + lateAfterNanos;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
@@ -12,13 +12,13 @@
 public final class HedgeTiming {
     /**
      * A hedge is not sent before this part of the goal has passed, to spare leafs and bytes between regions; and not
-     * after {@link #LATEST_HEDGE}, so that the second answer still comes in time.
+     * after {@link #MAX_DELAY_GOAL_FRACTION}, so that the second answer still comes in time.
      */
-    private static final double EARLIEST_HEDGE = 0.33;
+    private static final double MIN_DELAY_GOAL_FRACTION = 0.33;
 
-    private static final double LATEST_HEDGE = 0.5;
+    private static final double MAX_DELAY_GOAL_FRACTION = 0.5;
     /** The share of the goal that a call is taken to need before any was seen. */
-    private static final int GOAL_PARTS = 4;
+    private static final int INITIAL_ESTIMATE_GOAL_DIVISOR = 4;
     /** The quantile of a route's calls after which one is late. */
     private static final double LATE_QUANTILE_PERCENT = 93;
 
@@ -26,14 +26,14 @@
      * A call that takes this many times as long as its leaf needs is one in a thousand among those that are just long,
      * so that its leaf probably pauses.
      */
-    private static final double OVERDUE_TIMES = 3;
+    private static final double OVERDUE_FACTOR = 3;
     /**
      * The same where the rest of a pause would come after the goal. One in forty of the calls that are just long is
      * hedged as well then: the goal is worth more than the call.
      */
-    private static final double OVERDUE_TIMES_NEAR_GOAL = 2;
+    private static final double OVERDUE_FACTOR_NEAR_GOAL = 2;
 
-    private static final Duration EXPECTED_WITHOUT_GOAL = Duration.ofMillis(100);
+    private static final Duration GOAL_FOR_ESTIMATE_WITHOUT_GOAL = Duration.ofMillis(100);
 
     private HedgeTiming() {}
 
@@ -43,8 +43,8 @@
      * @param goal the goal of the route, or zero if it has none
      */
     public static LatencyTracker newLatencyTracker(Duration goal) {
-        Duration guess = goal.isZero() ? EXPECTED_WITHOUT_GOAL : goal;
-        return new LatencyTracker(LATE_QUANTILE_PERCENT, guess.dividedBy(GOAL_PARTS));
+        Duration estimate = goal.isZero() ? GOAL_FOR_ESTIMATE_WITHOUT_GOAL : goal;
+        return new LatencyTracker(LATE_QUANTILE_PERCENT, estimate.dividedBy(INITIAL_ESTIMATE_GOAL_DIVISOR));
     }
 
     /**
@@ -54,12 +54,12 @@
      * of a route a call is late only after a multiple of this, and the query with it.
      *
      * @param callNanos how long a call is expected to take there
-     * @param leftNanos the time that is left until the goal
+     * @param remainingNanos the time that is left until the goal
      */
-    static long overdueAfterNanos(long callNanos, long leftNanos) {
-        double patient = OVERDUE_TIMES * callNanos;
-        boolean inTime = patient + Leaf.STALL_HANDICAP_NANOS <= leftNanos;
-        return (long) (inTime ? patient : OVERDUE_TIMES_NEAR_GOAL * callNanos);
+    static long overdueAfterNanos(long callNanos, long remainingNanos) {
+        double overdueNanos = OVERDUE_FACTOR * callNanos;
+        boolean answersBeforeGoal = overdueNanos + Leaf.STALL_HANDICAP_NANOS <= remainingNanos;
+        return (long) (answersBeforeGoal ? overdueNanos : OVERDUE_FACTOR_NEAR_GOAL * callNanos);
     }
 
     /**
@@ -72,8 +72,8 @@
         if (goal.isZero()) {
             return lateNanos;
         }
-        long earliestNanos = (long) (EARLIEST_HEDGE * goal.toNanos());
-        long latestNanos = (long) (LATEST_HEDGE * goal.toNanos());
+        long earliestNanos = (long) (MIN_DELAY_GOAL_FRACTION * goal.toNanos());
+        long latestNanos = (long) (MAX_DELAY_GOAL_FRACTION * goal.toNanos());
         return Math.min(latestNanos, Math.max(earliestNanos, lateNanos));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
@@ -32,32 +32,32 @@
      * Returns the first named host that can be asked and is not behind; if all of those are behind, the first that can
      * be asked. Empty if this host is to ask the leaf itself: it is the one that is chosen, or there is none.
      *
-     * @param named the hosts that are named for the shard, the preferred first
-     * @param passedOver those that whoever asks this host passed over, which counts only if this host is named as well:
+     * @param candidates the hosts that are named for the shard, the preferred first
+     * @param skipped those that whoever asks this host passed over, which counts only if this host is named as well:
      *     another has no way of its own to the leaf
      */
-    public static Optional<String> choose(List<String> named, Collection<String> passedOver, HostView known) {
+    public static Optional<String> choose(List<String> candidates, Collection<String> skipped, HostView view) {
         // Plain loops: this is decided for each shard of a query.
-        boolean standsIn = isSelfAmong(named, known);
-        Optional<String> behind = Optional.empty();
-        for (String host : named) {
-            if (known.isSelf(host)) {
+        boolean selfNamed = isSelfAmong(candidates, view);
+        Optional<String> lagging = Optional.empty();
+        for (String host : candidates) {
+            if (view.isSelf(host)) {
                 return Optional.empty();
             }
-            boolean usable = known.isUsable(host) && !(standsIn && passedOver.contains(host));
-            if (usable && !known.isLagging(host)) {
+            boolean usable = view.isUsable(host) && !(selfNamed && skipped.contains(host));
+            if (usable && !view.isLagging(host)) {
                 return Optional.of(host);
             }
-            if (usable && behind.isEmpty()) {
-                behind = Optional.of(host);
+            if (usable && lagging.isEmpty()) {
+                lagging = Optional.of(host);
             }
         }
-        return behind;
+        return lagging;
     }
 
-    private static boolean isSelfAmong(List<String> named, HostView known) {
-        for (String host : named) {
-            if (known.isSelf(host)) {
+    private static boolean isSelfAmong(List<String> candidates, HostView view) {
+        for (String host : candidates) {
+            if (view.isSelf(host)) {
                 return true;
             }
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
@@ -20,7 +20,7 @@
     private final ShardRequest[] shards;
     private final Map<ShardRequest, Integer> numbers = new HashMap<>();
     /** Kept rather than counted: it is asked for with every answer, of which there are as many as shards. */
-    private int waiting;
+    private int unfinished;
 
     /**
      * Creates shards of which none was asked.
@@ -29,9 +29,9 @@
      */
     QueryShards(ImmutableList<PermittedLeaves> pools, RequestBounds bounds, boolean hedged, RandomGenerator random) {
         shards = new ShardRequest[pools.size()];
-        waiting = shards.length;
+        unfinished = shards.length;
         for (int shard = 0; shard < shards.length; shard++) {
-            shards[shard] = new ShardRequest(pools.get(shard), bounds, true, hedged, random, () -> waiting--);
+            shards[shard] = new ShardRequest(pools.get(shard), bounds, true, hedged, random, () -> unfinished--);
             numbers.put(shards[shard], shard);
         }
     }
@@ -50,8 +50,8 @@
     }
 
     /** Returns the number of a shard of this query. */
-    int numberOf(ShardRequest wanted) {
-        Integer number = numbers.get(wanted);
+    int numberOf(ShardRequest shard) {
+        Integer number = numbers.get(shard);
         if (number == null) {
             throw new IllegalStateException("an attempt of another query");
         }
@@ -59,18 +59,18 @@
     }
 
     /** Returns how many may still bring an answer. */
-    int waitingCount() {
-        return waiting;
+    int unfinishedCount() {
+        return unfinished;
     }
 
     /** Returns at how many a second leaf would be asked now if nothing spoke against it. */
-    int lateCount(long nowNanos) {
+    int hedgeDueCount(long nowNanos) {
         return count(shard -> shard.isHedgeDue(nowNanos));
     }
 
     /** Returns the numbers of the shards at which more than one leaf was asked. */
-    ImmutableList<Integer> askedTwice() {
-        return numbers(ShardRequest::wasAskedTwice);
+    ImmutableList<Integer> hedgedShards() {
+        return numbers(ShardRequest::wasHedged);
     }
 
     /** Returns the numbers of the shards that no leaf can have seen the query of. */
@@ -79,24 +79,24 @@
     }
 
     /** Returns true if no leaf has run the query, or will. */
-    boolean areNotRun() {
+    boolean isNotRun() {
         return count(ShardRequest::isNotRun) == shards.length;
     }
 
     /**
      * Returns why a query that brought too little is refused.
      *
-     * @param deadlineCome true if its time is up
+     * @param deadlineReached true if its time is up
      */
-    RefusalReason refusalReason(boolean deadlineCome) {
-        if (areNotRun()) {
-            if (count(ShardRequest::isBarred) > 0) {
+    RefusalReason refusalReason(boolean deadlineReached) {
+        if (isNotRun()) {
+            if (count(ShardRequest::isQuarantined) > 0) {
                 return RefusalReason.HARMFUL;
             }
-            boolean asked = count(ShardRequest::wasAsked) > 0;
-            return asked ? RefusalReason.ALL_BUSY : shards[0].notRunReason();
+            boolean attempted = count(ShardRequest::wasAttempted) > 0;
+            return attempted ? RefusalReason.ALL_BUSY : shards[0].notRunReason();
         }
-        return deadlineCome ? RefusalReason.TIME_UP : RefusalReason.TOO_FEW_SHARDS;
+        return deadlineReached ? RefusalReason.TIME_UP : RefusalReason.TOO_FEW_SHARDS;
     }
 
     /** Returns the earlier of a moment and the first at which a shard wants to be woken. */
@@ -129,18 +129,18 @@
         return text.toString();
     }
 
-    private int count(Predicate<ShardRequest> wanted) {
+    private int count(Predicate<ShardRequest> condition) {
         int count = 0;
         for (ShardRequest shard : shards) {
-            count += wanted.test(shard) ? 1 : 0;
+            count += condition.test(shard) ? 1 : 0;
         }
         return count;
     }
 
-    private ImmutableList<Integer> numbers(Predicate<ShardRequest> wanted) {
+    private ImmutableList<Integer> numbers(Predicate<ShardRequest> condition) {
         ImmutableList.Builder<Integer> numbers = ImmutableList.builder();
         for (int shard = 0; shard < shards.length; shard++) {
-            if (wanted.test(shards[shard])) {
+            if (condition.test(shards[shard])) {
                 numbers.add(shard);
             }
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
@@ -8,7 +8,7 @@
 /** The shards of one query that are left to other hosts. Guarded by the query; not safe for use by several threads. */
 final class QueryStages {
     /** How soon a query whose host was behind looks again whether another host is silent. */
-    private static final long LEAST_WAIT_NANOS = Duration.ofMillis(5).toNanos();
+    private static final long MIN_RECHECK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final ImmutableList<StageAttempt> stages;
 
@@ -21,12 +21,12 @@
     }
 
     /** Returns true if the query waits for a host that it has not given up. */
-    boolean areAwaited() {
+    boolean isAnyAwaited() {
         return stages.stream().anyMatch(stage -> !stage.isOver() && !stage.isAbandoned());
     }
 
     /** Has every host asked. */
-    void ask(List<RoutedAction> actions) {
+    void callAll(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             actions.add(new RoutedAction.Count(AttemptCounter.STAGE));
             actions.add(new RoutedAction.CallStage(stage));
@@ -41,7 +41,7 @@
     ImmutableList<StageAttempt> abandonSilent(long waitedNanos, List<RoutedAction> actions) {
         ImmutableList.Builder<StageAttempt> silent = ImmutableList.builder();
         for (StageAttempt stage : stages) {
-            if (stage.isAwaited() && waitedNanos >= stage.silenceNanos()) {
+            if (stage.isSilent() && waitedNanos >= stage.silenceTimeoutNanos()) {
                 stage.abandon();
                 actions.add(new RoutedAction.Count(AttemptCounter.STAGE_SILENT));
                 actions.add(new RoutedAction.SuspectStage(stage));
@@ -52,7 +52,7 @@
     }
 
     /** Tells the hosts that are still at work that nobody waits for them any more. */
-    void giveUp(List<RoutedAction> actions) {
+    void abandonRemaining(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             if (!stage.isOver()) {
                 actions.add(new RoutedAction.AbandonStage(stage));
@@ -61,10 +61,10 @@
     }
 
     /** Returns when the next host that is awaited has been silent for too long, if one is awaited. */
-    Optional<Long> nextSilenceNanos(long startedNanos, long nowNanos) {
+    Optional<Long> nextSilenceTimeoutNanos(long startedNanos, long nowNanos) {
         return stages.stream()
-                .filter(StageAttempt::isAwaited)
-                .map(stage -> Math.max(startedNanos + stage.silenceNanos(), nowNanos + LEAST_WAIT_NANOS))
+                .filter(StageAttempt::isSilent)
+                .map(stage -> Math.max(startedNanos + stage.silenceTimeoutNanos(), nowNanos + MIN_RECHECK_NANOS))
                 .min((one, other) -> Long.compare(one - nowNanos, other - nowNanos));
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -32,17 +32,17 @@
  */
 public final class ScatterQuery {
     /** If more shards than this, and than a part of all, are late at once, the service as a whole is slow. */
-    private static final int LEAST_LATE_TO_SUSPECT = 4;
+    private static final int MIN_LATE_SHARDS_FOR_SLOW_SERVICE = 4;
 
-    private static final int SLOW_SERVICE_DIVISOR = 3;
+    private static final int SLOW_SERVICE_SHARD_DIVISOR = 3;
 
     /** A host that is behind by more than this part of the hedge delay cannot tell a late answer from an unread one. */
-    private static final int LAG_DIVISOR = 2;
+    private static final int HEDGE_DELAY_LAG_DIVISOR = 2;
     /**
      * The least time between two looks at all shards for what is overdue: each leaf has a moment of its own, and what a
      * hedge waits until the next look is little beside what it saves.
      */
-    private static final long BETWEEN_LOOKS_NANOS = Duration.ofMillis(3).toNanos();
+    private static final long MIN_SCAN_INTERVAL_NANOS = Duration.ofMillis(3).toNanos();
 
     private final RouteTarget.Scatter target;
     private final RequestBounds bounds;
@@ -51,14 +51,14 @@
     private final GatheredParts parts;
     private final Delivery delivery;
     private final RoutingContext context;
-    private final BreakProbe breaks = new BreakProbe();
+    private final DisconnectProbe disconnectProbe = new DisconnectProbe();
     private boolean over;
-    private boolean lookedAfterGoal;
-    private boolean sealedByClock;
+    private boolean checkedAfterGoal;
+    private boolean finalizedAtGoal;
     private long startedNanos;
-    private long lastLookNanos;
-    private long armedWakeNanos;
-    private boolean wakeArmed;
+    private long lastScanNanos;
+    private long scheduledWakeNanos;
+    private boolean wakeScheduled;
 
     /** What becomes of the parts that are in at the goal. */
     public enum Delivery {
@@ -99,17 +99,17 @@
     public List<RoutedAction> start(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2 * shards.count() + 1);
         startedNanos = nowNanos;
-        lastLookNanos = nowNanos - BETWEEN_LOOKS_NANOS;
+        lastScanNanos = nowNanos - MIN_SCAN_INTERVAL_NANOS;
         for (StageAttempt stage : stages.all()) {
             stage.shards().forEach(shard -> shards.get(shard).delegate());
         }
-        stages.ask(actions);
+        stages.callAll(actions);
         for (ShardRequest shard : shards) {
             if (!shard.isDelegated()) {
                 shard.start(nowNanos, actions);
             }
         }
-        decide(nowNanos, actions);
+        finalizeOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -125,41 +125,41 @@
         if (!parts.add(shards.numberOf(shard), reply)) {
             return onFailure(attempt, LeafOutcome.GARBLED, nowNanos);
         }
-        shard.answered(attempt, actions);
-        if (breaks.isInDoubt()) {
-            breaks.survived();
-            decide(nowNanos, actions);
+        shard.onAnswer(attempt, actions);
+        if (disconnectProbe.isHarmPossible()) {
+            disconnectProbe.leafSurvived();
+            finalizeOrScheduleWake(nowNanos, actions);
             return actions;
         }
-        breaks.survived();
-        decideAfterAnswer(nowNanos, actions);
+        disconnectProbe.leafSurvived();
+        finalizeAfterAnswer(nowNanos, actions);
         return actions;
     }
 
     /** Takes the failure of an attempt. */
     public List<RoutedAction> onFailure(Attempt attempt, LeafOutcome outcome, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
-        closeAtGoal(nowNanos, actions);
+        closeShardsAtGoal(nowNanos, actions);
         if (outcome.showsSurvival()) {
-            breaks.survived();
+            disconnectProbe.leafSurvived();
         }
-        attempt.shard().failed(attempt, outcome, breaks::mayAskAgain, nowNanos, actions);
+        attempt.shard().onFailure(attempt, outcome, disconnectProbe::mayRetry, nowNanos, actions);
         if (!over) {
-            decide(nowNanos, actions);
+            finalizeOrScheduleWake(nowNanos, actions);
         }
         return actions;
     }
 
     /** Takes what another host gathered so far; more may follow. */
-    public List<RoutedAction> onStagePartial(StageAttempt stage, StageReply piece, long nowNanos) {
+    public List<RoutedAction> onStagePartial(StageAttempt stage, StageReply partial, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (over || stage.isOver()) {
             actions.add(new RoutedAction.Count(AttemptCounter.LATE_ANSWER));
             return actions;
         }
-        stage.hear();
-        take(stage, piece);
-        decide(nowNanos, actions);
+        stage.recordResponse();
+        mergeStageReply(stage, partial);
+        finalizeOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -171,26 +171,26 @@
             return actions;
         }
         stage.finish();
-        take(stage, reply);
+        mergeStageReply(stage, reply);
         reply.notSent().stream()
                 .filter(shard -> stage.shards().contains(shard))
-                .forEach(shard -> shards.get(shard).takeBack(true, breaks::mayAskAgain, nowNanos, actions));
-        boolean inTime = nowNanos + bounds.expectedNanos() - bounds.goalNanos() < 0;
-        if (inTime || !isEnough()) {
-            takeBack(stage, false, nowNanos, actions);
+                .forEach(shard -> shards.get(shard).reclaim(true, disconnectProbe::mayRetry, nowNanos, actions));
+        boolean answerBeforeGoal = nowNanos + bounds.expectedNanos() - bounds.goalNanos() < 0;
+        if (answerBeforeGoal || !hasEnoughShards()) {
+            reclaimShards(stage, false, nowNanos, actions);
         } else {
             stage.shards().forEach(shard -> shards.get(shard).finish(actions));
         }
-        decide(nowNanos, actions);
+        finalizeOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
     /** Notes that another host is at work and has asked second leafs of some shards. */
-    public void onStageProgress(StageAttempt stage, List<Integer> askedTwice) {
-        stage.hear();
-        for (int shard : askedTwice) {
+    public void onStageProgress(StageAttempt stage, List<Integer> hedgedShards) {
+        stage.recordResponse();
+        for (int shard : hedgedShards) {
             if (stage.shards().contains(shard)) {
-                shards.get(shard).delegateAskedTwice();
+                shards.get(shard).recordDelegateHedged();
             }
         }
     }
@@ -207,8 +207,8 @@
         }
         stage.finish();
         actions.add(new RoutedAction.Count(AttemptCounter.STAGE_LOST));
-        takeBack(stage, notRun, nowNanos, actions);
-        decide(nowNanos, actions);
+        reclaimShards(stage, notRun, nowNanos, actions);
+        finalizeOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -218,12 +218,12 @@
         if (over) {
             return actions;
         }
-        wakeArmed = false;
-        lastLookNanos = nowNanos;
-        closeAtGoal(nowNanos, actions);
+        wakeScheduled = false;
+        lastScanNanos = nowNanos;
+        closeShardsAtGoal(nowNanos, actions);
         long lagNanos = context.lagNanos(nowNanos);
         for (StageAttempt stage : stages.abandonSilent(nowNanos - lagNanos - startedNanos, actions)) {
-            stage.shards().forEach(shard -> shards.get(shard).backUp(nowNanos, actions));
+            stage.shards().forEach(shard -> shards.get(shard).startBackupAttempt(nowNanos, actions));
             if (stage.shards().stream().noneMatch(shard -> shards.get(shard).isAwaitedElsewhere())) {
                 // A host that begins late would ask second and third leafs of shards that are asked here by now.
                 stage.finish();
@@ -234,7 +234,7 @@
         for (ShardRequest shard : shards) {
             shard.wake(denial, nowNanos, actions);
         }
-        decide(nowNanos, actions);
+        finalizeOrScheduleWake(nowNanos, actions);
         return actions;
     }
 
@@ -245,7 +245,7 @@
         for (ShardRequest shard : shards) {
             shard.abandon();
         }
-        stages.giveUp(actions);
+        stages.abandonRemaining(actions);
         return actions;
     }
 
@@ -256,30 +256,30 @@
 
     /** Returns true if its answer lacks shards because its goal had come, and was enough by then. */
     public boolean wasFinalizedAtGoal() {
-        return sealedByClock;
+        return finalizedAtGoal;
     }
 
     /** Returns true while shards of it are left to other hosts. */
     public boolean isAwaitingStages() {
-        return !over && stages.areAwaited();
+        return !over && stages.isAnyAwaited();
     }
 
     /** Returns the numbers of the shards at which more than one leaf was asked. */
     public ImmutableList<Integer> hedgedShards() {
-        return shards.askedTwice();
+        return shards.hedgedShards();
     }
 
     /**
      * Returns why the query is refused, by what came of the attempts that were given up with it: if none of them had
      * been sent, it has not run.
      */
-    public RefusalReason finalRefusalReason(RefusalReason decided) {
-        return shards.areNotRun() ? shards.refusalReason(false) : decided;
+    public RefusalReason finalRefusalReason(RefusalReason provisional) {
+        return shards.isNotRun() ? shards.refusalReason(false) : provisional;
     }
 
     /** Notes that a call to another host, which was given up, had not been sent. */
     public void onStageNeverSent(StageAttempt stage) {
-        stage.shards().forEach(shard -> shards.get(shard).neverSentElsewhere());
+        stage.shards().forEach(shard -> shards.get(shard).recordNeverSentElsewhere());
     }
 
     /** Returns how many shards are not in. */
@@ -299,14 +299,14 @@
 
     /** Returns why no late shard should be hedged now, if there is a reason that holds for all of them. */
     private Optional<AttemptCounter> hedgeDenial(long lagNanos, long nowNanos) {
-        if (lagNanos > bounds.hedgeDelayNanos() / LAG_DIVISOR) {
+        if (lagNanos > bounds.hedgeDelayNanos() / HEDGE_DELAY_LAG_DIVISOR) {
             return Optional.of(AttemptCounter.HEDGE_DENIED_HOST_LAG);
         }
-        if (breaks.isInDoubt()) {
+        if (disconnectProbe.isHarmPossible()) {
             return Optional.of(AttemptCounter.HEDGE_DENIED_BREAKS);
         }
-        boolean slowService =
-                shards.lateCount(nowNanos) > Math.max(LEAST_LATE_TO_SUSPECT, shards.count() / SLOW_SERVICE_DIVISOR);
+        boolean slowService = shards.hedgeDueCount(nowNanos)
+                > Math.max(MIN_LATE_SHARDS_FOR_SLOW_SERVICE, shards.count() / SLOW_SERVICE_SHARD_DIVISOR);
         return slowService ? Optional.of(AttemptCounter.HEDGE_DENIED_SLOW_SERVICE) : Optional.empty();
     }
 
@@ -314,47 +314,47 @@
      * Decides after one more shard is in. That makes nothing due earlier, so a wake that is set still serves: looking
      * at every shard for the next one, with every answer, took a seventh of the work that 225 shards cost.
      */
-    private void decideAfterAnswer(long nowNanos, List<RoutedAction> actions) {
-        if (!sealed(nowNanos, actions) && !wakeArmed) {
-            armWake(nowNanos, actions);
+    private void finalizeAfterAnswer(long nowNanos, List<RoutedAction> actions) {
+        if (!finalizeIfDue(nowNanos, actions) && !wakeScheduled) {
+            scheduleWake(nowNanos, actions);
         }
     }
 
-    private void decide(long nowNanos, List<RoutedAction> actions) {
-        breaks.advance(shards.waitingCount(), nowNanos, actions);
-        if (!sealed(nowNanos, actions)) {
-            armWake(nowNanos, actions);
+    private void finalizeOrScheduleWake(long nowNanos, List<RoutedAction> actions) {
+        disconnectProbe.resumeDecided(shards.unfinishedCount(), nowNanos, actions);
+        if (!finalizeIfDue(nowNanos, actions)) {
+            scheduleWake(nowNanos, actions);
         }
     }
 
     /** Ends the query if its time has come, or sends on what is in; returns true if it is over. */
-    private boolean sealed(long nowNanos, List<RoutedAction> actions) {
-        boolean nothingToWaitFor = shards.waitingCount() == 0 || !canBeEnough();
-        boolean deadlineCome = nowNanos - bounds.deadlineNanos() >= 0;
-        boolean goalCome = nowNanos - bounds.goalNanos() >= 0;
-        boolean finished = nothingToWaitFor || deadlineCome;
-        if (isEnough() && (finished || (goalCome && delivery == Delivery.SINGLE))) {
+    private boolean finalizeIfDue(long nowNanos, List<RoutedAction> actions) {
+        boolean nothingToWaitFor = shards.unfinishedCount() == 0 || !canReachEnoughShards();
+        boolean deadlineReached = nowNanos - bounds.deadlineNanos() >= 0;
+        boolean goalReached = nowNanos - bounds.goalNanos() >= 0;
+        boolean finished = nothingToWaitFor || deadlineReached;
+        if (hasEnoughShards() && (finished || (goalReached && delivery == Delivery.SINGLE))) {
             ImmutableList<Integer> notSent = shards.notSent();
-            sealedByClock = goalCome && !lookedAfterGoal && !nothingToWaitFor;
+            finalizedAtGoal = goalReached && !checkedAfterGoal && !nothingToWaitFor;
             end(actions);
-            actions.add(new RoutedAction.DeliverMerged(parts.takeNew(notSent)));
+            actions.add(new RoutedAction.DeliverMerged(parts.drainNew(notSent)));
             return true;
         }
         if (finished) {
-            RefusalReason reason = shards.refusalReason(deadlineCome);
+            RefusalReason reason = shards.refusalReason(deadlineReached);
             end(actions);
             actions.add(new RoutedAction.Refuse(reason));
             return true;
         }
-        lookedAfterGoal |= goalCome;
-        if (goalCome && delivery == Delivery.INCREMENTAL && parts.hasNew()) {
-            actions.add(new RoutedAction.DeliverPartial(parts.takeNew(ImmutableList.of())));
+        checkedAfterGoal |= goalReached;
+        if (goalReached && delivery == Delivery.INCREMENTAL && parts.hasNew()) {
+            actions.add(new RoutedAction.DeliverPartial(parts.drainNew(ImmutableList.of())));
         }
         return false;
     }
 
     /** After its goal a query for another host makes no attempts: that host may make them itself, and counts them. */
-    private void closeAtGoal(long nowNanos, List<RoutedAction> actions) {
+    private void closeShardsAtGoal(long nowNanos, List<RoutedAction> actions) {
         if (delivery == Delivery.INCREMENTAL && nowNanos - bounds.goalNanos() >= 0) {
             for (ShardRequest shard : shards) {
                 shard.close(actions);
@@ -363,18 +363,18 @@
     }
 
     /** Adds what another host gathered, if it fits; otherwise its shards stay as they are. */
-    private void take(StageAttempt stage, StageReply reply) {
-        if (fits(stage, reply)) {
+    private void mergeStageReply(StageAttempt stage, StageReply reply) {
+        if (canMerge(stage, reply)) {
             if (!reply.shards().isEmpty()) {
-                breaks.survived();
+                disconnectProbe.leafSurvived();
             }
-            reply.shards().forEach(shard -> shards.get(shard).answeredElsewhere());
+            reply.shards().forEach(shard -> shards.get(shard).onAnswerElsewhere());
             parts.addAll(reply);
         }
     }
 
     /** Returns true if the merged reply can be added: its records cannot be taken apart again. */
-    private boolean fits(StageAttempt stage, StageReply reply) {
+    private boolean canMerge(StageAttempt stage, StageReply reply) {
         Set<Integer> seen = new HashSet<>();
         for (int position = 0; position < reply.shards().size(); position++) {
             int shard = reply.shards().get(position);
@@ -385,46 +385,46 @@
                 return false;
             }
         }
-        return parts.areNew(reply.signatures());
+        return parts.areUnknown(reply.signatures());
     }
 
-    private void takeBack(StageAttempt stage, boolean notRun, long nowNanos, List<RoutedAction> actions) {
+    private void reclaimShards(StageAttempt stage, boolean notRun, long nowNanos, List<RoutedAction> actions) {
         for (int shard : stage.shards()) {
-            shards.get(shard).takeBack(notRun, breaks::mayAskAgain, nowNanos, actions);
+            shards.get(shard).reclaim(notRun, disconnectProbe::mayRetry, nowNanos, actions);
         }
     }
 
-    private boolean isEnough() {
+    private boolean hasEnoughShards() {
         return parts.count() > 0 && parts.count() >= target.minCoverage() * shards.count();
     }
 
     /** Returns false once so many shards are lost that there will be no answer, whatever the others bring. */
-    private boolean canBeEnough() {
+    private boolean canReachEnoughShards() {
         return !context.uses(RoutingFeature.EARLY_END)
-                || parts.count() + shards.waitingCount() >= target.minCoverage() * shards.count();
+                || parts.count() + shards.unfinishedCount() >= target.minCoverage() * shards.count();
     }
 
     private void end(List<RoutedAction> actions) {
         over = true;
         shards.finish(actions);
-        stages.giveUp(actions);
+        stages.abandonRemaining(actions);
     }
 
-    private void armWake(long nowNanos, List<RoutedAction> actions) {
-        boolean goalAhead = nowNanos - bounds.goalNanos() < 0;
-        long latest = goalAhead ? bounds.goalNanos() : bounds.deadlineNanos();
+    private void scheduleWake(long nowNanos, List<RoutedAction> actions) {
+        boolean beforeGoal = nowNanos - bounds.goalNanos() < 0;
+        long latest = beforeGoal ? bounds.goalNanos() : bounds.deadlineNanos();
         long next = shards.earliestWakeNanos(latest);
-        long notBefore = lastLookNanos + BETWEEN_LOOKS_NANOS;
+        long notBefore = lastScanNanos + MIN_SCAN_INTERVAL_NANOS;
         if (next - notBefore < 0) {
             next = latest - notBefore < 0 ? latest : notBefore;
         }
-        Optional<Long> silence = stages.nextSilenceNanos(startedNanos, nowNanos);
+        Optional<Long> silence = stages.nextSilenceTimeoutNanos(startedNanos, nowNanos);
         if (silence.isPresent() && silence.get() - next < 0) {
             next = silence.get();
         }
-        if (!wakeArmed || next - armedWakeNanos < 0) {
-            wakeArmed = true;
-            armedWakeNanos = next;
+        if (!wakeScheduled || next - scheduledWakeNanos < 0) {
+            wakeScheduled = true;
+            scheduledWakeNanos = next;
             actions.add(new RoutedAction.Wake(next));
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
@@ -22,13 +22,13 @@
  */
 final class ShardRequest {
     /** Attempts that leafs refused without running them, beyond those that the route allows. */
-    private static final int MAX_REFUSED = 3;
+    private static final int MAX_REFUSED_ATTEMPTS = 3;
     /** Hedges leave this part of the budget to retries, which are certain to be needed. */
     private static final int RESERVED_FOR_RETRIES_PERCENT = 35;
     /** A hedge at a leaf that refuses more of its calls than this would mostly cost the budget and bring nothing. */
-    private static final double MOST_REFUSALS_FOR_HEDGE = 0.3;
+    private static final double MAX_REFUSAL_RATE_FOR_HEDGE = 0.3;
     /** How long to leave a service alone all of whose leafs said that they are full. */
-    private static final long BACKOFF_NANOS = Duration.ofMillis(20).toNanos();
+    private static final long RETRY_BACKOFF_NANOS = Duration.ofMillis(20).toNanos();
 
     private final PermittedLeaves pool;
     private final RequestBounds bounds;
@@ -38,13 +38,13 @@
     private final Runnable onFinished;
     private final List<Attempt> attempts = new ArrayList<>(2);
     private final HedgeSchedule hedgeSchedule;
-    private int spentElsewhere;
+    private int remoteAttempts;
     private boolean delegated;
     private boolean finished;
     private boolean closed;
     private long retryAtNanos;
     private boolean retryDue;
-    private boolean held;
+    private boolean deferred;
 
     /**
      * Creates a request that is not yet sent.
@@ -72,32 +72,32 @@
     /** Leaves the request to another host. */
     void delegate() {
         delegated = true;
-        spentElsewhere = 1;
+        remoteAttempts = 1;
     }
 
     /** Notes that the other host never got the request. */
-    void neverSentElsewhere() {
-        spentElsewhere = 0;
+    void recordNeverSentElsewhere() {
+        remoteAttempts = 0;
     }
 
     /** Notes that the other host asked a second leaf. */
-    void delegateAskedTwice() {
-        spentElsewhere = 2;
+    void recordDelegateHedged() {
+        remoteAttempts = 2;
     }
 
     /**
      * Makes an attempt here because the other host is silent, if attempts and budget allow one; otherwise goes on
      * waiting for the other host.
      */
-    void backUp(long nowNanos, List<RoutedAction> actions) {
-        boolean allowed = !closed && spentElsewhere < bounds.maxAttempts();
+    void startBackupAttempt(long nowNanos, List<RoutedAction> actions) {
+        boolean allowed = !closed && remoteAttempts < bounds.maxAttempts();
         if (!delegated || finished || !allowed || !pool.budget().tryWithdraw(nowNanos)) {
             return;
         }
         Optional<Leaf> leaf = pool.choose(candidate -> true, bounds.expectedNanos(), random, nowNanos);
         if (leaf.isPresent()) {
             delegated = false;
-            ask(leaf.get(), Attempt.Purpose.RETRY, nowNanos, actions);
+            sendAttempt(leaf.get(), Attempt.Purpose.RETRY, nowNanos, actions);
         }
     }
 
@@ -105,41 +105,41 @@
      * Takes the request back from the other host, which is done with it, and makes an attempt here.
      *
      * @param notRun true if the other host has certainly not sent it to any leaf
-     * @param mayAskAgain is asked before an attempt if the other host has sent it; if it says no, the request is held
+     * @param mayRetry is asked before an attempt if the other host has sent it; if it says no, the request is held
      */
-    void takeBack(boolean notRun, Predicate<ShardRequest> mayAskAgain, long nowNanos, List<RoutedAction> actions) {
+    void reclaim(boolean notRun, Predicate<ShardRequest> mayRetry, long nowNanos, List<RoutedAction> actions) {
         if (!delegated || finished) {
             return;
         }
         delegated = false;
-        spentElsewhere = notRun ? 0 : spentElsewhere;
+        remoteAttempts = notRun ? 0 : remoteAttempts;
         if (closed) {
-            giveUp(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
             return;
         }
-        boolean allowed = notRun || spentElsewhere >= bounds.maxAttempts() || mayAskAgain.test(this);
+        boolean allowed = notRun || remoteAttempts >= bounds.maxAttempts() || mayRetry.test(this);
         if (allowed) {
             start(nowNanos, actions);
         } else {
-            hold(AttemptCounter.RETRY_HELD_BREAKS, actions);
+            defer(AttemptCounter.RETRY_HELD_BREAKS, actions);
         }
     }
 
     /** Makes no further attempt until it is resumed. */
-    void hold(AttemptCounter reason, List<RoutedAction> actions) {
-        held = true;
+    void defer(AttemptCounter reason, List<RoutedAction> actions) {
+        deferred = true;
         delegated = false;
         actions.add(new RoutedAction.Count(reason));
     }
 
     /** Makes the attempt that was held back. */
     void resume(long nowNanos, List<RoutedAction> actions) {
-        held = false;
+        deferred = false;
         if (finished) {
             return;
         }
         if (closed) {
-            giveUp(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
         } else if (attempts.isEmpty()) {
             start(nowNanos, actions);
         } else {
@@ -148,9 +148,9 @@
     }
 
     /** Gives up instead of making the attempt that was held back. */
-    void giveUpHeld(List<RoutedAction> actions) {
+    void failDeferred(List<RoutedAction> actions) {
         if (!finished) {
-            giveUp(AttemptCounter.RETRY_DENIED_BREAKS, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_BREAKS, actions);
         }
     }
 
@@ -166,31 +166,31 @@
 
     /** Makes the first attempt; ends without hope if there is no leaf to make it at. */
     void start(long nowNanos, List<RoutedAction> actions) {
-        if (spentElsewhere >= bounds.maxAttempts()) {
-            giveUp(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
+        if (remoteAttempts >= bounds.maxAttempts()) {
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
             return;
         }
         Optional<Leaf> leaf = pool.choose(candidate -> true, bounds.expectedNanos(), random, nowNanos);
         if (leaf.isEmpty()) {
-            giveUp(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
             return;
         }
-        if (spentElsewhere > 0 && !pool.budget().tryWithdraw(nowNanos)) {
-            giveUp(AttemptCounter.RETRY_DENIED_BUDGET, actions);
+        if (remoteAttempts > 0 && !pool.budget().tryWithdraw(nowNanos)) {
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_BUDGET, actions);
             return;
         }
         pool.budget().recordFirstAttempt(nowNanos);
         actions.add(new RoutedAction.Count(AttemptCounter.FIRST));
-        ask(leaf.get(), Attempt.Purpose.FIRST, nowNanos, actions);
+        sendAttempt(leaf.get(), Attempt.Purpose.FIRST, nowNanos, actions);
     }
 
     /** Notes that the other host brought the answer. */
-    void answeredElsewhere() {
+    void onAnswerElsewhere() {
         end();
     }
 
     /** Notes that an attempt brought the answer; the others are of no use any more. */
-    void answered(Attempt attempt, List<RoutedAction> actions) {
+    void onAnswer(Attempt attempt, List<RoutedAction> actions) {
         attempt.finish(Attempt.State.ANSWERED);
         finish(actions);
     }
@@ -215,24 +215,24 @@
     void close(List<RoutedAction> actions) {
         closed = true;
         if (!finished && !delegated && !hasAttemptInFlight()) {
-            giveUp(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
         }
     }
 
     /** Notes that an attempt failed, and makes another if that is allowed. */
-    void failed(Attempt attempt, LeafOutcome outcome, long nowNanos, List<RoutedAction> actions) {
-        failed(attempt, outcome, shard -> true, nowNanos, actions);
+    void onFailure(Attempt attempt, LeafOutcome outcome, long nowNanos, List<RoutedAction> actions) {
+        onFailure(attempt, outcome, shard -> true, nowNanos, actions);
     }
 
     /**
      * Notes that an attempt failed, and makes another if that is allowed.
      *
-     * @param mayAskAgain is asked before the attempt that follows a break; if it says no, the request is held
+     * @param mayRetry is asked before the attempt that follows a break; if it says no, the request is held
      */
-    void failed(
+    void onFailure(
             Attempt attempt,
             LeafOutcome outcome,
-            Predicate<ShardRequest> mayAskAgain,
+            Predicate<ShardRequest> mayRetry,
             long nowNanos,
             List<RoutedAction> actions) {
         if (attempt.isFinished()) {
@@ -241,17 +241,17 @@
         attempt.fail(outcome);
         if (!finished && outcome == LeafOutcome.BARRED) {
             // No other leaf may have it either.
-            giveUp(AttemptCounter.DENIED_HARMFUL, actions);
+            endWithoutAnswer(AttemptCounter.DENIED_HARMFUL, actions);
             return;
         }
         if (finished || hasAttemptInFlight()) {
             return;
         }
-        boolean allowed = outcome != LeafOutcome.BROKEN || mayAskAgain.test(this);
+        boolean allowed = outcome != LeafOutcome.BROKEN || mayRetry.test(this);
         if (allowed) {
             retry(nowNanos, actions);
         } else {
-            hold(AttemptCounter.RETRY_HELD_BREAKS, actions);
+            defer(AttemptCounter.RETRY_HELD_BREAKS, actions);
         }
     }
 
@@ -261,29 +261,29 @@
      * @param denial why no hedge should be made, if there is a reason that holds for the whole query
      */
     void wake(Optional<AttemptCounter> denial, long nowNanos, List<RoutedAction> actions) {
-        if (finished || held) {
+        if (finished || deferred) {
             return;
         }
         if (retryDue && nowNanos - retryAtNanos >= 0) {
             retryDue = false;
-            retryAnywhere(nowNanos, actions);
+            retryAtAnyLeaf(nowNanos, actions);
         } else if (isHedgeDue(nowNanos) && denial.isEmpty()) {
             hedge(nowNanos, actions);
         } else if (isHedgeDue(nowNanos)) {
-            refuseHedge(denial.get(), nowNanos, actions);
+            denyHedge(denial.get(), nowNanos, actions);
         }
     }
 
     /** Returns when this shard wants to be woken next, or the given moment if it does not. */
-    long nextWakeNanos(long otherwiseNanos) {
-        if (finished || delegated || closed || held) {
-            return otherwiseNanos;
+    long nextWakeNanos(long defaultNanos) {
+        if (finished || delegated || closed || deferred) {
+            return defaultNanos;
         }
         if (retryDue) {
             return retryAtNanos;
         }
         boolean mayHedge = hedged && hedgeSchedule.isOpen() && attempts.size() == 1;
-        return mayHedge ? hedgeSchedule.dueNanos(attempts.get(0)) : otherwiseNanos;
+        return mayHedge ? hedgeSchedule.dueNanos(attempts.get(0)) : defaultNanos;
     }
 
     boolean isFinished() {
@@ -292,45 +292,45 @@
 
     /** Returns true if no attempt can have run the request. */
     boolean isNotRun() {
-        return spentElsewhere == 0 && attempts.stream().allMatch(Attempt::isNotRun);
+        return remoteAttempts == 0 && attempts.stream().allMatch(Attempt::isNotRun);
     }
 
     /** Returns true if any attempt was made, here or elsewhere. */
-    boolean wasAsked() {
-        return spentElsewhere > 0 || !attempts.isEmpty();
+    boolean wasAttempted() {
+        return remoteAttempts > 0 || !attempts.isEmpty();
     }
 
     /** Returns why a request that has not run could not be served. */
     RefusalReason notRunReason() {
-        if (isBarred()) {
+        if (isQuarantined()) {
             return RefusalReason.HARMFUL;
         }
-        if (wasAsked()) {
+        if (wasAttempted()) {
             return RefusalReason.ALL_BUSY;
         }
         return pool.areAllOutsideHomeRegions() ? RefusalReason.NO_LEAF_AT_HOME : RefusalReason.NO_LEAF;
     }
 
     /** Returns true if an attempt was not made because requests like it end leafs. */
-    boolean isBarred() {
-        return attempts.stream().anyMatch(Attempt::isBarred);
+    boolean isQuarantined() {
+        return attempts.stream().anyMatch(Attempt::isQuarantined);
     }
 
     /** Returns true if a leaf may have seen the request. */
     boolean wasSent() {
-        return spentElsewhere > 0 || !attempts.stream().allMatch(Attempt::isNotSent);
+        return remoteAttempts > 0 || !attempts.stream().allMatch(Attempt::isNotSent);
     }
 
     /** Returns true if more than one leaf was asked. */
-    boolean wasAskedTwice() {
-        return spentElsewhere + attempts.size() > 1;
+    boolean wasHedged() {
+        return remoteAttempts + attempts.size() > 1;
     }
 
     /** Returns in words what was tried and how it stands, for a log line. */
     String describe(long nowNanos) {
         StringBuilder text = new StringBuilder(pool.service());
-        if (spentElsewhere > 0) {
-            text.append(" elsewhere=").append(spentElsewhere);
+        if (remoteAttempts > 0) {
+            text.append(" elsewhere=").append(remoteAttempts);
         }
         for (Attempt attempt : attempts) {
             text.append(' ')
@@ -357,80 +357,80 @@
     }
 
     /** Counts a hedge that is not made; a little later things may look better. */
-    private void refuseHedge(AttemptCounter reason, long nowNanos, List<RoutedAction> actions) {
-        hedgeSchedule.refuse(attempts.get(0), nowNanos);
+    private void denyHedge(AttemptCounter reason, long nowNanos, List<RoutedAction> actions) {
+        hedgeSchedule.recordDenial(attempts.get(0), nowNanos);
         actions.add(new RoutedAction.Count(reason));
     }
 
     private void hedge(long nowNanos, List<RoutedAction> actions) {
-        Optional<Leaf> other = mayRunCount() >= bounds.maxAttempts()
+        Optional<Leaf> candidate = possiblyRunCount() >= bounds.maxAttempts()
                 ? Optional.empty()
-                : pool.choose(leaf -> isGoodForHedge(leaf, nowNanos), bounds.expectedNanos(), random, nowNanos);
-        if (other.isEmpty()) {
-            refuseHedge(AttemptCounter.HEDGE_DENIED_NO_LEAF, nowNanos, actions);
-        } else if (hedgeSchedule.isEarly(attempts.get(0), nowNanos) && !savesTime(other.get(), nowNanos)) {
-            refuseHedge(AttemptCounter.HEDGE_DENIED_NO_GAIN, nowNanos, actions);
+                : pool.choose(leaf -> isHedgeCandidate(leaf, nowNanos), bounds.expectedNanos(), random, nowNanos);
+        if (candidate.isEmpty()) {
+            denyHedge(AttemptCounter.HEDGE_DENIED_NO_LEAF, nowNanos, actions);
+        } else if (hedgeSchedule.isEarly(attempts.get(0), nowNanos) && !savesTime(candidate.get(), nowNanos)) {
+            denyHedge(AttemptCounter.HEDGE_DENIED_NO_GAIN, nowNanos, actions);
         } else if (!pool.budget().tryWithdrawAbove(RESERVED_FOR_RETRIES_PERCENT, nowNanos)) {
-            refuseHedge(AttemptCounter.HEDGE_DENIED_BUDGET, nowNanos, actions);
+            denyHedge(AttemptCounter.HEDGE_DENIED_BUDGET, nowNanos, actions);
         } else {
             actions.add(new RoutedAction.Count(AttemptCounter.HEDGE));
-            ask(other.get(), Attempt.Purpose.HEDGE, nowNanos, actions);
+            sendAttempt(candidate.get(), Attempt.Purpose.HEDGE, nowNanos, actions);
         }
     }
 
     /** Returns true if the whole of another attempt is expected to take less than the rest of the overdue one. */
-    private boolean savesTime(Leaf other, long nowNanos) {
-        return other.costNanos(bounds.expectedNanos(), nowNanos) < Leaf.STALL_HANDICAP_NANOS;
+    private boolean savesTime(Leaf candidate, long nowNanos) {
+        return candidate.costNanos(bounds.expectedNanos(), nowNanos) < Leaf.STALL_HANDICAP_NANOS;
     }
 
     /** A hedge at a leaf that is full, or late itself, makes both worse. */
-    private boolean isGoodForHedge(Leaf leaf, long nowNanos) {
-        return !wasAsked(leaf)
+    private boolean isHedgeCandidate(Leaf leaf, long nowNanos) {
+        return !wasAttempted(leaf)
                 && !leaf.isEjected(nowNanos)
                 && !leaf.isOverloaded(nowNanos)
                 && !leaf.isStalled(nowNanos)
-                && leaf.refusalRate(nowNanos) < MOST_REFUSALS_FOR_HEDGE;
+                && leaf.refusalRate(nowNanos) < MAX_REFUSAL_RATE_FOR_HEDGE;
     }
 
     private void retry(long nowNanos, List<RoutedAction> actions) {
-        if (!mayTryAgain()) {
-            giveUp(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
+        if (!isRetryPermitted()) {
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
             return;
         }
-        Optional<Leaf> untried = pool.choose(leaf -> !wasAsked(leaf), bounds.expectedNanos(), random, nowNanos);
+        Optional<Leaf> untried = pool.choose(leaf -> !wasAttempted(leaf), bounds.expectedNanos(), random, nowNanos);
         if (untried.isPresent()) {
-            spendOnRetry(untried.get(), nowNanos, actions);
+            retryWithinBudget(untried.get(), nowNanos, actions);
             return;
         }
-        boolean inTime = nowNanos + BACKOFF_NANOS + bounds.expectedNanos() - bounds.deadlineNanos() < 0;
-        if (!inTime || attempts.isEmpty()) {
-            giveUp(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
+        boolean fitsDeadline = nowNanos + RETRY_BACKOFF_NANOS + bounds.expectedNanos() - bounds.deadlineNanos() < 0;
+        if (!fitsDeadline || attempts.isEmpty()) {
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
             return;
         }
         retryDue = true;
-        retryAtNanos = nowNanos + BACKOFF_NANOS * attempts.size() + random.nextLong(BACKOFF_NANOS);
+        retryAtNanos = nowNanos + RETRY_BACKOFF_NANOS * attempts.size() + random.nextLong(RETRY_BACKOFF_NANOS);
     }
 
-    private void retryAnywhere(long nowNanos, List<RoutedAction> actions) {
+    private void retryAtAnyLeaf(long nowNanos, List<RoutedAction> actions) {
         Optional<Leaf> any = pool.choose(leaf -> true, bounds.expectedNanos(), random, nowNanos);
         if (any.isPresent()) {
-            spendOnRetry(any.get(), nowNanos, actions);
+            retryWithinBudget(any.get(), nowNanos, actions);
         } else {
-            giveUp(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_NO_LEAF, actions);
         }
     }
 
     /** Makes another attempt; it is paid for unless no leaf has seen an earlier one, so that it is the first there. */
-    private void spendOnRetry(Leaf leaf, long nowNanos, List<RoutedAction> actions) {
+    private void retryWithinBudget(Leaf leaf, long nowNanos, List<RoutedAction> actions) {
         if (wasSent() && !pool.budget().tryWithdraw(nowNanos)) {
-            giveUp(AttemptCounter.RETRY_DENIED_BUDGET, actions);
+            endWithoutAnswer(AttemptCounter.RETRY_DENIED_BUDGET, actions);
             return;
         }
         actions.add(new RoutedAction.Count(AttemptCounter.RETRY));
-        ask(leaf, Attempt.Purpose.RETRY, nowNanos, actions);
+        sendAttempt(leaf, Attempt.Purpose.RETRY, nowNanos, actions);
     }
 
-    private void ask(Leaf leaf, Attempt.Purpose purpose, long nowNanos, List<RoutedAction> actions) {
+    private void sendAttempt(Leaf leaf, Attempt.Purpose purpose, long nowNanos, List<RoutedAction> actions) {
         Attempt attempt = new Attempt(this, leaf, purpose, nowNanos, overdueNanos(leaf, nowNanos));
         attempts.add(attempt);
         actions.add(new RoutedAction.CallLeaf(attempt));
@@ -452,20 +452,21 @@
         }
     }
 
-    private void giveUp(AttemptCounter reason, List<RoutedAction> actions) {
+    private void endWithoutAnswer(AttemptCounter reason, List<RoutedAction> actions) {
         end();
         actions.add(new RoutedAction.Count(reason));
     }
 
-    private boolean mayTryAgain() {
+    private boolean isRetryPermitted() {
         if (closed || (!repeatable && !isNotRun())) {
             return false;
         }
-        return mayRunCount() < bounds.maxAttempts() && attempts.size() < bounds.maxAttempts() + MAX_REFUSED;
+        return possiblyRunCount() < bounds.maxAttempts()
+                && attempts.size() < bounds.maxAttempts() + MAX_REFUSED_ATTEMPTS;
     }
 
-    private int mayRunCount() {
-        int count = spentElsewhere;
+    private int possiblyRunCount() {
+        int count = remoteAttempts;
         for (Attempt attempt : attempts) {
             count += attempt.isNotRun() ? 0 : 1;
         }
@@ -476,7 +477,7 @@
         return attempts.stream().anyMatch(attempt -> !attempt.isFinished());
     }
 
-    private boolean wasAsked(Leaf leaf) {
+    private boolean wasAttempted(Leaf leaf) {
         return attempts.stream().anyMatch(attempt -> attempt.leaf() == leaf);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
@@ -11,9 +11,9 @@
 public final class StageAttempt {
     private final String host;
     private final ImmutableList<Integer> shards;
-    private final long silenceNanos;
+    private final long silenceTimeoutNanos;
     private boolean over;
-    private boolean heard;
+    private boolean responded;
     private boolean abandoned;
 
     /**
@@ -21,13 +21,13 @@
      *
      * @param host the host that is to ask
      * @param shards the numbers of the shards, at least one
-     * @param silenceNanos how long the host may be silent before it counts as lost
+     * @param silenceTimeoutNanos how long the host may be silent before it counts as lost
      */
-    public StageAttempt(String host, ImmutableList<Integer> shards, long silenceNanos) {
+    public StageAttempt(String host, ImmutableList<Integer> shards, long silenceTimeoutNanos) {
         checkArgument(!shards.isEmpty(), "a stage of no shards at %s", host);
         this.host = host;
         this.shards = shards;
-        this.silenceNanos = silenceNanos;
+        this.silenceTimeoutNanos = silenceTimeoutNanos;
     }
 
     /** Returns the host that asks. */
@@ -47,25 +47,25 @@
 
     /** Returns in words how it stands, for a log line. */
     String describe() {
-        String state = over ? "over" : heard ? "at work" : "silent";
+        String state = over ? "over" : responded ? "at work" : "silent";
         return "stage " + host + " of " + shards.size() + " shards is " + state + (abandoned ? ", abandoned" : "");
     }
 
-    long silenceNanos() {
-        return silenceNanos;
+    long silenceTimeoutNanos() {
+        return silenceTimeoutNanos;
     }
 
     /** Returns true while the query waits for the first word of the host. */
-    boolean isAwaited() {
-        return !over && !heard && !abandoned;
+    boolean isSilent() {
+        return !over && !responded && !abandoned;
     }
 
     boolean isOver() {
         return over;
     }
 
-    void hear() {
-        heard = true;
+    void recordResponse() {
+        responded = true;
     }
 
     void abandon() {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -22,16 +22,16 @@
  */
 public final class StagePlanner {
     /** Fewer shards than this are asked from here: one call costs no more than one message to another host. */
-    private static final int LEAST_SHARDS = 2;
+    private static final int MIN_SHARDS_PER_STAGE = 2;
     /** A region is as good as the best if it has this part of the best one's shards. */
-    private static final double GOOD_COVER = 0.8;
+    private static final double MIN_COVERAGE_OF_BEST = 0.8;
 
-    private final Topology ways;
+    private final Topology topology;
     private final RandomGenerator random;
 
     /** Creates a planner. */
-    public StagePlanner(Topology ways, RandomGenerator random) {
-        this.ways = ways;
+    public StagePlanner(Topology topology, RandomGenerator random) {
+        this.topology = topology;
         this.random = random;
     }
 
@@ -87,65 +87,65 @@
             long nowNanos) {
         Map<String, List<Integer>> shardsByRegion = new HashMap<>();
         Map<String, List<Integer>> shardsByHolder = new LinkedHashMap<>();
-        List<Integer> far = farShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
+        List<Integer> far = collectShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
         ImmutableList.Builder<StageAttempt> stages = ImmutableList.builder();
-        byWay(shardsByHolder, relays)
+        joinFarHolders(shardsByHolder, relays)
                 .forEach((host, shards) -> stages.add(stage(host, ImmutableList.copyOf(shards), hedgeDelayNanos)));
-        while (far.size() >= LEAST_SHARDS) {
+        while (far.size() >= MIN_SHARDS_PER_STAGE) {
             Optional<String> region = bestRegion(shardsByRegion);
-            Optional<String> host = region.flatMap(ways::leastBusyIn);
+            Optional<String> host = region.flatMap(topology::leastBusyIn);
             if (region.isEmpty() || host.isEmpty()) {
                 break;
             }
-            List<Integer> taken = shardsByRegion.remove(region.get());
-            if (taken == null || taken.size() < LEAST_SHARDS) {
+            List<Integer> assigned = shardsByRegion.remove(region.get());
+            if (assigned == null || assigned.size() < MIN_SHARDS_PER_STAGE) {
                 break;
             }
-            far.removeAll(taken);
-            shardsByRegion.values().forEach(shards -> shards.removeAll(taken));
-            stages.add(stage(host.get(), ImmutableList.copyOf(taken), hedgeDelayNanos));
+            far.removeAll(assigned);
+            shardsByRegion.values().forEach(shards -> shards.removeAll(assigned));
+            stages.add(stage(host.get(), ImmutableList.copyOf(assigned), hedgeDelayNanos));
         }
         return stages.build();
     }
 
     /** Joins the shards of the holders of each other region under one of them, drawn to spread the load. */
-    private Map<String, List<Integer>> byWay(Map<String, List<Integer>> shardsByHolder, Relays relays) {
+    private Map<String, List<Integer>> joinFarHolders(Map<String, List<Integer>> shardsByHolder, Relays relays) {
         if (relays == Relays.NOT_USED) {
             return shardsByHolder;
         }
-        Map<String, List<Integer>> shardsByWay = new LinkedHashMap<>();
+        Map<String, List<Integer>> shardsByHost = new LinkedHashMap<>();
         Map<String, List<String>> farHolders = new LinkedHashMap<>();
         shardsByHolder.forEach((holder, shards) -> {
-            Optional<String> region = ways.otherRegionOf(holder);
+            Optional<String> region = topology.otherRegionOf(holder);
             if (region.isPresent()) {
                 farHolders
                         .computeIfAbsent(region.get(), unused -> new ArrayList<>())
                         .add(holder);
             } else {
-                shardsByWay.put(holder, shards);
+                shardsByHost.put(holder, shards);
             }
         });
         for (List<String> holders : farHolders.values()) {
             List<Integer> joined = new ArrayList<>();
             holders.forEach(holder -> joined.addAll(shardsByHolder.getOrDefault(holder, List.of())));
-            shardsByWay.put(relayOf(holders), joined);
+            shardsByHost.put(chooseRelay(holders), joined);
         }
-        return shardsByWay;
+        return shardsByHost;
     }
 
     /** Draws one of the holders of a region that are not behind, or of all if all are. */
-    private String relayOf(List<String> holders) {
-        List<String> withRoom =
-                holders.stream().filter(holder -> !ways.isLagging(holder)).toList();
-        List<String> drawn = withRoom.isEmpty() ? holders : withRoom;
-        return drawn.get(random.nextInt(drawn.size()));
+    private String chooseRelay(List<String> holders) {
+        List<String> notLagging =
+                holders.stream().filter(holder -> !topology.isLagging(holder)).toList();
+        List<String> candidates = notLagging.isEmpty() ? holders : notLagging;
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
     private StageAttempt stage(String host, ImmutableList<Integer> shards, long hedgeDelayNanos) {
-        return new StageAttempt(host, shards, ways.silenceTimeoutNanos(host, hedgeDelayNanos));
+        return new StageAttempt(host, shards, topology.silenceTimeoutNanos(host, hedgeDelayNanos));
     }
 
-    private List<Integer> farShards(
+    private List<Integer> collectShards(
             ImmutableList<PermittedLeaves> pools,
             long expectedNanos,
             long nowNanos,
@@ -155,7 +155,7 @@
         for (int shard = 0; shard < pools.size(); shard++) {
             PermittedLeaves pool = pools.get(shard);
             Optional<Leaf> best = pool.choose(leaf -> true, expectedNanos, random, nowNanos);
-            Optional<String> holder = best.flatMap(leaf -> ways.holderOf(leaf, pool.homeRegions()));
+            Optional<String> holder = best.flatMap(leaf -> topology.holderOf(leaf, pool.homeRegions()));
             if (holder.isPresent()) {
                 shardsByHolder
                         .computeIfAbsent(holder.get(), unused -> new ArrayList<>())
@@ -166,17 +166,18 @@
                 continue;
             }
             far.add(shard);
-            noteRegions(pool, shard, nowNanos, shardsByRegion);
+            recordRegions(pool, shard, nowNanos, shardsByRegion);
         }
         return far;
     }
 
     /** Notes the regions in which a shard has a leaf that can be asked. */
-    private void noteRegions(
+    private void recordRegions(
             PermittedLeaves pool, int shard, long nowNanos, Map<String, List<Integer>> shardsByRegion) {
         for (Leaf leaf : pool.all()) {
             if (leaf.acceptsWork() && leaf.distance() == Distance.OTHER_REGION && !leaf.isEjected(nowNanos)) {
-                List<Integer> shards = shardsByRegion.computeIfAbsent(ways.regionOf(leaf), unused -> new ArrayList<>());
+                List<Integer> shards =
+                        shardsByRegion.computeIfAbsent(topology.regionOf(leaf), unused -> new ArrayList<>());
                 if (!shards.contains(shard)) {
                     shards.add(shard);
                 }
@@ -186,13 +187,14 @@
 
     /** Returns a region with about as many of the shards as any; which one is drawn, to spread the load. */
     private Optional<String> bestRegion(Map<String, List<Integer>> shardsByRegion) {
-        int most = shardsByRegion.values().stream().mapToInt(List::size).max().orElse(0);
-        List<String> good = shardsByRegion.entrySet().stream()
-                .filter(entry -> entry.getValue().size() >= GOOD_COVER * most)
+        int maxShards =
+                shardsByRegion.values().stream().mapToInt(List::size).max().orElse(0);
+        List<String> candidates = shardsByRegion.entrySet().stream()
+                .filter(entry -> entry.getValue().size() >= MIN_COVERAGE_OF_BEST * maxShards)
                 .map(Map.Entry::getKey)
-                .filter(region -> ways.leastBusyIn(region).isPresent())
+                .filter(region -> topology.leastBusyIn(region).isPresent())
                 .sorted()
                 .toList();
-        return good.isEmpty() ? Optional.empty() : Optional.of(good.get(random.nextInt(good.size())));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/TopRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/TopRecords.java
@@ -18,9 +18,9 @@
     private int count;
 
     /** Creates an empty collection that keeps at most the given number of records. */
-    public TopRecords(int most) {
-        this.high = new long[most];
-        this.low = new long[most];
+    public TopRecords(int maxRecords) {
+        this.high = new long[maxRecords];
+        this.low = new long[maxRecords];
     }
 
     /** Adds every whole record of a part. */
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -29,13 +29,13 @@
 final class CallerCheckTest {
     private static final Team TEAM = team("a", "key-1", "key-2");
     private static final Teams TEAMS = Teams.of(List.of(TEAM, team("b", "key-3")));
-    private static final Route CLOSED = route(false, HomeRegions.of(List.of("r1", "r2")));
+    private static final Route PRIVATE = route(false, HomeRegions.of(List.of("r1", "r2")));
     private static final Route PUBLIC = route(true, HomeRegions.ANY);
 
     @ParameterizedTest
     @ValueSource(strings = {"Token key-1", "token key-2", "TOKEN   key-1", " Token\tkey-1 "})
-    void aKeyNamesItsTeam(String credentials) {
-        assertThat(CallerCheck.check(TEAMS, CLOSED, List.of(credentials)))
+    void aKeyIdentifiesItsTeam(String credentials) {
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, List.of(credentials)))
                 .isEqualTo(new CallerCheck.Result.Known(new CallerIdentity(Optional.of(TEAM))));
     }
 
@@ -43,29 +43,29 @@
     @ValueSource(
             strings = {"Token KEY-1", "Token key-1,", "Token key-1 key-2", "Token", "Token ", "Tokenkey-1", "key-1", ""
             })
-    void whatIsNotExactlyAKeyNamesNone(String credentials) {
-        assertThat(CallerCheck.check(TEAMS, CLOSED, List.of(credentials)))
+    void malformedOrUnknownKeysAreRejected(String credentials) {
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, List.of(credentials)))
                 .isInstanceOf(CallerCheck.Result.Unknown.class);
     }
 
     @Test
-    void aCallerThatShowsNothingOrCredentialsTwiceIsNotKnown() {
-        assertThat(CallerCheck.check(TEAMS, CLOSED, List.of()))
+    void missingRepeatedOrForeignCredentialsAreRejected() {
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, List.of()))
                 .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.NOTHING));
-        assertThat(CallerCheck.check(TEAMS, CLOSED, List.of("Token key-1", "Token key-3")))
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, List.of("Token key-1", "Token key-3")))
                 .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.SEVERAL));
-        assertThat(CallerCheck.check(TEAMS, CLOSED, List.of("Basic eA==")))
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, List.of("Basic eA==")))
                 .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.NO_KEY));
     }
 
     @Test
-    void withoutTeamsNobodyNeedsAKey() {
-        assertThat(CallerCheck.check(Teams.NONE, CLOSED, List.of("Token key-1")))
+    void noKeyIsRequiredWithoutTeams() {
+        assertThat(CallerCheck.check(Teams.NONE, PRIVATE, List.of("Token key-1")))
                 .isEqualTo(new CallerCheck.Result.Known(CallerIdentity.ANONYMOUS));
     }
 
     @Test
-    void aPublicRouteTakesEverybodyAndStillNamesTheTeamOfAKey() {
+    void aPublicRouteAcceptsAnyCallerAndStillIdentifiesTheTeam() {
         assertThat(CallerCheck.check(TEAMS, PUBLIC, List.of()))
                 .isEqualTo(new CallerCheck.Result.Known(CallerIdentity.ANONYMOUS));
         assertThat(CallerCheck.check(TEAMS, PUBLIC, List.of("Token nobody")))
@@ -76,51 +76,55 @@
 
     /** Whoever holds a key by either of two versions may be served while it moves; nobody else. */
     @Test
-    void aKeyThatMovesNamesItsOwnerByTheVersionInForce() {
+    void aKeyThatMovesIdentifiesTheTeamOfTheVersionInForce() {
         Teams after = Teams.of(List.of(team("a", "key-1"), team("b", "key-2", "key-3")));
-        assertThat(nameBy(TEAMS, "Token key-2")).isEqualTo("a");
-        assertThat(nameBy(after, "Token key-2")).isEqualTo("b");
+        assertThat(teamNameFor(TEAMS, "Token key-2")).isEqualTo("a");
+        assertThat(teamNameFor(after, "Token key-2")).isEqualTo("b");
     }
 
     @Test
-    void theHomesOfTeamAndRouteBindTogetherAndTheRankOfTheTeamGoesFirst() {
+    void homeRegionsIntersectAndTheTeamsPriorityOverridesTheRoutes() {
         CallerIdentity caller = new CallerIdentity(Optional.of(new Team(
                 "a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, HomeRegions.of(List.of("r2", "r3")))));
-        assertThat(caller.homeRegions(CLOSED)).isEqualTo(HomeRegions.of(List.of("r2")));
+        assertThat(caller.homeRegions(PRIVATE)).isEqualTo(HomeRegions.of(List.of("r2")));
         assertThat(caller.homeRegions(route(false, HomeRegions.of(List.of("r1"))))
                         .allowsNone())
                 .isTrue();
         assertThat(caller.homeRegions(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
-        assertThat(caller.priority(CLOSED)).isEqualTo(0);
-        assertThat(new CallerIdentity(Optional.of(TEAM)).priority(CLOSED)).isEqualTo(7);
+        assertThat(caller.priority(PRIVATE)).isEqualTo(0);
+        assertThat(new CallerIdentity(Optional.of(TEAM)).priority(PRIVATE)).isEqualTo(7);
     }
 
     /** Case of the scheme and white space around the key do not matter; everything in the key does. */
     @Property(tries = 500)
-    void aKeyIsFoundHoweverItIsShown(
+    void schemeCaseAndWhitespaceDoNotMatter(
             @ForAll @CharRange(from = '!', to = '~') @StringLength(min = 1, max = 40) String key,
             @ForAll @CharRange(from = '!', to = '~') @StringLength(min = 1, max = 40) String other,
-            @ForAll @IntRange(max = 31) int cases,
+            @ForAll @IntRange(max = 31) int caseBits,
             @ForAll @IntRange(min = 1, max = 3) int blanks) {
         Teams teams = Teams.of(List.of(team("a", key)));
-        StringBuilder shown = new StringBuilder();
+        StringBuilder credentials = new StringBuilder();
         for (int letter = 0; letter < CallerCheck.SCHEME.length(); letter++) {
-            char written = CallerCheck.SCHEME.charAt(letter);
-            shown.append((cases >> letter) % 2 == 0 ? Character.toLowerCase(written) : Character.toUpperCase(written));
+            char character = CallerCheck.SCHEME.charAt(letter);
+            credentials.append(
+                    (caseBits >> letter) % 2 == 0
+                            ? Character.toLowerCase(character)
+                            : Character.toUpperCase(character));
         }
-        shown.append(" ".repeat(blanks));
-        assertThat(nameBy(teams, shown + key + " ".repeat(blanks))).isEqualTo("a");
-        assertThat(nameBy(teams, shown + other)).isEqualTo(other.equals(key) ? "a" : "");
+        credentials.append(" ".repeat(blanks));
+        assertThat(teamNameFor(teams, credentials + key + " ".repeat(blanks))).isEqualTo("a");
+        assertThat(teamNameFor(teams, credentials + other)).isEqualTo(other.equals(key) ? "a" : "");
     }
 
     /** Whatever is shown, a caller is known by a key of the teams or not at all, and nothing fails. */
     @Property(tries = 500)
-    void anyCredentialsAreDecided(@ForAll List<@AlphaChars @CharRange(from = '\0', to = ' ') String> credentials) {
-        assertThat(CallerCheck.check(TEAMS, CLOSED, credentials)).isInstanceOf(CallerCheck.Result.Unknown.class);
+    void arbitraryCredentialsAreRejectedWithoutError(
+            @ForAll List<@AlphaChars @CharRange(from = '\0', to = ' ') String> credentials) {
+        assertThat(CallerCheck.check(TEAMS, PRIVATE, credentials)).isInstanceOf(CallerCheck.Result.Unknown.class);
     }
 
-    private static String nameBy(Teams teams, String credentials) {
-        return CallerCheck.check(teams, CLOSED, List.of(credentials)) instanceof CallerCheck.Result.Known known
+    private static String teamNameFor(Teams teams, String credentials) {
+        return CallerCheck.check(teams, PRIVATE, List.of(credentials)) instanceof CallerCheck.Result.Known known
                 ? known.caller().teamName()
                 : "";
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/DeferredStartsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/DeferredStartsTest.java
@@ -8,7 +8,7 @@
     private final DeferredStarts<String> starts = new DeferredStarts<>();
 
     @Test
-    void nothingStartsWithoutRoomBeforeItsLimit() {
+    void nothingStartsWithoutCapacityBeforeItsLimit() {
         starts.defer("a", 10);
         assertThat(starts.pollDue(false, 9)).isEmpty();
         assertThat(starts.pollDue(false, 10)).containsExactly("a");
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void oneStartsForEachLookThatFindsRoomTheNearestLimitFirst() {
+    void oneStartsPerPollWithCapacityNearestLimitFirst() {
         starts.defer("late", 30);
         starts.defer("soon", 20);
         assertThat(starts.peek().orElseThrow()).isEqualTo("soon");
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void thoseWhoseLimitHasComeDoNotUseUpTheRoom() {
+    void requestsAtTheirLimitDoNotUseTheCapacity() {
         starts.defer("over", 5);
         starts.defer("next", 20);
         starts.defer("last", 30);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aRequestWhoseCallerWentAwayIsForgotten() {
+    void aRemovedRequestNeverStarts() {
         starts.defer("gone", 5);
         starts.remove("gone");
         assertThat(starts.pollDue(true, 10)).isEmpty();
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/DisconnectProbeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/DisconnectProbeTest.java
@@ -14,84 +14,84 @@
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 20;
 
-    private final RoutedWorld world = new RoutedWorld();
+    private final RoutedRequestHarness harness = new RoutedRequestHarness();
 
     @Test
-    void aQueryThatEndsItsLeafsEndsOneSecondLeafOnly() {
+    void aHarmfulQueryIsRetriedAtOneLeafOnly() {
         ScatterQuery query = start();
-        List<Attempt> first = breakAll(query);
-        assertThat(world.asked).hasSize(SHARDS + 1);
-        world.fail(query, world.asked.get(SHARDS), LeafOutcome.BROKEN, 2 * MILLI);
-        assertThat(world.asked).hasSize(SHARDS + 1);
-        assertThat(world.refused).containsExactly(RefusalReason.TOO_FEW_SHARDS);
+        List<Attempt> first = disconnectAll(query);
+        assertThat(harness.attempts).hasSize(SHARDS + 1);
+        harness.fail(query, harness.attempts.get(SHARDS), LeafOutcome.BROKEN, 2 * MILLI);
+        assertThat(harness.attempts).hasSize(SHARDS + 1);
+        assertThat(harness.refused).containsExactly(RefusalReason.TOO_FEW_SHARDS);
         assertThat(first).hasSize(SHARDS);
     }
 
     @Test
-    void aQueryWhoseConnectionsWereLostIsAskedAgainOnAllShardsOnceOneLeafHasAnswered() {
+    void allShardsRetryOnceOneLeafHasAnswered() {
         ScatterQuery query = start();
-        breakAll(query);
-        world.answer(query, world.asked.get(SHARDS), "probe", 2 * MILLI);
-        assertThat(world.asked).hasSize(2 * SHARDS);
+        disconnectAll(query);
+        harness.answer(query, harness.attempts.get(SHARDS), "probe", 2 * MILLI);
+        assertThat(harness.attempts).hasSize(2 * SHARDS);
         for (int number = SHARDS + 1; number < 2 * SHARDS; number++) {
-            world.answer(query, world.asked.get(number), "sig" + number, 3 * MILLI);
+            harness.answer(query, harness.attempts.get(number), "sig" + number, 3 * MILLI);
         }
-        assertThat(world.delivered.get(0).missing()).isEqualTo(0);
+        assertThat(harness.delivered.get(0).missing()).isEqualTo(0);
     }
 
     @Test
-    void shardsAskAgainAtOnceIfALeafOfAnyShardHasAnswered() {
+    void shardsRetryAtOnceIfAnyLeafHasAnswered() {
         ScatterQuery query = start();
-        world.answer(query, world.asked.get(0), "sig", MILLI);
-        for (Attempt attempt : List.copyOf(world.asked.subList(1, SHARDS))) {
-            world.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
+        harness.answer(query, harness.attempts.get(0), "sig", MILLI);
+        for (Attempt attempt : List.copyOf(harness.attempts.subList(1, SHARDS))) {
+            harness.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
         }
-        assertThat(world.asked).hasSize(2 * SHARDS - 1);
+        assertThat(harness.attempts).hasSize(2 * SHARDS - 1);
     }
 
     /** Half of the leafs end for a reason of their own while the others are still at work. */
     @Test
-    void afterASecondBreakShardsWaitForTheAnswersThatMayStillCome() {
+    void afterASecondDisconnectShardsWaitForOutstandingAnswers() {
         ScatterQuery query = start();
-        for (Attempt attempt : List.copyOf(world.asked.subList(0, SHARDS / 2))) {
-            world.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
+        for (Attempt attempt : List.copyOf(harness.attempts.subList(0, SHARDS / 2))) {
+            harness.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
         }
-        world.fail(query, world.asked.get(SHARDS), LeafOutcome.BROKEN, 2 * MILLI);
-        assertThat(world.asked).hasSize(SHARDS + 1);
-        assertThat(world.refused).isEmpty();
-        world.answer(query, world.asked.get(SHARDS - 1), "sig", 3 * MILLI);
+        harness.fail(query, harness.attempts.get(SHARDS), LeafOutcome.BROKEN, 2 * MILLI);
+        assertThat(harness.attempts).hasSize(SHARDS + 1);
+        assertThat(harness.refused).isEmpty();
+        harness.answer(query, harness.attempts.get(SHARDS - 1), "sig", 3 * MILLI);
         // All but the one whose attempts are spent.
-        assertThat(world.asked).hasSize(SHARDS + 1 + SHARDS / 2 - 1);
+        assertThat(harness.attempts).hasSize(SHARDS + 1 + SHARDS / 2 - 1);
     }
 
     @Test
-    void anotherShardAsksIfTheOneThatWasToAskMayNot() {
+    void anotherShardProbesIfTheFirstProbeIsQuarantined() {
         ScatterQuery query = start();
-        breakAll(query);
-        world.fail(query, world.asked.get(SHARDS), LeafOutcome.BARRED, 2 * MILLI);
-        assertThat(world.asked).hasSize(SHARDS + 2);
+        disconnectAll(query);
+        harness.fail(query, harness.attempts.get(SHARDS), LeafOutcome.BARRED, 2 * MILLI);
+        assertThat(harness.attempts).hasSize(SHARDS + 2);
     }
 
     private ScatterQuery start() {
         for (int shard = 0; shard < SHARDS; shard++) {
-            world.service("s" + shard, 3, 10);
+            harness.addService("s" + shard, 3, 10);
         }
         ScatterQuery query = new ScatterQuery(
-                world.target(0.5),
-                world.pools(),
+                harness.target(0.5),
+                harness.pools(),
                 ImmutableList.of(),
-                RoutedWorld.bounds(2),
+                RoutedRequestHarness.bounds(2),
                 ScatterQuery.Delivery.SINGLE,
                 RoutingContext.plain(),
-                RoutedWorld.random());
-        world.carryOut(query.start(0), 0);
+                RoutedRequestHarness.random());
+        harness.execute(query.start(0), 0);
         return query;
     }
 
-    private List<Attempt> breakAll(ScatterQuery query) {
-        List<Attempt> first = List.copyOf(world.asked);
+    private List<Attempt> disconnectAll(ScatterQuery query) {
+        List<Attempt> first = List.copyOf(harness.attempts);
         for (Attempt attempt : first) {
-            world.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
+            harness.fail(query, attempt, LeafOutcome.BROKEN, MILLI);
         }
         return first;
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedQueryTest.java
@@ -16,63 +16,64 @@
  */
 final class ForwardedQueryTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
-    private static final long AFTER_GOAL = RoutedWorld.GOAL_NANOS + MILLI;
+    private static final long AFTER_GOAL = RoutedRequestHarness.GOAL_NANOS + MILLI;
 
-    private final RoutedWorld world = new RoutedWorld();
-    private final StageAttempt stage = new StageAttempt("third", ImmutableList.of(1), RoutedWorld.DEADLINE_NANOS);
+    private final RoutedRequestHarness harness = new RoutedRequestHarness();
+    private final StageAttempt stage =
+            new StageAttempt("third", ImmutableList.of(1), RoutedRequestHarness.DEADLINE_NANOS);
     private ScatterQuery query;
 
     @BeforeEach
     void start() {
-        world.service("s0", 2, 10);
-        world.service("s1", 2, 10);
-        RouteTarget.Scatter target = new RouteTarget.Scatter(ImmutableList.copyOf(world.pools.keySet()), 5, 0);
+        harness.addService("s0", 2, 10);
+        harness.addService("s1", 2, 10);
+        RouteTarget.Scatter target = new RouteTarget.Scatter(ImmutableList.copyOf(harness.pools.keySet()), 5, 0);
         query = new ScatterQuery(
                 target,
-                world.pools(),
+                harness.pools(),
                 ImmutableList.of(stage),
-                RoutedWorld.bounds(2),
+                RoutedRequestHarness.bounds(2),
                 ScatterQuery.Delivery.INCREMENTAL,
                 RoutingContext.plain(),
-                RoutedWorld.random());
-        world.carryOut(query.start(0), 0);
-        assertThat(world.asked).hasSize(1);
-        world.carryOut(query.onAnswer(world.asked.get(0), part("sig0"), MILLI), MILLI);
+                RoutedRequestHarness.random());
+        harness.execute(query.start(0), 0);
+        assertThat(harness.attempts).hasSize(1);
+        harness.execute(query.onAnswer(harness.attempts.get(0), part("sig0"), MILLI), MILLI);
     }
 
     @Test
-    void whatTheThirdHostBringsAfterTheGoalIsSentOn() {
-        world.carryOut(query.wake(RoutedWorld.GOAL_NANOS), RoutedWorld.GOAL_NANOS);
-        assertThat(world.pieces.get(0).signatures()).containsExactly("sig0");
-        world.carryOut(query.onStageReply(stage, reply("sig1"), AFTER_GOAL), AFTER_GOAL);
-        assertThat(world.delivered.get(0).signatures()).containsExactly("sig1");
+    void partsFromAThirdHostAfterTheGoalAreForwarded() {
+        harness.execute(query.wake(RoutedRequestHarness.GOAL_NANOS), RoutedRequestHarness.GOAL_NANOS);
+        assertThat(harness.partials.get(0).signatures()).containsExactly("sig0");
+        harness.execute(query.onStageReply(stage, reply("sig1"), AFTER_GOAL), AFTER_GOAL);
+        assertThat(harness.delivered.get(0).signatures()).containsExactly("sig1");
     }
 
     @Test
-    void afterTheGoalAThirdHostThatFailsIsNotReplaced() {
-        world.carryOut(query.wake(RoutedWorld.GOAL_NANOS), RoutedWorld.GOAL_NANOS);
-        world.carryOut(query.onStageFailure(stage, false, AFTER_GOAL), AFTER_GOAL);
-        assertThat(world.asked).hasSize(1);
+    void aThirdHostThatFailsAfterTheGoalIsNotReplaced() {
+        harness.execute(query.wake(RoutedRequestHarness.GOAL_NANOS), RoutedRequestHarness.GOAL_NANOS);
+        harness.execute(query.onStageFailure(stage, false, AFTER_GOAL), AFTER_GOAL);
+        assertThat(harness.attempts).hasSize(1);
         assertThat(query.isOver()).isTrue();
     }
 
     @Test
-    void beforeTheGoalItIs() {
-        world.carryOut(query.onStageFailure(stage, true, 2 * MILLI), 2 * MILLI);
-        assertThat(world.asked).hasSize(2);
+    void aThirdHostThatFailsBeforeTheGoalIsReplaced() {
+        harness.execute(query.onStageFailure(stage, true, 2 * MILLI), 2 * MILLI);
+        assertThat(harness.attempts).hasSize(2);
     }
 
     /** The host that asked must know: it would make a third attempt otherwise. */
     @Test
-    void aShardThatTheThirdHostAskedTwiceIsToldAsSuch() {
+    void aShardThatTheThirdHostHedgedIsReportedAsHedged() {
         assertThat(query.hedgedShards()).isEmpty();
         query.onStageProgress(stage, ImmutableList.of(1));
         assertThat(query.hedgedShards()).containsExactly(1);
     }
 
     @Test
-    void aShardThatWasAskedThereAndHereIsToldAsAskedTwice() {
-        world.carryOut(query.onStageFailure(stage, false, 2 * MILLI), 2 * MILLI);
+    void aShardAttemptedThereAndHereIsReportedAsHedged() {
+        harness.execute(query.onStageFailure(stage, false, 2 * MILLI), 2 * MILLI);
         assertThat(query.hedgedShards()).containsExactly(1);
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedRequestTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedRequestTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 final class ForwardedRequestTest {
-    private final RoutedWorld world = new RoutedWorld();
+    private final RoutedRequestHarness harness = new RoutedRequestHarness();
 
     @Test
-    void theAnswerOfTheLeafIsPassedOn() {
+    void theLeafsAnswerIsDelivered() {
         ForwardedRequest request = request(2, true, 0);
-        world.end(world.asked.get(0), LeafOutcome.SUCCEEDED, 1);
-        world.carryOut(request.onAnswer(world.asked.get(0)), 1);
-        assertThat(world.passed).containsExactly(world.asked.get(0));
+        harness.end(harness.attempts.get(0), LeafOutcome.SUCCEEDED, 1);
+        harness.execute(request.onAnswer(harness.attempts.get(0)), 1);
+        assertThat(harness.deliveredAnswers).containsExactly(harness.attempts.get(0));
     }
 
     @ParameterizedTest
@@ -25,9 +25,9 @@
     void aRequestThatMayHaveRunIsNotSentAgainIfItMustNotRunTwice(LeafOutcome outcome) {
         ForwardedRequest request = request(3, false, 10);
         fail(request, 0, outcome, outcome == LeafOutcome.FAILED);
-        assertThat(world.asked).hasSize(1);
-        assertThat(world.answers()).isEqualTo(1);
-        world.refused.forEach(reason -> assertThat(reason.isNotRun()).isFalse());
+        assertThat(harness.attempts).hasSize(1);
+        assertThat(harness.outcomeCount()).isEqualTo(1);
+        harness.refused.forEach(reason -> assertThat(reason.isNotRun()).isFalse());
     }
 
     @ParameterizedTest
@@ -37,73 +37,77 @@
     void aRequestThatHasNotRunIsSentToAnotherLeaf(LeafOutcome outcome) {
         ForwardedRequest request = request(3, false, 10);
         fail(request, 0, outcome, false);
-        assertThat(world.asked).hasSize(2);
-        assertThat(world.asked.get(1).leaf()).isNotEqualTo(world.asked.get(0).leaf());
+        assertThat(harness.attempts).hasSize(2);
+        assertThat(harness.attempts.get(1).leaf())
+                .isNotEqualTo(harness.attempts.get(0).leaf());
     }
 
     @Test
     void aRequestThatMustNotRunTwiceIsNeverHedged() {
         ForwardedRequest request = request(3, false, 10);
-        world.carryOut(request.wake(RoutedWorld.HEDGE_NANOS * 5), RoutedWorld.HEDGE_NANOS * 5);
-        assertThat(world.asked).hasSize(1);
+        harness.execute(
+                request.wake(RoutedRequestHarness.HEDGE_DELAY_NANOS * 5), RoutedRequestHarness.HEDGE_DELAY_NANOS * 5);
+        assertThat(harness.attempts).hasSize(1);
     }
 
     @Test
     void aRepeatableRequestIsHedgedOnceItIsLate() {
         ForwardedRequest request = request(3, true, 10);
-        world.carryOut(request.wake(RoutedWorld.HEDGE_NANOS), RoutedWorld.HEDGE_NANOS);
-        assertThat(world.asked).hasSize(2);
+        harness.execute(request.wake(RoutedRequestHarness.HEDGE_DELAY_NANOS), RoutedRequestHarness.HEDGE_DELAY_NANOS);
+        assertThat(harness.attempts).hasSize(2);
     }
 
     @Test
-    void afterAnUnknownOutcomeARefusalNeverSaysThatItHasNotRun() {
+    void anUnknownOutcomeIsNotReportedAsNotRun() {
         ForwardedRequest request = request(1, false, 10);
         fail(request, 0, LeafOutcome.BROKEN, false);
-        assertThat(world.refused).containsExactly(RefusalReason.OUTCOME_UNKNOWN);
+        assertThat(harness.refused).containsExactly(RefusalReason.OUTCOME_UNKNOWN);
     }
 
     @Test
-    void atTheDeadlineARequestUnderWayMayHaveRun() {
+    void atTheDeadlineARequestInFlightMayHaveRun() {
         ForwardedRequest request = request(1, false, 0);
-        world.carryOut(request.wake(RoutedWorld.DEADLINE_NANOS), RoutedWorld.DEADLINE_NANOS);
-        assertThat(world.refused).containsExactly(RefusalReason.TIME_UP);
+        harness.execute(request.wake(RoutedRequestHarness.DEADLINE_NANOS), RoutedRequestHarness.DEADLINE_NANOS);
+        assertThat(harness.refused).containsExactly(RefusalReason.TIME_UP);
         assertThat(RefusalReason.TIME_UP.isNotRun()).isFalse();
     }
 
     @Test
-    void leafsThatAllRefuseMakeARefusalThatSaysItHasNotRun() {
+    void ifAllLeavesRefuseTheRefusalSaysNotRun() {
         ForwardedRequest request = request(2, false, 10);
-        for (int attempt = 0; attempt < world.asked.size() && world.answers() == 0; attempt++) {
+        for (int attempt = 0; attempt < harness.attempts.size() && harness.outcomeCount() == 0; attempt++) {
             fail(request, attempt, LeafOutcome.REFUSED_BUSY, false);
-            world.carryOut(request.wake(RoutedWorld.HEDGE_NANOS * 10), RoutedWorld.HEDGE_NANOS * 10);
+            harness.execute(
+                    request.wake(RoutedRequestHarness.HEDGE_DELAY_NANOS * 10),
+                    RoutedRequestHarness.HEDGE_DELAY_NANOS * 10);
         }
-        assertThat(world.refused).containsExactly(RefusalReason.ALL_BUSY);
+        assertThat(harness.refused).containsExactly(RefusalReason.ALL_BUSY);
     }
 
     @Test
-    void theFailureOfALeafIsPassedOnIfNoOtherMayBeAsked() {
+    void theLeafsFailureIsDeliveredIfNoRetryIsPermitted() {
         ForwardedRequest request = request(1, false, 10);
         fail(request, 0, LeafOutcome.FAILED, true);
-        assertThat(world.passed).containsExactly(world.asked.get(0));
+        assertThat(harness.deliveredAnswers).containsExactly(harness.attempts.get(0));
     }
 
     @Test
-    void withoutLeafsTheRefusalSaysThatItHasNotRun() {
+    void withoutLeavesTheRefusalSaysNotRun() {
         request(0, false, 0);
-        assertThat(world.refused).containsExactly(RefusalReason.NO_LEAF);
+        assertThat(harness.refused).containsExactly(RefusalReason.NO_LEAF);
     }
 
-    private ForwardedRequest request(int leafs, boolean repeatable, int budget) {
-        world.service("s", leafs, budget);
-        ForwardedRequest request =
-                new ForwardedRequest(world.pools().get(0), repeatable, RoutedWorld.bounds(2), RoutedWorld.random());
-        world.carryOut(request.start(0), 0);
+    private ForwardedRequest request(int leafCount, boolean repeatable, int budget) {
+        harness.addService("s", leafCount, budget);
+        ForwardedRequest request = new ForwardedRequest(
+                harness.pools().get(0), repeatable, RoutedRequestHarness.bounds(2), RoutedRequestHarness.random());
+        harness.execute(request.start(0), 0);
         return request;
     }
 
     private void fail(ForwardedRequest request, int attempt, LeafOutcome outcome, boolean hasAnswer) {
-        Attempt failed = world.asked.get(attempt);
-        world.end(failed, outcome, 1);
-        world.carryOut(request.onFailure(failed, outcome, hasAnswer, 1), 1);
+        Attempt failed = harness.attempts.get(attempt);
+        harness.end(failed, outcome, 1);
+        harness.execute(request.onFailure(failed, outcome, hasAnswer, 1), 1);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/HolderChoiceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/HolderChoiceTest.java
@@ -9,59 +9,59 @@
 import org.junit.jupiter.api.Test;
 
 final class HolderChoiceTest {
-    private static final ImmutableList<String> NAMED = ImmutableList.of("holder", "second", "third");
+    private static final ImmutableList<String> CANDIDATES = ImmutableList.of("holder", "second", "third");
 
-    private final Set<String> silent = new HashSet<>();
-    private final Set<String> behind = new HashSet<>();
+    private final Set<String> unusable = new HashSet<>();
+    private final Set<String> lagging = new HashSet<>();
 
     @Test
-    void theHolderIsAskedWhileItCanBe() {
+    void theHolderIsChosenWhileUsable() {
         assertThat(chosenBy("entry")).isEqualTo(Optional.of("holder"));
         assertThat(chosenBy("second")).isEqualTo(Optional.of("holder"));
     }
 
     @Test
-    void aHolderThatIsDeadOrFrozenOrBehindIsPassedOverUntilItIsNot() {
-        silent.add("holder");
+    void anUnusableOrLaggingHolderIsSkippedUntilItRecovers() {
+        unusable.add("holder");
         assertThat(chosenBy("entry")).isEqualTo(Optional.of("second"));
-        behind.add("second");
+        lagging.add("second");
         assertThat(chosenBy("entry")).isEqualTo(Optional.of("third"));
-        silent.clear();
+        unusable.clear();
         assertThat(chosenBy("entry")).isEqualTo(Optional.of("holder"));
     }
 
     @Test
-    void oneThatStandsInAsksItselfAndSendsNothingBackToTheHolderThatWasPassedOver() {
+    void aBackupCallsTheLeafItselfIfTheHolderWasSkipped() {
         assertThat(chosenBy("second", "holder")).isEqualTo(Optional.empty());
-        behind.add("holder");
+        lagging.add("holder");
         assertThat(chosenBy("second")).isEqualTo(Optional.empty());
     }
 
     @Test
-    void whatItIsToldIsNoReasonForAHostThatIsNotNamedToGoRoundTheHolders() {
+    void aHostThatIsNoCandidateIgnoresSkippedHosts() {
         assertThat(chosenBy("relay", "holder", "second", "third")).isEqualTo(Optional.of("holder"));
     }
 
     @Test
-    void aThirdHostStandsInWhereBothBeforeItWerePassedOver() {
+    void theThirdCandidateActsIfBothOthersWereSkipped() {
         assertThat(chosenBy("third", "holder")).isEqualTo(Optional.of("second"));
         assertThat(chosenBy("third", "holder", "second")).isEqualTo(Optional.empty());
     }
 
     @Test
-    void ifAllAreBehindTheHolderIsAskedAsIfNoneWere() {
-        behind.addAll(NAMED);
+    void theHolderIsChosenIfAllAreLagging() {
+        lagging.addAll(CANDIDATES);
         assertThat(chosenBy("entry")).isEqualTo(Optional.of("holder"));
     }
 
     @Test
-    void ifNoneCanBeAskedTheHostAsksItself() {
-        silent.addAll(NAMED);
+    void noHostIsChosenIfNoneIsUsable() {
+        unusable.addAll(CANDIDATES);
         assertThat(chosenBy("entry")).isEqualTo(Optional.empty());
     }
 
-    private Optional<String> chosenBy(String self, String... passedOver) {
-        return HolderChoice.choose(NAMED, ImmutableList.copyOf(passedOver), new HolderChoice.HostView() {
+    private Optional<String> chosenBy(String self, String... skipped) {
+        return HolderChoice.choose(CANDIDATES, ImmutableList.copyOf(skipped), new HolderChoice.HostView() {
             @Override
             public boolean isSelf(String host) {
                 return host.equals(self);
@@ -69,12 +69,12 @@
 
             @Override
             public boolean isUsable(String host) {
-                return !silent.contains(host);
+                return !unusable.contains(host);
             }
 
             @Override
             public boolean isLagging(String host) {
-                return behind.contains(host);
+                return lagging.contains(host);
             }
         });
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -33,26 +33,26 @@
     private static final ImmutableList<String> ZONES = ImmutableList.of("north-1", "north-2", "south-1", "east-1");
 
     @Test
-    void noAttemptLeavesTheHomesOrGoesToADrainedZone() {
+    void attemptsStayInHomeRegionsAndAvoidDrainedZones() {
         int asked = 0;
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            asked += new Schedule(seed, true).play();
+            asked += new Schedule(seed, true).run();
         }
         assertThat(asked).isGreaterThan(SCHEDULES);
     }
 
     /** The check sees a decision that forgets the homes. */
     @Test
-    void aRequestThatForgetsItsHomesIsFound() {
-        int found = 0;
+    void detectsAttemptsOutsideTheHomeRegions() {
+        int detected = 0;
         for (int seed = 0; seed < SCHEDULES / 100; seed++) {
             try {
-                new Schedule(seed, false).play();
-            } catch (AssertionError seen) {
-                found++;
+                new Schedule(seed, false).run();
+            } catch (AssertionError expected) {
+                detected++;
             }
         }
-        assertThat(found).isGreaterThan(10);
+        assertThat(detected).isGreaterThan(10);
     }
 
     private static String regionOf(String zone) {
@@ -63,19 +63,19 @@
     private static final class Schedule {
         private final int seed;
         private final SplittableRandom random;
-        private final boolean keepsHomes;
-        private final HomeRegions homes;
+        private final boolean restrictsRegions;
+        private final HomeRegions homeRegions;
         private final List<LeafPool> pools = new ArrayList<>();
-        private final List<Attempt> open = new ArrayList<>();
+        private final List<Attempt> openAttempts = new ArrayList<>();
         private final boolean[] drained = new boolean[ZONES.size()];
         private long nowNanos;
-        private int asked;
+        private int attemptCount;
 
-        Schedule(int seed, boolean keepsHomes) {
+        Schedule(int seed, boolean restrictsRegions) {
             this.seed = seed;
-            this.keepsHomes = keepsHomes;
+            this.restrictsRegions = restrictsRegions;
             this.random = new SplittableRandom(seed);
-            this.homes = random.nextInt(4) == 0
+            this.homeRegions = random.nextInt(4) == 0
                     ? HomeRegions.ANY
                     : HomeRegions.of(ImmutableList.of(regionOf(ZONES.get(random.nextInt(ZONES.size())))));
             for (int shard = 0; shard < SHARDS; shard++) {
@@ -84,9 +84,9 @@
         }
 
         private LeafPool pool(String service) {
-            LeafPool pool = new LeafPool(service, RoutedWorld.shareOf(100, 50));
-            int leafs = 1 + random.nextInt(5);
-            for (int number = 0; number < leafs; number++) {
+            LeafPool pool = new LeafPool(service, RoutedRequestHarness.budget(100, 50));
+            int leafCount = 1 + random.nextInt(5);
+            for (int number = 0; number < leafCount; number++) {
                 String zone = ZONES.get(random.nextInt(ZONES.size()));
                 LeafLocation place =
                         new LeafLocation(zone, regionOf(zone), DISTANCES.get(random.nextInt(DISTANCES.size())));
@@ -104,30 +104,30 @@
         }
 
         private ImmutableList<PermittedLeaves> permitted() {
-            HomeRegions used = keepsHomes ? homes : HomeRegions.ANY;
-            return pools.stream().map(pool -> pool.permitted(used)).collect(ImmutableList.toImmutableList());
+            HomeRegions allowed = restrictsRegions ? homeRegions : HomeRegions.ANY;
+            return pools.stream().map(pool -> pool.permitted(allowed)).collect(ImmutableList.toImmutableList());
         }
 
-        int play() {
+        int run() {
             if (random.nextInt(3) == 0) {
-                playSingle();
+                runSingle();
             } else {
-                playQuery();
+                runQuery();
             }
-            return asked;
+            return attemptCount;
         }
 
-        private void playSingle() {
+        private void runSingle() {
             ForwardedRequest request = new ForwardedRequest(
-                    permitted().get(0), random.nextBoolean(), RoutedWorld.bounds(2), random.split());
-            carryOut(request.start(nowNanos));
+                    permitted().get(0), random.nextBoolean(), RoutedRequestHarness.bounds(2), random.split());
+            execute(request.start(nowNanos));
             for (int step = 0; step < STEPS && !request.isOver(); step++) {
-                pass();
-                if (open.isEmpty() || random.nextInt(3) == 0) {
-                    carryOut(request.wake(nowNanos));
+                advanceTime();
+                if (openAttempts.isEmpty() || random.nextInt(3) == 0) {
+                    execute(request.wake(nowNanos));
                 } else {
-                    Attempt ended = open.remove(random.nextInt(open.size()));
-                    carryOut(
+                    Attempt ended = openAttempts.remove(random.nextInt(openAttempts.size()));
+                    execute(
                             random.nextInt(3) == 0
                                     ? request.onAnswer(ended)
                                     : request.onFailure(ended, failure(), random.nextBoolean(), nowNanos));
@@ -135,7 +135,7 @@
             }
         }
 
-        private void playQuery() {
+        private void runQuery() {
             ImmutableList<StageAttempt> stages = random.nextBoolean()
                     ? ImmutableList.of()
                     : ImmutableList.of(new StageAttempt("other", ImmutableList.of(0, 1), 10 * MILLI));
@@ -143,28 +143,29 @@
                     new RouteTarget.Scatter(ImmutableList.of("s0", "s1", "s2", "s3"), 5, 0.25),
                     permitted(),
                     stages,
-                    RoutedWorld.bounds(2),
+                    RoutedRequestHarness.bounds(2),
                     random.nextBoolean() ? ScatterQuery.Delivery.SINGLE : ScatterQuery.Delivery.INCREMENTAL,
                     RoutingContext.plain(),
                     random.split());
-            carryOut(query.start(nowNanos));
+            execute(query.start(nowNanos));
             for (int step = 0; step < STEPS && !query.isOver(); step++) {
-                pass();
-                carryOut(happening(query, stages));
+                advanceTime();
+                execute(nextEvent(query, stages));
             }
         }
 
-        private List<RoutedAction> happening(ScatterQuery query, ImmutableList<StageAttempt> stages) {
+        private List<RoutedAction> nextEvent(ScatterQuery query, ImmutableList<StageAttempt> stages) {
             int kind = random.nextInt(4);
             if (kind == 0 && !stages.isEmpty()) {
                 return query.onStageFailure(stages.get(0), random.nextBoolean(), nowNanos);
             }
-            if (kind == 1 || open.isEmpty()) {
+            if (kind == 1 || openAttempts.isEmpty()) {
                 return query.wake(nowNanos);
             }
-            Attempt ended = open.remove(random.nextInt(open.size()));
+            Attempt ended = openAttempts.remove(random.nextInt(openAttempts.size()));
             return kind == 2
-                    ? query.onAnswer(ended, RoutedWorld.part("sig" + asked + "-" + nowNanos, 1), nowNanos)
+                    ? query.onAnswer(
+                            ended, RoutedRequestHarness.part("sig" + attemptCount + "-" + nowNanos, 1), nowNanos)
                     : query.onFailure(ended, failure(), nowNanos);
         }
 
@@ -181,7 +182,7 @@
         }
 
         /** Time goes on; now and then operators drain a zone or take it back. */
-        private void pass() {
+        private void advanceTime() {
             nowNanos += random.nextLong(20 * MILLI);
             if (random.nextInt(5) == 0) {
                 int zone = random.nextInt(ZONES.size());
@@ -192,14 +193,14 @@
             }
         }
 
-        private void carryOut(List<RoutedAction> actions) {
+        private void execute(List<RoutedAction> actions) {
             for (RoutedAction action : actions) {
                 if (action instanceof RoutedAction.CallLeaf ask) {
-                    asked++;
+                    attemptCount++;
                     Leaf leaf = ask.attempt().leaf();
-                    open.add(ask.attempt());
-                    assertWithMessage("seed %s: %s asked at %s", seed, homes, leaf.location())
-                            .that(homes.allows(leaf.location().region()))
+                    openAttempts.add(ask.attempt());
+                    assertWithMessage("seed %s: %s asked at %s", seed, homeRegions, leaf.location())
+                            .that(homeRegions.allows(leaf.location().region()))
                             .isTrue();
                     assertWithMessage("seed %s: asked at drained %s", seed, leaf.location())
                             .that(drained[ZONES.indexOf(leaf.location().zone())])
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
@@ -17,56 +17,57 @@
 final class NotSentTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
 
-    private final RoutedWorld world = new RoutedWorld();
-    private final StageAttempt stage = new StageAttempt("holder", ImmutableList.of(1), RoutedWorld.DEADLINE_NANOS);
+    private final RoutedRequestHarness harness = new RoutedRequestHarness();
+    private final StageAttempt stage =
+            new StageAttempt("holder", ImmutableList.of(1), RoutedRequestHarness.DEADLINE_NANOS);
 
     @Test
-    void anAttemptAfterOneThatWasNotSentIsNotPaidFor() {
+    void anAttemptAfterOneThatWasNotSentCostsNoBudget() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
         fail(query, LeafOutcome.UNREACHABLE);
-        assertThat(world.asked).hasSize(3);
+        assertThat(harness.attempts).hasSize(3);
     }
 
     @Test
-    void anAttemptAfterARefusalOfALeafIs() {
+    void anAttemptAfterARefusalCostsBudget() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
         fail(query, LeafOutcome.REFUSED_BUSY);
-        assertThat(world.asked).hasSize(2);
+        assertThat(harness.attempts).hasSize(2);
     }
 
     @Test
-    void shardsThatAHolderSentToNoLeafAreAskedHereAtNoCost() {
+    void shardsThatAHolderSentToNoLeafAreCalledLocallyWithoutBudget() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of(stage));
-        assertThat(world.asked).hasSize(1);
+        assertThat(harness.attempts).hasSize(1);
         StageReply reply =
                 new StageReply(ImmutableList.of(), ImmutableList.of(), ImmutableList.of(1), ByteString.EMPTY);
-        world.carryOut(query.onStageReply(stage, reply, MILLI), MILLI);
-        assertThat(world.asked).hasSize(2);
-        assertThat(world.asked.get(1).leaf().service()).isEqualTo("s1");
+        harness.execute(query.onStageReply(stage, reply, MILLI), MILLI);
+        assertThat(harness.attempts).hasSize(2);
+        assertThat(harness.attempts.get(1).leaf().service()).isEqualTo("s1");
     }
 
     @Test
-    void aHolderTellsWhichShardsItSentToNoLeaf() {
-        world.service("empty", 0, 10);
+    void aHolderReportsWhichShardsItSentToNoLeaf() {
+        harness.addService("empty", 0, 10);
         ScatterQuery query = query(10, ScatterQuery.Delivery.INCREMENTAL, ImmutableList.of());
         for (int number = 0; number < 2; number++) {
-            Attempt attempt = world.asked.get(number);
-            world.end(attempt, LeafOutcome.SUCCEEDED, MILLI);
-            world.carryOut(query.onAnswer(attempt, RoutedWorld.part("sig" + number, 1), MILLI), MILLI);
+            Attempt attempt = harness.attempts.get(number);
+            harness.end(attempt, LeafOutcome.SUCCEEDED, MILLI);
+            harness.execute(query.onAnswer(attempt, RoutedRequestHarness.part("sig" + number, 1), MILLI), MILLI);
         }
-        assertThat(world.delivered.get(0).notSent()).containsExactly(0);
-        assertThat(world.delivered.get(0).shards()).containsExactly(1, 2);
+        assertThat(harness.delivered.get(0).notSent()).containsExactly(0);
+        assertThat(harness.delivered.get(0).shards()).containsExactly(1, 2);
     }
 
     /** All connections to the leafs are in use until the caller's time is up. */
     @Test
     void aQueryWhoseCallsWereGivenUpBeforeTheyWereSentHasNotRun() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
-        world.carryOut(query.wake(RoutedWorld.DEADLINE_NANOS), RoutedWorld.DEADLINE_NANOS);
-        assertThat(world.refused).containsExactly(RefusalReason.TIME_UP);
-        world.givenUp.get(0).markNeverSent();
+        harness.execute(query.wake(RoutedRequestHarness.DEADLINE_NANOS), RoutedRequestHarness.DEADLINE_NANOS);
+        assertThat(harness.refused).containsExactly(RefusalReason.TIME_UP);
+        harness.abandoned.get(0).markNeverSent();
         assertThat(query.finalRefusalReason(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
-        world.givenUp.get(1).markNeverSent();
+        harness.abandoned.get(1).markNeverSent();
         assertThat(query.finalRefusalReason(RefusalReason.TIME_UP).isNotRun()).isTrue();
     }
 
@@ -74,31 +75,31 @@
     @Test
     void aQueryWhoseCallToAnotherHostWasNeverSentHasNotRun() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of(stage));
-        world.carryOut(query.wake(RoutedWorld.DEADLINE_NANOS), RoutedWorld.DEADLINE_NANOS);
-        world.givenUp.forEach(Attempt::markNeverSent);
+        harness.execute(query.wake(RoutedRequestHarness.DEADLINE_NANOS), RoutedRequestHarness.DEADLINE_NANOS);
+        harness.abandoned.forEach(Attempt::markNeverSent);
         assertThat(query.finalRefusalReason(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
         query.onStageNeverSent(stage);
         assertThat(query.finalRefusalReason(RefusalReason.TIME_UP).isNotRun()).isTrue();
     }
 
     private ScatterQuery query(int budget, ScatterQuery.Delivery delivery, ImmutableList<StageAttempt> stages) {
-        world.service("s0", 2, budget);
-        world.service("s1", 2, budget);
+        harness.addService("s0", 2, budget);
+        harness.addService("s1", 2, budget);
         ScatterQuery query = new ScatterQuery(
-                new RouteTarget.Scatter(ImmutableList.copyOf(world.pools.keySet()), 5, 0),
-                world.pools(),
+                new RouteTarget.Scatter(ImmutableList.copyOf(harness.pools.keySet()), 5, 0),
+                harness.pools(),
                 stages,
-                RoutedWorld.bounds(2),
+                RoutedRequestHarness.bounds(2),
                 delivery,
                 RoutingContext.plain(),
-                RoutedWorld.random());
-        world.carryOut(query.start(0), 0);
+                RoutedRequestHarness.random());
+        harness.execute(query.start(0), 0);
         return query;
     }
 
     private void fail(ScatterQuery query, LeafOutcome outcome) {
-        Attempt attempt = world.asked.get(0);
-        world.end(attempt, outcome, MILLI);
-        world.carryOut(query.onFailure(attempt, outcome, MILLI), MILLI);
+        Attempt attempt = harness.attempts.get(0);
+        harness.end(attempt, outcome, MILLI);
+        harness.execute(query.onFailure(attempt, outcome, MILLI), MILLI);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
@@ -19,43 +19,43 @@
 import org.bramblerack.version.routing.RouteTarget;
 
 /** Leafs by name and a record of what a request wanted done. */
-final class RoutedWorld {
+final class RoutedRequestHarness {
     static final long EXPECTED_NANOS = Duration.ofMillis(10).toNanos();
-    static final long HEDGE_NANOS = Duration.ofMillis(40).toNanos();
+    static final long HEDGE_DELAY_NANOS = Duration.ofMillis(40).toNanos();
     static final long GOAL_NANOS = Duration.ofMillis(100).toNanos();
     static final long DEADLINE_NANOS = Duration.ofSeconds(1).toNanos();
 
     final Map<String, LeafPool> pools = new LinkedHashMap<>();
-    final List<Attempt> asked = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
     final List<StageAttempt> stages = new ArrayList<>();
-    final List<MergedAnswer> pieces = new ArrayList<>();
+    final List<MergedAnswer> partials = new ArrayList<>();
     final List<MergedAnswer> delivered = new ArrayList<>();
-    final List<Attempt> givenUp = new ArrayList<>();
-    final List<Attempt> passed = new ArrayList<>();
+    final List<Attempt> abandoned = new ArrayList<>();
+    final List<Attempt> deliveredAnswers = new ArrayList<>();
     final List<RefusalReason> refused = new ArrayList<>();
     final List<AttemptCounter> counts = new ArrayList<>();
     final List<Long> wakes = new ArrayList<>();
-    private final Map<Attempt, Leaf.Call> calls = new LinkedHashMap<>();
+    private final Map<Attempt, Leaf.Call> openCalls = new LinkedHashMap<>();
 
     /** Returns a budget of a host that has been up for long. */
-    static WindowedBudget shareOf(int extraPercent, int reserve) {
+    static WindowedBudget budget(int extraPercent, int reserve) {
         Duration window = Duration.ofSeconds(10);
         return WindowedBudget.create(extraPercent, window, -2 * window.toNanos())
                 .setReserve(reserve, reserve);
     }
 
     /** Adds a service with leafs named after it: {@code s-0}, {@code s-1} and so on. */
-    LeafPool service(String name, int leafs, int budget) {
-        LeafPool pool = new LeafPool(name, shareOf(0, budget));
-        for (int number = 0; number < leafs; number++) {
+    LeafPool addService(String name, int leafCount, int budget) {
+        LeafPool pool = new LeafPool(name, budget(0, budget));
+        for (int number = 0; number < leafCount; number++) {
             pool.add(new Leaf(name + "-" + number, name, "10.0.0.1:1", Distance.SAME_ZONE, 2, Duration.ZERO, 0));
         }
         pools.put(name, pool);
         return pool;
     }
 
-    static RequestBounds bounds(int attempts) {
-        return new RequestBounds(GOAL_NANOS, DEADLINE_NANOS, HEDGE_NANOS, EXPECTED_NANOS, attempts);
+    static RequestBounds bounds(int maxAttempts) {
+        return new RequestBounds(GOAL_NANOS, DEADLINE_NANOS, HEDGE_DELAY_NANOS, EXPECTED_NANOS, maxAttempts);
     }
 
     static SplittableRandom random() {
@@ -63,21 +63,21 @@
     }
 
     /** Notes actions as a sender would carry them out. */
-    void carryOut(List<RoutedAction> actions, long nowNanos) {
+    void execute(List<RoutedAction> actions, long nowNanos) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
-                asked.add(ask.attempt());
-                calls.put(ask.attempt(), ask.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
+                attempts.add(ask.attempt());
+                openCalls.put(ask.attempt(), ask.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
             } else if (action instanceof RoutedAction.CallStage ask) {
                 stages.add(ask.stage());
             } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                givenUp.add(giveUp.attempt());
+                abandoned.add(giveUp.attempt());
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 delivered.add(deliver.answer());
             } else if (action instanceof RoutedAction.DeliverPartial deliver) {
-                pieces.add(deliver.partial());
+                partials.add(deliver.partial());
             } else if (action instanceof RoutedAction.DeliverAnswer deliver) {
-                passed.add(deliver.attempt());
+                deliveredAnswers.add(deliver.attempt());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 refused.add(refuse.reason());
             } else if (action instanceof RoutedAction.Count count) {
@@ -90,7 +90,7 @@
 
     /** Ends the call of an attempt, as a sender does before it tells the request. */
     void end(Attempt attempt, LeafOutcome outcome, long nowNanos) {
-        Leaf.Call call = calls.remove(attempt);
+        Leaf.Call call = openCalls.remove(attempt);
         if (call != null) {
             attempt.leaf().end(call, outcome, Optional.empty(), nowNanos);
         }
@@ -102,8 +102,8 @@
         return new PartReply(signature, ByteString.copyFrom(record));
     }
 
-    int answers() {
-        return delivered.size() + passed.size() + refused.size();
+    int outcomeCount() {
+        return delivered.size() + deliveredAnswers.size() + refused.size();
     }
 
     /** Returns the target of a query over all services. */
@@ -118,7 +118,7 @@
     }
 
     /** Spends the whole budget of every service. */
-    void spendDeposits() {
+    void exhaustBudgets() {
         for (LeafPool pool : pools.values()) {
             while (pool.budget().tryWithdraw(0)) {
                 // Until nothing is left.
@@ -128,7 +128,7 @@
 
     /** Answers everything that was asked so far, with a signature by the shard's number. */
     void answerAll(ScatterQuery query, long nowNanos) {
-        for (Attempt attempt : ImmutableList.copyOf(asked)) {
+        for (Attempt attempt : ImmutableList.copyOf(attempts)) {
             String service = attempt.leaf().service();
             answer(query, attempt, "sig" + service.substring(1), nowNanos);
         }
@@ -137,12 +137,12 @@
     /** Brings the answer of one attempt. */
     void answer(ScatterQuery query, Attempt attempt, String signature, long nowNanos) {
         end(attempt, LeafOutcome.SUCCEEDED, nowNanos);
-        carryOut(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
+        execute(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
     }
 
     /** Ends one attempt without an answer. */
     void fail(ScatterQuery query, Attempt attempt, LeafOutcome outcome, long nowNanos) {
         end(attempt, outcome, nowNanos);
-        carryOut(query.onFailure(attempt, outcome, nowNanos), nowNanos);
+        execute(query.onFailure(attempt, outcome, nowNanos), nowNanos);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -25,17 +25,17 @@
     private final Map<String, String> hostsByRegion = new HashMap<>();
     private final Map<String, String> holders = new HashMap<>();
     private final Map<String, String> regionsOfHosts = new HashMap<>();
-    private final Set<String> behind = new HashSet<>();
-    private final StagePlanner planner = new StagePlanner(new KnownWays(), new SplittableRandom(1));
+    private final Set<String> lagging = new HashSet<>();
+    private final StagePlanner planner = new StagePlanner(new FixedTopology(), new SplittableRandom(1));
 
     @Test
-    void shardsWithANearLeafAreAskedFromHere() {
+    void shardsWithANearLeafAreCalledLocally() {
         hostsByRegion.put("west", "west-host");
         assertThat(plan(near(0), near(1), near(2))).isEmpty();
     }
 
     @Test
-    void shardsFarAwayGoToOneHostOfTheRegionThatHasTheMost() {
+    void farShardsAreDelegatedToOneHostOfTheRegionWithTheMost() {
         hostsByRegion.put("west", "west-host");
         hostsByRegion.put("east", "east-host");
         ImmutableList<StageAttempt> stages = plan(far(0, "west"), far(1, "west"), far(2, "west"), near(3));
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void oneShardAloneIsAskedFromHere() {
+    void aSingleFarShardIsCalledLocally() {
         hostsByRegion.put("west", "west-host");
         assertThat(plan(far(0, "west"), near(1))).isEmpty();
     }
 
     @Test
-    void withoutAHostToAskEveryShardIsAskedFromHere() {
+    void withoutAnAvailableHostAllShardsAreCalledLocally() {
         assertThat(plan(far(0, "west"), far(1, "west"))).isEmpty();
     }
 
     @Test
-    void shardsOfAHolderGoToItHoweverFew() {
+    void aSingleShardIsDelegatedToItsHolder() {
         holders.put("shard-1", "holder");
         ImmutableList<StageAttempt> stages = plan(near(0), near(1));
         assertThat(stages).hasSize(1);
@@ -68,7 +68,7 @@
      * 60 of 90 shards are in two other regions, a dozen at a holder: one merged reply a region in place of four each.
      */
     @Test
-    void theHoldersOfAnotherRegionAreAskedThroughOneOfThem() {
+    void holdersOfAnotherRegionAreCalledThroughOneRelay() {
         holders.put("shard-0", "near-holder");
         holders.put("shard-1", "west-1");
         holders.put("shard-2", "west-2");
@@ -88,17 +88,17 @@
     }
 
     @Test
-    void aHolderThatIsBehindIsNoRelayUnlessAllAre() {
+    void aLaggingHolderIsNoRelayUnlessAllAreLagging() {
         holders.put("shard-0", "west-1");
         holders.put("shard-1", "west-2");
         regionsOfHosts.put("west-1", "west");
         regionsOfHosts.put("west-2", "west");
         LeafPool[] pools = {far(0, "west"), far(1, "west")};
-        behind.add("west-1");
+        lagging.add("west-1");
         for (int query = 0; query < 20; query++) {
             assertThat(plan(pools).get(0).host()).isEqualTo("west-2");
         }
-        behind.add("west-2");
+        lagging.add("west-2");
         assertThat(plan(pools).get(0).shards()).containsExactly(0, 1);
     }
 
@@ -124,12 +124,12 @@
     /** A pool with one leaf, whose address names its region. */
     private static LeafPool pool(int shard, String region, Distance distance) {
         String name = "shard-" + shard;
-        LeafPool pool = new LeafPool(name, RoutedWorld.shareOf(10, 10));
+        LeafPool pool = new LeafPool(name, RoutedRequestHarness.budget(10, 10));
         pool.add(new Leaf(name, name, region, distance, 2, Duration.ZERO, 0));
         return pool;
     }
 
-    private final class KnownWays implements StagePlanner.Topology {
+    private final class FixedTopology implements StagePlanner.Topology {
         @Override
         public Optional<String> otherRegionOf(String host) {
             return Optional.ofNullable(regionsOfHosts.get(host));
@@ -152,7 +152,7 @@
 
         @Override
         public boolean isLagging(String host) {
-            return behind.contains(host);
+            return lagging.contains(host);
         }
 
         @Override
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
@@ -11,11 +11,11 @@
 /** Compares the merge with one that sorts everything. */
 final class TopRecordsTest {
     @Test
-    void theGreatestRecordsOfAnyPartsAreThoseOfASort() {
+    void agreesWithSortingAllRecords() {
         SplittableRandom random = new SplittableRandom(1);
         for (int round = 0; round < 500; round++) {
-            int most = random.nextInt(0, 12);
-            TopRecords records = new TopRecords(most);
+            int maxRecords = random.nextInt(0, 12);
+            TopRecords records = new TopRecords(maxRecords);
             List<ByteString> all = new ArrayList<>();
             for (int part = random.nextInt(6); part > 0; part--) {
                 ByteString bytes = part(random);
@@ -24,7 +24,7 @@
                     all.add(bytes.substring(from, from + TopRecords.RECORD_BYTES));
                 }
             }
-            assertThat(records.toBytes()).isEqualTo(sorted(all, most));
+            assertThat(records.toBytes()).isEqualTo(sorted(all, maxRecords));
         }
     }
 
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void bytesAreComparedWithoutSigns() {
+    void bytesAreComparedUnsigned() {
         TopRecords records = new TopRecords(1);
         ByteString high = ByteString.copyFrom(new byte[] {-1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0});
         ByteString low = ByteString.copyFrom(new byte[] {127, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0});
@@ -55,10 +55,10 @@
         return ByteString.copyFrom(bytes);
     }
 
-    private static ByteString sorted(List<ByteString> records, int most) {
+    private static ByteString sorted(List<ByteString> records, int maxRecords) {
         return records.stream()
                 .sorted(ByteString.unsignedLexicographicalComparator().reversed())
-                .limit(most)
+                .limit(maxRecords)
                 .reduce(ByteString.EMPTY, ByteString::concat);
     }
 }
