--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
@@ -4,36 +4,35 @@
 import org.bramblerack.process.leaf.LeafOutcome;
 
 /**
- * One sending of a request to a leaf. Guarded by the request that it belongs to; compared by identity.
+ * One attempt to run a request at a leaf. Guarded by the request that it belongs to; compared by identity.
  *
- * <p>The sender hands it back with what came of it.
+ * <p>The sender passes it back to the request with its outcome.
  */
 public final class Attempt {
-    /** Why the attempt is made. */
     public enum Purpose {
-        /** The first to its shard. */
+        /** The first attempt of its shard. */
         FIRST,
-        /** Because another is late. */
+        /** A hedge of a late attempt. */
         HEDGE,
-        /** Because another failed. */
+        /** A retry of a failed attempt. */
         RETRY
     }
 
-    /** How the attempt stands. */
+    /** The state of an attempt. The names appear in log lines. */
     enum State {
-        /** Nothing came of it yet. */
+        /** In flight. */
         UNDER_WAY,
-        /** It brought the answer, or one that came too late. */
+        /** It returned an answer, possibly too late to be used. */
         ANSWERED,
-        /** Nothing was sent to the leaf. */
+        /** It was not sent. */
         NOT_SENT,
-        /** Nothing was sent, since requests like it end leafs. */
+        /** It was not sent because the request is quarantined. */
         BARRED,
-        /** The leaf certainly did not run it. */
+        /** The leaf has certainly not run it. */
         REFUSED,
         /** It failed and may have run. */
         FAILED,
-        /** This host stopped waiting for it. */
+        /** This host abandoned it. */
         GIVEN_UP
     }
 
@@ -45,9 +44,9 @@
     private State state = State.UNDER_WAY;
 
     /**
-     * Creates an attempt that is being made.
+     * Creates an attempt in flight.
      *
-     * @param overdueNanos when it has taken so long that its leaf probably pauses
+     * @param overdueNanos the time after which the leaf is probably paused
      */
     Attempt(ShardRequest shard, Leaf leaf, Purpose purpose, long sentNanos, long overdueNanos) {
         this.shard = shard;
@@ -57,17 +56,15 @@
         this.overdueNanos = overdueNanos;
     }
 
-    /** Returns the leaf that is asked. */
     public Leaf leaf() {
         return leaf;
     }
 
-    /** Returns why the attempt is made. */
     public Purpose purpose() {
         return purpose;
     }
 
-    /** Returns when it was decided. */
+    /** Returns when the attempt was decided, which may be some time before it was sent. */
     public long sentNanos() {
         return sentNanos;
     }
@@ -80,7 +77,7 @@
         return shard;
     }
 
-    /** Notes that this attempt, which was given up, had not been sent. */
+    /** Records that this attempt, which was abandoned, had not been sent. */
     public void markNeverSent() {
         if (state == State.GIVEN_UP) {
             state = State.NOT_SENT;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/AttemptCounter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/AttemptCounter.java
@@ -1,43 +1,45 @@
 package org.bramblerack.request.routed;
 
-/** The reasons for extra attempts, and for not making them. */
+/** Counters of attempts, and of the reasons for not making extra ones. */
 public enum AttemptCounter {
-    /** A first attempt was made. */
     FIRST,
-    /** A late attempt was hedged. */
+    /** A late attempt was hedged at another leaf. */
     HEDGE,
-    /** A failed attempt was repeated. */
+    /** A failed attempt was retried. */
     RETRY,
-    /** No other leaf was free for a hedge. */
+    /** No other leaf was available for a hedge. */
     HEDGE_DENIED_NO_LEAF,
-    /** Another leaf was not expected to answer sooner than the one that is overdue. */
+    /** No other leaf was expected to answer sooner than the overdue one. */
     HEDGE_DENIED_NO_GAIN,
-    /** So many shards are late that a hedge would only add to the load. */
+    /** So many shards were late that hedges would only add to the load. */
     HEDGE_DENIED_SLOW_SERVICE,
-    /** This host was behind with what had arrived, so that the answer may have been here already. */
+    /** This host lagged in reading, so that the answer may have arrived already. */
     HEDGE_DENIED_HOST_LAG,
-    /** The budget did not allow a hedge. */
+    /** The budget of extra attempts did not permit a hedge. */
     HEDGE_DENIED_BUDGET,
-    /** No leaf was left for a retry. */
+    /** No leaf was available for an attempt or retry. */
     RETRY_DENIED_NO_LEAF,
-    /** The budget did not allow a retry. */
+    /** The budget of extra attempts did not permit a retry. */
     RETRY_DENIED_BUDGET,
-    /** The route allows no further attempt, or the request must not run again. */
+    /** The route permits no further attempt, or the request must not run again. */
     RETRY_DENIED_ATTEMPTS,
-    /** Calls of the query broke on other shards too and no leaf has answered it, so that one shard asks again first. */
+    /**
+     * Calls of the query were disconnected before any leaf answered, so that the shard waits for the retry of another
+     * one.
+     */
     RETRY_HELD_BREAKS,
-    /** The second call of the query broke as well and no leaf has answered it. */
+    /** The retry of the query was disconnected too before any leaf answered. */
     RETRY_DENIED_BREAKS,
-    /** A call of the query broke and no leaf has answered it. */
+    /** A call of the query was disconnected before any leaf answered. */
     HEDGE_DENIED_BREAKS,
-    /** Requests like it ended the leafs that ran them. */
+    /** The request is quarantined because similar requests crashed the leaves that ran them. */
     DENIED_HARMFUL,
-    /** Another host was asked to ask some shards. */
+    /** Shards were delegated to another host. */
     STAGE,
-    /** A host that was to ask some shards was silent for too long. */
+    /** A host that shards were delegated to was silent for too long. */
     STAGE_SILENT,
-    /** A host that was to ask some shards failed. */
+    /** A host that shards were delegated to failed. */
     STAGE_LOST,
-    /** An answer came after the request was over. */
+    /** An answer arrived after the request had finished. */
     LATE_ANSWER
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
@@ -8,43 +8,40 @@
 import org.bramblerack.version.routing.Teams;
 
 /**
- * Decides in whose name a request is made, by the key that its caller shows.
+ * Identifies the team of a caller by the key that the caller presents.
  *
- * <p>That a key is of no team is true only by the newest version of the configuration, since that may have added it; so
- * it is for whoever asks to make sure of the version before the caller is told. Stateless and safe for use by many
- * threads.
+ * <p>A key that is unknown here may have been added in a newer configuration version. Before rejecting the caller,
+ * users of this class must verify that the version is the newest. Stateless and safe for use by many threads.
  */
 public final class CallerCheck {
-    /** The kind of credentials that hold a key; it stands before the key, in any case. */
+    /** The authentication scheme that precedes a key; its case is ignored. */
     public static final String SCHEME = "Token";
 
     private CallerCheck() {}
 
-    /** What is decided about a caller. */
+    /** The result of a check. */
     public sealed interface Result {
-        /** The request is made in this name. */
+        /** The request is permitted with this identity. */
         record Known(CallerIdentity caller) implements Result {}
 
-        /** The caller needs a key and showed none that is known. */
+        /** The caller needs a key and presented no known one. */
         record Unknown(PresentedCredentials presented) implements Result {}
     }
 
-    /** What a caller shows. */
+    /** The kind of credentials that a caller presents. */
     public enum PresentedCredentials {
-        /** Nothing. */
         NOTHING,
-        /** Credentials of another kind. */
+        /** Credentials of another scheme. */
         NO_KEY,
-        /** Credentials more than once, which leaves open in whose name it asks. */
+        /** More than one credential, so that the identity is ambiguous. */
         SEVERAL,
-        /** A key. */
         A_KEY
     }
 
     /**
-     * Decides about a caller.
+     * Checks the credentials of a caller.
      *
-     * @param credentials every value that the caller shows as its credentials
+     * @param credentials all values that the caller presented as credentials
      */
     public static Result check(Teams teams, Route route, List<String> credentials) {
         if (teams.isEmpty()) {
@@ -59,7 +56,7 @@
                 : new Result.Unknown(presented);
     }
 
-    /** Returns true if credentials may hold the key of a team, whether it is known or not. */
+    /** Returns true if credentials have the form of a key, whether or not it is known. */
     public static boolean mayContainKey(String credentials) {
         return parseKey(credentials).isPresent();
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerElapsedTime.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerElapsedTime.java
@@ -5,28 +5,28 @@
 import java.util.Map;
 
 /**
- * Tells how much of their time the callers of a route have used before a try of theirs arrived.
+ * Estimates how long the callers of a route had been waiting when an attempt of theirs arrived.
  *
- * <p>A try says only for how long its caller goes on waiting. The longest wait that was seen of late is taken for that
- * of a first try; where none was seen, the time-out of the route is. Callers of one route whose waits differ by nature
- * are told apart wrongly, so what follows from it may change the order of requests only. Not safe for use by several
+ * <p>A request carries only the time that its caller continues to wait. The longest recent wait on the route is assumed
+ * to be that of a first attempt; without enough samples, the route's timeout is. The estimate is wrong for callers
+ * whose waits differ by configuration, so it may affect only the order of requests. Not safe for use by several
  * threads.
  */
 public final class CallerElapsedTime {
     private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
     /**
-     * So many tries tell more than the time-out, which may be far longer than anyone waits: even after an outage, one
-     * in some of them is a first one.
+     * Number of samples after which the longest wait replaces the timeout. Even after an outage, some of them are first
+     * attempts.
      */
     private static final int MIN_SAMPLES = 16;
 
     private final Map<String, WindowedMaximum> maximumByRoute = new HashMap<>();
 
     /**
-     * Notes a try and returns how long its caller has waited already, in nanoseconds.
+     * Records an attempt of a caller and returns how long the caller has been waiting, in nanoseconds.
      *
-     * @param waitNanos how long the caller goes on waiting
-     * @param timeoutNanos the time-out of the route
+     * @param waitNanos how long the caller continues to wait
+     * @param timeoutNanos the timeout of the route
      */
     public long elapsedNanos(String route, long waitNanos, long timeoutNanos, long nowNanos) {
         WindowedMaximum maximum = maximumByRoute.computeIfAbsent(route, unused -> new WindowedMaximum());
@@ -34,7 +34,7 @@
         return Math.max(0, maximum.maxNanos(timeoutNanos) - waitNanos);
     }
 
-    /** The longest wait of the present window and of the one before. */
+    /** The longest wait of the current window and of the previous one. */
     private static final class WindowedMaximum {
         private boolean started;
         private int samples;
@@ -55,7 +55,7 @@
             currentMaxNanos = Math.max(currentMaxNanos, waitNanos);
         }
 
-        /** The first few tries may all be those of callers who have waited. */
+        /** The first few samples may all be of callers that have retried. */
         long maxNanos(long timeoutNanos) {
             return samples >= MIN_SAMPLES ? Math.max(currentMaxNanos, previousMaxNanos) : timeoutNanos;
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
@@ -6,17 +6,17 @@
 import org.bramblerack.version.routing.Team;
 
 /**
- * In whose name a request is made, decided once where its caller came in.
+ * The identity of a request's caller, determined once when the request arrives.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param team the team whose key the caller showed; empty if the request needs none
+ * @param team the team whose key the caller presented; empty for an anonymous caller
  */
 public record CallerIdentity(Optional<Team> team) {
-    /** A caller that needs no key. */
+    /** A caller without a key of a team. */
     public static final CallerIdentity ANONYMOUS = new CallerIdentity(Optional.empty());
 
-    /** Returns the rank of a request on a route; 0 is the highest. */
+    /** Returns the priority of a request on a route; 0 is the highest. */
     public int priority(Route route) {
         return team.isPresent() ? team.get().priority().orElse(route.priority()) : route.priority();
     }
@@ -27,7 +27,7 @@
                 .orElse(route.homeRegions());
     }
 
-    /** Returns the name of the team, empty if there is none. */
+    /** Returns the name of the team, or the empty string if there is none. */
     public String teamName() {
         return team.map(Team::name).orElse("");
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/DeferredStarts.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/DeferredStarts.java
@@ -6,13 +6,13 @@
 import java.util.PriorityQueue;
 
 /**
- * Holds back requests whose answers will be late in any case, so that those that can still be in time go first.
+ * Defers requests that will be answered late in any case, so that requests that can still meet their goal start first.
  *
- * <p>After a spell in which nobody was served, callers come back all at once, most of them with a try whose goal has
- * passed. Such a request starts when the leafs have room for it, the one with the nearest limit first, and at its limit
- * whether they have or not. Not safe for use by several threads.
+ * <p>After an outage callers retry all at once, and most of these retries have already passed their goal. A deferred
+ * request starts when the leaves have capacity, in the order of the start limits, and at its limit even without
+ * capacity. Not safe for use by several threads.
  *
- * @param <T> what stands for a request
+ * @param <T> the type that identifies a request
  */
 public final class DeferredStarts<T> {
     private final PriorityQueue<Deferred<T>> queue = new PriorityQueue<>(
@@ -22,22 +22,22 @@
     private record Deferred<T>(T request, long startByNanos, long sequence) {}
 
     /**
-     * Holds a request back.
+     * Defers a request.
      *
-     * @param startByNanos when it starts at the latest
+     * @param startByNanos the latest time at which the request starts
      */
     public void defer(T request, long startByNanos) {
         queue.add(new Deferred<>(request, startByNanos, ++lastSequence));
     }
 
-    /** Forgets a request whose caller went away. */
+    /** Removes a request whose caller disconnected. */
     public void remove(T request) {
         queue.removeIf(each -> each.request().equals(request));
     }
 
     /**
-     * Returns the requests that start now, which are not held any more: those whose limit has come, and one more if the
-     * leafs have room.
+     * Removes and returns the requests that start now: those whose limit has been reached, and one more if the leaves
+     * have capacity.
      */
     public ImmutableList<T> pollDue(boolean hasCapacity, long nowNanos) {
         ImmutableList.Builder<T> due = ImmutableList.builder();
@@ -49,17 +49,15 @@
         return due.build();
     }
 
-    /** Returns the request that starts next, if one is held. */
+    /** Returns the request that starts next, if any is deferred. */
     public Optional<T> peek() {
         return Optional.ofNullable(queue.peek()).map(Deferred::request);
     }
 
-    /** Returns true if no request is held. */
     public boolean isEmpty() {
         return queue.isEmpty();
     }
 
-    /** Returns how many requests are held. */
     public int size() {
         return queue.size();
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/DisconnectProbe.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/DisconnectProbe.java
@@ -6,15 +6,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps one query from ending a second leaf of each of its shards.
+ * Prevents a query that crashes leaves from crashing a second leaf of each of its shards.
  *
- * <p>The load: calls on many shards break at one moment, before any leaf has answered. Either connections were lost,
- * and a second call will be answered; or the query ends the leafs that run it, and a second call ends the next leaf. So
- * the first shard whose call broke asks again at once and the others wait for what comes of it, or for the first answer
- * of any shard: a leaf that has answered has survived the query. If the second call breaks as well, the others wait for
- * an answer only, and give up once none can come.
+ * <p>If calls of a query to many shards are disconnected before any leaf has answered, either connections were lost and
+ * a retry succeeds, or the query crashes the leaves that run it. Therefore only the first disconnected shard retries,
+ * as a probe. The other shards wait until any leaf answers, which proves that the query does not crash every leaf. If
+ * the retry is disconnected too, the waiting shards fail as soon as no answer is outstanding.
  *
- * <p>Invariant: until a leaf has answered, at most one shard asks again after a break. Not safe for use by several
+ * <p>Invariant: until a leaf has answered, at most one shard retries after a disconnect. Not safe for use by several
  * threads.
  */
 final class DisconnectProbe {
@@ -23,7 +22,10 @@
     private boolean leafSurvived;
     private boolean disconnectedTwice;
 
-    /** Returns true if a shard may ask again now after its call broke; otherwise it is to wait, or to give up. */
+    /**
+     * Returns true if a shard may retry now after a disconnect; otherwise the shard is queued until the probe is
+     * decided.
+     */
     boolean mayRetry(ShardRequest shard) {
         if (leafSurvived) {
             return true;
@@ -37,20 +39,20 @@
         return false;
     }
 
-    /** Returns true while a call has broken and no leaf has answered. */
+    /** Returns true if a call was disconnected and no leaf has answered. */
     boolean isHarmPossible() {
         return probe != null && !leafSurvived;
     }
 
-    /** Notes that a leaf has answered the query. */
+    /** Records that a leaf survived the query. */
     void leafSurvived() {
         leafSurvived = true;
     }
 
     /**
-     * Lets shards ask again, or give up, as far as that is decided.
+     * Resumes or fails the waiting shards as far as the probe is decided.
      *
-     * @param unfinishedCount how many shards of the query may still bring an answer, those that wait here included
+     * @param unfinishedCount the number of shards of the query that are not finished, including the waiting ones
      */
     void resumeDecided(int unfinishedCount, long nowNanos, List<RoutedAction> actions) {
         waiting.removeIf(ShardRequest::isFinished);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/FinalizeLead.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/FinalizeLead.java
@@ -3,42 +3,38 @@
 import java.time.Duration;
 
 /**
- * How long before a goal an answer is sealed, so that it is with the caller in time.
+ * Computes how long before its goal an answer is finalized, so that it reaches the caller in time.
  *
- * <p>The load: a host that is behind, on a part of a core, runs its timers late and writes slowly; for a spell, for
- * good, or once. An answer is worth the square of the share of its shards before the goal and almost nothing after it.
- * So a lead has two costs: shards that come in the time given away, and answers that are late all the same. The lead is
- * the one with the least sum, by the overruns that were seen of late: rare long ones are borne, since covering them
- * would cost every answer some shards, and frequent ones are covered.
+ * <p>A lagging host runs its timers late and writes slowly. The value of an answer is the square of its shards' share
+ * before the goal, and almost nothing after it. A long lead loses the shards that would have answered in the remaining
+ * time; a short lead makes more answers late. The lead minimizes the expected loss over the recently observed overruns:
+ * frequent overruns are covered, rare long ones are not.
  *
- * <p>Overruns weigh by the time that they stand for and lose half of their weight every {@link #HALF_LIFE}: a host that
- * falls behind is noticed within a few tenths of a second, and one that has caught up is trusted again after some
- * seconds. State is constant. Not safe for use by several threads.
+ * <p>Overruns are weighted by the time that they represent, with a half-life of {@link #HALF_LIFE}: the lead follows a
+ * host that starts to lag within tenths of a second, and one that has caught up within seconds. Memory is constant. Not
+ * safe for use by several threads.
  */
 public final class FinalizeLead {
-    /** The way to the caller: one to three milliseconds at the users' sites, and as much again for a slow link. */
+    /** Network time to the caller, with an allowance for slow links. */
     private static final long PATH_TO_CALLER_NANOS = Duration.ofMillis(7).toNanos();
-    /** A few times as long as the spells in which a host is behind while others of its zone start or queries burst. */
+    /** Longer than the lag that starting hosts or bursts of queries usually cause. */
     private static final Duration HALF_LIFE = Duration.ofSeconds(2);
-    /** A process that has just started is slow; it is taken to be until it has shown otherwise. */
+    /** A new process is assumed to be slow until there are observations. */
     private static final int INITIAL_OVERRUN_MILLIS = 8;
 
     private static final double INITIAL_WEIGHT_SECONDS = 1;
-    /** An answer shows the overrun itself, also what merging and writing took: it counts like this much of lateness. */
+    /** An answer counts as this much observed time, since it includes the delays of merging and writing. */
     private static final double ANSWER_WEIGHT_SECONDS = 0.2;
     /** Longer overruns cannot be covered within the goals of interactive queries. */
     private static final int MAX_OVERRUN_MILLIS = 64;
-    /** At least this part of the goal is left to the shards. */
+    /** The overrun that is covered is at most the goal divided by this. */
     private static final int GOAL_DIVISOR = 3;
-    /**
-     * What an answer would lose if the whole goal were given away at the rate at which shards come in near the goal: by
-     * then all but a tail of paused and queued calls is in.
-     */
+    /** The loss of value if the whole goal were given up at the rate at which the last shards answer. */
     private static final double TAIL_VALUE_LOSS = 0.4;
-    /** What an answer is worth after the goal: the most that the users' sheets give. */
+    /** The value of an answer after its goal, relative to that of a complete one in time. */
     private static final double LATE_ANSWER_VALUE = 0.1;
 
-    /** The weight of overruns by their length, rounded up to milliseconds; the last holds all longer ones. */
+    /** The weights of overruns by their length, rounded up to milliseconds; the last entry has all longer ones. */
     private final double[] weights = new double[MAX_OVERRUN_MILLIS + 2];
 
     private long decayedAtNanos;
@@ -49,12 +45,12 @@
         weights[INITIAL_OVERRUN_MILLIS] = INITIAL_WEIGHT_SECONDS;
     }
 
-    /** Returns the lead for an answer that has its whole goal ahead of it. */
+    /** Returns the lead for an answer that has its whole goal ahead, including the network time to the caller. */
     public long nanos(Duration goal) {
         return PATH_TO_CALLER_NANOS + overrunNanos(goal);
     }
 
-    /** Returns the part of the lead that is for what this host takes, without the way to the caller. */
+    /** Returns the lead without the network time to the caller: the delays of this host. */
     public long overrunNanos(Duration goal) {
         double goalMillis = goal.toNanos() / (double) Duration.ofMillis(1).toNanos();
         double totalWeight = 0;
@@ -78,9 +74,9 @@
     }
 
     /**
-     * Notes how late a regular task of this host ran.
+     * Records the delay of a periodic task of this host.
      *
-     * @param periodNanos how often it is meant to run
+     * @param periodNanos the period of the task
      */
     public void recordTaskDelay(long delayNanos, long periodNanos, long nowNanos) {
         Duration represented = Duration.ofNanos(periodNanos + delayNanos);
@@ -90,7 +86,9 @@
                 nowNanos);
     }
 
-    /** Notes when an answer was written that was to be sealed at a given time and was not waiting for more shards. */
+    /**
+     * Records when an answer was written that was to be finalized at the given time and did not wait for more shards.
+     */
     public void recordFinalized(long plannedNanos, long writtenNanos) {
         record(writtenNanos - plannedNanos, ANSWER_WEIGHT_SECONDS, writtenNanos);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
@@ -8,12 +8,13 @@
 import org.bramblerack.process.leaf.PermittedLeaves;
 
 /**
- * The decisions of one request to one leaf of a service: whom to ask, when to ask another, and what to tell the caller.
+ * The decisions of one request to one leaf of a service: which leaf to call, when to call another, and what to answer
+ * the caller.
  *
- * <p>Invariants: a request that must not run twice is sent to a second leaf only after the first is known not to have
- * run it, and is never hedged. Exactly one {@link RoutedAction.DeliverAnswer} or {@link RoutedAction.Refuse} is
- * returned, unless the caller goes away first; a refusal says that the request has not run only if that is certain. A
- * leaf's own failure is passed on if no other leaf may be asked. Not safe for use by several threads.
+ * <p>Invariants: a request that must not run twice is sent to a second leaf only if the first has certainly not run it,
+ * and is never hedged. Exactly one {@link RoutedAction.DeliverAnswer} or {@link RoutedAction.Refuse} is returned,
+ * unless the caller disconnects first; a refusal states that the request has not run only if that is certain. A leaf's
+ * own failure is delivered to the caller if no other leaf may be called. Not safe for use by several threads.
  */
 public final class ForwardedRequest {
     private final ShardRequest request;
@@ -25,16 +26,16 @@
     private boolean wakeScheduled;
 
     /**
-     * Creates a request; nothing is asked before {@link #start}.
+     * Creates a request; no leaf is called before {@link #start}.
      *
-     * @param repeatable true if it may run more than once
+     * @param repeatable true if the request may run more than once
      */
     public ForwardedRequest(PermittedLeaves pool, boolean repeatable, RequestBounds bounds, RandomGenerator random) {
         this.request = new ShardRequest(pool, bounds, repeatable, repeatable, random, () -> {});
         this.bounds = bounds;
     }
 
-    /** Begins with the first attempt. */
+    /** Makes the first attempt. */
     public List<RoutedAction> start(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         request.start(nowNanos, actions);
@@ -42,7 +43,7 @@
         return actions;
     }
 
-    /** Takes a whole answer of a leaf that counts as success. */
+    /** Handles a complete, successful answer of a leaf. */
     public List<RoutedAction> onAnswer(Attempt attempt) {
         List<RoutedAction> actions = new ArrayList<>(1);
         if (over) {
@@ -57,9 +58,9 @@
     }
 
     /**
-     * Takes the failure of an attempt.
+     * Handles the failure of an attempt.
      *
-     * @param hasAnswer true if the leaf answered with a failure of its own that may be passed on to the caller
+     * @param hasAnswer true if the leaf answered with a failure of its own that may be delivered to the caller
      */
     public List<RoutedAction> onFailure(Attempt attempt, LeafOutcome outcome, boolean hasAnswer, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
@@ -74,7 +75,7 @@
         return actions;
     }
 
-    /** Looks at the time: hedges or retries what is due, and refuses when the deadline has come. */
+    /** Makes the hedge or retry that is due, and refuses the request once the deadline has passed. */
     public List<RoutedAction> wake(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>();
         if (over) {
@@ -86,26 +87,28 @@
         return actions;
     }
 
-    /** Ends the request because its caller went away. */
+    /** Ends the request after its caller disconnected. */
     public void callerGone() {
         over = true;
         request.abandon();
     }
 
-    /** Returns true once the request has been answered or has lost its caller. */
+    /** Returns true once the request has been answered or refused, or its caller has disconnected. */
     public boolean isOver() {
         return over;
     }
 
     /**
-     * Returns why the request is refused, by what came of the attempts that were given up with it: if none of them had
-     * been sent, it has not run.
+     * Returns the refusal reason after the remaining attempts were abandoned: if none of the attempts was sent, the
+     * request has not run.
+     *
+     * @param provisional the reason that was determined before the attempts were abandoned
      */
     public RefusalReason finalRefusalReason(RefusalReason provisional) {
         return request.isNotRun() ? request.notRunReason() : provisional;
     }
 
-    /** Returns in words what was tried, for a log line. */
+    /** Describes the attempts for a log line. */
     public String describe(long nowNanos) {
         return request.describe(nowNanos);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/GatheredParts.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/GatheredParts.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * The parts of one query that are in: which shards, their signatures, and the greatest of their records.
+ * Collects the parts of one query: the shards that have answered, their signatures, and the greatest records.
  *
- * <p>Invariants: each signature is in once. What {@link #drainNew} has returned is not returned again. Not safe for use
- * by several threads.
+ * <p>Invariants: each signature is added at most once. Parts that {@link #drainNew} has returned are not returned
+ * again. Not safe for use by several threads.
  */
 final class GatheredParts {
     private final int topRecords;
@@ -28,22 +28,22 @@
         this.newRecords = new TopRecords(topRecords);
     }
 
-    /** Returns how many shards are in. */
+    /** Returns the number of shards that have answered. */
     int count() {
         return shards.size();
     }
 
-    /** Returns the numbers of the shards that are in. */
+    /** Returns the numbers of the shards that have answered. */
     ImmutableSet<Integer> shards() {
         return ImmutableSet.copyOf(shards);
     }
 
-    /** Returns true if parts are in that were not taken yet. */
+    /** Returns true if parts were added since the last call of {@link #drainNew}. */
     boolean hasNew() {
         return newCount > 0;
     }
 
-    /** Adds the part of one shard; returns false if its signature is in already. */
+    /** Adds the part of one shard; returns false if its signature was added before. */
     boolean add(int shard, PartReply part) {
         if (!signatures.add(part.signature())) {
             return false;
@@ -53,13 +53,13 @@
         return true;
     }
 
-    /** Returns true if none of the signatures is in, and none appears twice. */
+    /** Returns true if no signature was added before or appears twice. */
     boolean areUnknown(List<String> candidates) {
         return new HashSet<>(candidates).size() == candidates.size()
                 && candidates.stream().noneMatch(signatures::contains);
     }
 
-    /** Adds the merged parts of several shards, whose signatures are new. */
+    /** Adds the merged parts of several shards; their signatures must be unknown. */
     void addAll(StageReply reply) {
         for (int position = 0; position < reply.shards().size(); position++) {
             signatures.add(reply.signatures().get(position));
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Returns the parts that came since the last call, merged.
+     * Returns the merged parts that were added since the last call.
      *
-     * @param notSent the numbers of the shards that no leaf was sent the query for
+     * @param notSent the numbers of the shards for which no leaf was sent the query
      */
     MergedAnswer drainNew(ImmutableList<Integer> notSent) {
         MergedAnswer answer = new MergedAnswer(
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeSchedule.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeSchedule.java
@@ -1,14 +1,14 @@
 package org.bramblerack.request.routed;
 
 /**
- * When the hedge of one request is due, and how often it is considered again after it was not made.
+ * Schedules the hedge of one request, and further checks after a hedge was denied.
  *
- * <p>An attempt that is overdue at its own leaf is hedged before it is late among all calls of its route. If that is
- * not worth it, the hedge is considered once more when the attempt is late, and then a few times a little later each,
- * since leafs and the budget may look better. Not safe for use by several threads.
+ * <p>An attempt that is overdue at its leaf is hedged before it is late among all calls of its route. If that hedge is
+ * denied, it is checked again when the attempt is late, and then a few times at short intervals, since leaves and
+ * budget may have become available. Not safe for use by several threads.
  */
 final class HedgeSchedule {
-    /** How often a hedge of a late attempt is considered, each time a part of the first delay later. */
+    /** How many times the hedge of a late attempt may be denied before it is not checked any more. */
     private static final int MAX_DENIALS = 4;
 
     private static final int RECHECK_DELAY_DIVISOR = 4;
@@ -27,22 +27,22 @@
         this.lateAfterNanos = lateAfterNanos;
     }
 
-    /** Returns true unless the hedge was refused too often. */
+    /** Returns true unless the hedge was denied too often. */
     boolean isOpen() {
         return denials < MAX_DENIALS;
     }
 
-    /** Returns when an attempt is to be hedged. */
+    /** Returns when an attempt is due to be hedged. */
     long dueNanos(Attempt first) {
         return denials > 0 || deniedEarly ? notBeforeNanos : Math.min(first.overdueNanos(), lateAtNanos(first));
     }
 
-    /** Returns true if an attempt is not late among all calls of its route yet. */
+    /** Returns true if an attempt is not yet late among all calls of its route. */
     boolean isEarly(Attempt first, long nowNanos) {
         return nowNanos - lateAtNanos(first) < 0;
     }
 
-    /** Notes that the hedge of an attempt was not made. */
+    /** Records that the hedge of an attempt was denied, and schedules the next check. */
     void recordDenial(Attempt first, long nowNanos) {
         if (isEarly(first, nowNanos)) {
             deniedEarly = true;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
@@ -5,32 +5,28 @@
 import org.bramblerack.process.leaf.Leaf;
 
 /**
- * Decides after how long an attempt is hedged, and from which evidence.
+ * Computes the delay after which an attempt is hedged.
  *
  * <p>Stateless and safe for use by many threads.
  */
 public final class HedgeTiming {
     /**
-     * A hedge is not sent before this part of the goal has passed, to spare leafs and bytes between regions; and not
-     * after {@link #MAX_DELAY_GOAL_FRACTION}, so that the second answer still comes in time.
+     * Limits of the hedge delay as fractions of the goal: earlier hedges would waste leaf capacity and bandwidth
+     * between regions, and later ones could not answer in time.
      */
     private static final double MIN_DELAY_GOAL_FRACTION = 0.33;
 
     private static final double MAX_DELAY_GOAL_FRACTION = 0.5;
-    /** The share of the goal that a call is taken to need before any was seen. */
+    /** A call is assumed to need the goal divided by this before any call was observed. */
     private static final int INITIAL_ESTIMATE_GOAL_DIVISOR = 4;
-    /** The quantile of a route's calls after which one is late. */
+    /** Calls of a route that take longer than this quantile are late. */
     private static final double LATE_QUANTILE_PERCENT = 93;
 
     /**
-     * A call that takes this many times as long as its leaf needs is one in a thousand among those that are just long,
-     * so that its leaf probably pauses.
+     * A call that takes this many times its leaf's usual time is rarely just long, so that the leaf is probably paused.
      */
     private static final double OVERDUE_FACTOR = 3;
-    /**
-     * The same where the rest of a pause would come after the goal. One in forty of the calls that are just long is
-     * hedged as well then: the goal is worth more than the call.
-     */
+    /** The factor if a paused leaf would answer only after the goal. More calls that are just long are then hedged. */
     private static final double OVERDUE_FACTOR_NEAR_GOAL = 2;
 
     private static final Duration GOAL_FOR_ESTIMATE_WITHOUT_GOAL = Duration.ofMillis(100);
@@ -38,7 +34,7 @@
     private HedgeTiming() {}
 
     /**
-     * Creates the evidence of how long the calls of a route take.
+     * Creates a tracker of the durations of a route's calls.
      *
      * @param goal the goal of the route, or zero if it has none
      */
@@ -48,13 +44,13 @@
     }
 
     /**
-     * Returns after how long an attempt is overdue at its leaf, so that the leaf probably pauses.
+     * Returns after how long an attempt is overdue, so that its leaf is probably paused.
      *
-     * <p>The load that it answers: queries that ask a hundred leafs, some of which pause at any moment. Among all calls
-     * of a route a call is late only after a multiple of this, and the query with it.
+     * <p>This detects the few paused leaves of a query to many shards sooner than a quantile over all calls of the
+     * route.
      *
-     * @param callNanos how long a call is expected to take there
-     * @param remainingNanos the time that is left until the goal
+     * @param callNanos the expected duration of a call to the leaf
+     * @param remainingNanos the time until the goal
      */
     static long overdueAfterNanos(long callNanos, long remainingNanos) {
         double overdueNanos = OVERDUE_FACTOR * callNanos;
@@ -63,7 +59,7 @@
     }
 
     /**
-     * Returns after how long an attempt is hedged, wherever it was sent.
+     * Returns after how long an attempt is hedged, regardless of its leaf.
      *
      * @param goal the goal of the route, or zero if it has none
      */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
@@ -5,39 +5,38 @@
 import java.util.Optional;
 
 /**
- * Decides which of the hosts named for a shard is asked for it: its holder or one that stands in.
+ * Chooses which of a shard's candidate hosts is called: its holder or a backup.
  *
- * <p>The load that it answers: a holder that is dead, frozen or far behind for seconds. The host that learns of it
- * first passes it over, and says so to the one that stands in: otherwise that one, which knows nothing yet, would leave
- * the shards to the same holder again. Nobody asks the shards of more than two hosts, since a call is passed on once.
+ * <p>Guards against a holder that is down, frozen or lagging for seconds. A host that detects this skips the holder and
+ * reports the skipped hosts to the backup, which would otherwise call the same holder again. A call is forwarded only
+ * once, so that at most two hosts handle a shard.
  *
  * <p>Stateless and safe for use by many threads.
  */
 public final class HolderChoice {
     private HolderChoice() {}
 
-    /** What this host knows of the hosts that are named for a shard. */
+    /** The state of the candidate hosts as this host knows it. */
     public interface HostView {
-        /** Returns true for this host. */
         boolean isSelf(String host);
 
-        /** Returns true if a host can be asked, as far as this one knows. */
+        /** Returns true if a host is available, as far as this host knows. */
         boolean isUsable(String host);
 
-        /** Returns true if a host said of late that it is behind with its work. */
+        /** Returns true if a host recently reported that it is lagging. */
         boolean isLagging(String host);
     }
 
     /**
-     * Returns the first named host that can be asked and is not behind; if all of those are behind, the first that can
-     * be asked. Empty if this host is to ask the leaf itself: it is the one that is chosen, or there is none.
+     * Returns the first candidate that is available and not lagging, or the first available one if all of those lag.
+     * Empty if this host is to call the leaf itself, because it is chosen itself or no candidate is available.
      *
-     * @param candidates the hosts that are named for the shard, the preferred first
-     * @param skipped those that whoever asks this host passed over, which counts only if this host is named as well:
-     *     another has no way of its own to the leaf
+     * @param candidates the candidate hosts of the shard in order of preference
+     * @param skipped the candidates that the calling host skipped; ignored if this host is no candidate, since it then
+     *     has no connection to the leaf
      */
     public static Optional<String> choose(List<String> candidates, Collection<String> skipped, HostView view) {
-        // Plain loops: this is decided for each shard of a query.
+        // Avoids streams: this runs for each shard of a query.
         boolean selfNamed = isSelfAmong(candidates, view);
         Optional<String> lagging = Optional.empty();
         for (String host : candidates) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/MergedAnswer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/MergedAnswer.java
@@ -8,11 +8,11 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param shards the numbers of the shards that are in
+ * @param shards the numbers of the shards that have answered
  * @param signatures the signatures of their parts, in the same order
- * @param missing how many shards are not in
- * @param notSent the numbers of the shards that no leaf was sent the query for
- * @param records the greatest records of these parts, the greatest first
+ * @param missing the number of shards that have not answered
+ * @param notSent the numbers of the shards for which no leaf was sent the query
+ * @param records the greatest records of these parts, in descending order
  */
 public record MergedAnswer(
         ImmutableList<Integer> shards,
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
@@ -12,20 +12,20 @@
 import org.bramblerack.process.leaf.PermittedLeaves;
 
 /**
- * The shards of one query and how each of them stands, by number.
+ * The shards of one query and their state, by number.
  *
- * <p>Invariant: the shards stay the same as long as the query lives. Not safe for use by several threads.
+ * <p>Invariant: the set of shards never changes. Not safe for use by several threads.
  */
 final class QueryShards implements Iterable<ShardRequest> {
     private final ShardRequest[] shards;
     private final Map<ShardRequest, Integer> numbers = new HashMap<>();
-    /** Kept rather than counted: it is asked for with every answer, of which there are as many as shards. */
+    /** Maintained incrementally, since it is read on every answer. */
     private int unfinished;
 
     /**
-     * Creates shards of which none was asked.
+     * Creates shards without attempts.
      *
-     * @param pools the leafs of each shard, in the order of the shards
+     * @param pools the leaves of each shard, in the order of the shards
      */
     QueryShards(ImmutableList<PermittedLeaves> pools, RequestBounds bounds, boolean hedged, RandomGenerator random) {
         shards = new ShardRequest[pools.size()];
@@ -58,35 +58,35 @@
         return number;
     }
 
-    /** Returns how many may still bring an answer. */
+    /** Returns the number of shards that may still answer. */
     int unfinishedCount() {
         return unfinished;
     }
 
-    /** Returns at how many a second leaf would be asked now if nothing spoke against it. */
+    /** Returns the number of shards with a late attempt that may be hedged. */
     int hedgeDueCount(long nowNanos) {
         return count(shard -> shard.isHedgeDue(nowNanos));
     }
 
-    /** Returns the numbers of the shards at which more than one leaf was asked. */
+    /** Returns the numbers of the shards for which more than one leaf was called. */
     ImmutableList<Integer> hedgedShards() {
         return numbers(ShardRequest::wasHedged);
     }
 
-    /** Returns the numbers of the shards that no leaf can have seen the query of. */
+    /** Returns the numbers of the shards for which the query cannot have reached a leaf. */
     ImmutableList<Integer> notSent() {
         return numbers(shard -> !shard.wasSent());
     }
 
-    /** Returns true if no leaf has run the query, or will. */
+    /** Returns true if no leaf has run the query or will run it. */
     boolean isNotRun() {
         return count(ShardRequest::isNotRun) == shards.length;
     }
 
     /**
-     * Returns why a query that brought too little is refused.
+     * Returns the reason for refusing a query with too few shards.
      *
-     * @param deadlineReached true if its time is up
+     * @param deadlineReached true if the deadline has passed
      */
     RefusalReason refusalReason(boolean deadlineReached) {
         if (isNotRun()) {
@@ -99,7 +99,7 @@
         return deadlineReached ? RefusalReason.TIME_UP : RefusalReason.TOO_FEW_SHARDS;
     }
 
-    /** Returns the earlier of a moment and the first at which a shard wants to be woken. */
+    /** Returns the earliest time at which a shard needs to be woken, but at most the given time. */
     long earliestWakeNanos(long latestNanos) {
         long next = latestNanos;
         for (ShardRequest shard : shards) {
@@ -111,14 +111,14 @@
         return next;
     }
 
-    /** Ends all of them and gives up the attempts under way. */
+    /** Ends all shards and abandons the attempts in flight. */
     void finish(List<RoutedAction> actions) {
         for (ShardRequest shard : shards) {
             shard.finish(actions);
         }
     }
 
-    /** Returns in words how the shards stand that are not present, for a log line. */
+    /** Describes the shards that have not answered for a log line. */
     String describeWithout(ImmutableSet<Integer> present, long nowNanos) {
         StringBuilder text = new StringBuilder();
         for (int shard = 0; shard < shards.length; shard++) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The shards of one query that are left to other hosts. Guarded by the query; not safe for use by several threads. */
+/**
+ * The stages of one query: groups of shards that are delegated to other hosts. Guarded by the query; not safe for use
+ * by several threads.
+ */
 final class QueryStages {
-    /** How soon a query whose host was behind looks again whether another host is silent. */
+    /** Minimum delay before the next check for silent hosts, for a query whose own host lagged. */
     private static final long MIN_RECHECK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final ImmutableList<StageAttempt> stages;
@@ -20,12 +23,11 @@
         return stages;
     }
 
-    /** Returns true if the query waits for a host that it has not given up. */
+    /** Returns true if any stage is neither finished nor abandoned. */
     boolean isAnyAwaited() {
         return stages.stream().anyMatch(stage -> !stage.isOver() && !stage.isAbandoned());
     }
 
-    /** Has every host asked. */
     void callAll(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             actions.add(new RoutedAction.Count(AttemptCounter.STAGE));
@@ -34,9 +36,9 @@
     }
 
     /**
-     * Stops counting on the hosts that have been silent for too long, and returns their stages.
+     * Abandons and returns the stages whose hosts have been silent for too long.
      *
-     * @param waitedNanos how long ago they were asked, without the time for which this host was behind
+     * @param waitedNanos the time since the stages were started, without the lag of this host
      */
     ImmutableList<StageAttempt> abandonSilent(long waitedNanos, List<RoutedAction> actions) {
         ImmutableList.Builder<StageAttempt> silent = ImmutableList.builder();
@@ -51,7 +53,7 @@
         return silent.build();
     }
 
-    /** Tells the hosts that are still at work that nobody waits for them any more. */
+    /** Notifies the hosts that are still working that their replies are no longer needed. */
     void abandonRemaining(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             if (!stage.isOver()) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /** Returns when the next host that is awaited has been silent for too long, if one is awaited. */
+    /** Returns when the next stage reaches its silence timeout, if the query waits for any. */
     Optional<Long> nextSilenceTimeoutNanos(long startedNanos, long nowNanos) {
         return stages.stream()
                 .filter(StageAttempt::isSilent)
@@ -68,7 +70,7 @@
                 .min((one, other) -> Long.compare(one - nowNanos, other - nowNanos));
     }
 
-    /** Returns in words how they stand, for a log line. */
+    /** Describes the state of the stages for a log line. */
     String describe() {
         StringBuilder text = new StringBuilder();
         stages.forEach(stage -> text.append("; ").append(stage.describe()));
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/RefusalReason.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/RefusalReason.java
@@ -1,32 +1,35 @@
 package org.bramblerack.request.routed;
 
-/** Why a routed request ends without an answer of a leaf. */
+/** The reason why a routed request ends without an answer of a leaf. */
 public enum RefusalReason {
-    /** No leaf that could run it takes work; it has not run. */
+    /** No suitable leaf accepts work; the request has not run. */
     NO_LEAF(true),
-    /** Leafs take work, but none of them is in a region that may serve the request. */
+    /** Leaves accept work, but none of them is in a region that may serve the request. */
     NO_LEAF_AT_HOME(true),
-    /** Every leaf that was asked said that it did not run it. */
+    /** Every leaf that was called refused the request without running it. */
     ALL_BUSY(true),
-    /** Requests like it ended the leafs that ran them, so that it was sent to none. */
+    /** Similar requests crashed the leaves that ran them; it was not sent. */
     HARMFUL(true),
-    /** Requests like it may have ended leafs, and another of them is being tried; it was sent to none. */
+    /** Similar requests may have crashed leaves and another one is on trial; it was not sent. */
     ON_TRIAL(true),
-    /** Its caller showed no key of a team; it was sent to none. */
+    /** The caller presented no key of a team; it was not sent. */
     UNKNOWN_KEY(true),
-    /** Its caller showed no key of a team that this host knows, which may not know the newest; it was sent to none. */
+    /**
+     * The caller presented no key that this host knows, but the host may lack the newest configuration; it was not
+     * sent.
+     */
     KEY_UNDECIDED(true),
-    /** Its team has made as many requests as it may; it was sent to none. */
+    /** The team has exceeded its rate limit; it was not sent. */
     OVER_LIMIT(true),
-    /** It could not be answered in time by what this host and the leafs have to do; it was sent to none. */
+    /** The load of this host and the leaves leaves no time to answer it; it was not sent. */
     NO_ROOM(true),
-    /** Its time was up before any leaf was asked. */
+    /** The deadline passed before any leaf was called. */
     EXPIRED(true),
     /** Too few shards answered. */
     TOO_FEW_SHARDS(false),
-    /** The time was up while a leaf may have been at work on it. */
+    /** The deadline passed while a leaf may have been running it. */
     TIME_UP(false),
-    /** The connection to the leaf was lost; it may have run. */
+    /** The connection to the leaf was lost; the request may have run. */
     OUTCOME_UNKNOWN(false);
 
     private final boolean notRun;
@@ -35,7 +38,7 @@
         this.notRun = notRun;
     }
 
-    /** Returns true if the request has certainly not run, and will not. */
+    /** Returns true if the request has certainly not run and will not run. */
     public boolean isNotRun() {
         return notRun;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/RequestBounds.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/RequestBounds.java
@@ -3,19 +3,19 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * The times and counts that bound one request.
+ * The time limits and the number of attempts of one request.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param goalNanos when an answer should be on its way to be worth most
- * @param deadlineNanos when the final answer is given at the latest
- * @param hedgeDelayNanos how long an attempt may take before another leaf is asked as well
- * @param expectedNanos how long a call usually takes
- * @param maxAttempts how many leafs a shard may be sent to
+ * @param goalNanos the time by which an answer should be sent to have its full value
+ * @param deadlineNanos the latest time of the final answer
+ * @param hedgeDelayNanos how long an attempt may take before it is hedged at another leaf
+ * @param expectedNanos the expected duration of a call
+ * @param maxAttempts the number of leaves of a shard that may run the request
  */
 public record RequestBounds(
         long goalNanos, long deadlineNanos, long hedgeDelayNanos, long expectedNanos, int maxAttempts) {
-    /** Refuses a request that could not be sent at all. */
+    /** Rejects bounds that permit no attempt, and negative hedge delays. */
     public RequestBounds {
         checkArgument(maxAttempts >= 1, "%s attempts", maxAttempts);
         checkArgument(hedgeDelayNanos >= 0, "a hedge delay of %s", hedgeDelayNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/RoutedAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/RoutedAction.java
@@ -1,37 +1,37 @@
 package org.bramblerack.request.routed;
 
-/** What a routed request wants done. The actions of one call are carried out in order. */
+/** An action that a routed request returns to its caller. The actions of one call are carried out in order. */
 public sealed interface RoutedAction {
-    /** Send the request to the attempt's leaf. */
+    /** Sends the request to the attempt's leaf. */
     record CallLeaf(Attempt attempt) implements RoutedAction {}
 
-    /** Stop an attempt of which nothing is expected any more, so that its leaf can drop it. */
+    /** Abandons an attempt that is no longer needed, so that its leaf can drop the request. */
     record AbandonAttempt(Attempt attempt) implements RoutedAction {}
 
-    /** Have another host ask some shards. */
+    /** Delegates the shards of a stage to its host. */
     record CallStage(StageAttempt stage) implements RoutedAction {}
 
-    /** Leave the host of a stage alone for a while: it is silent for too long. */
+    /** Avoids the host of a stage for some time, since it was silent for too long. */
     record SuspectStage(StageAttempt stage) implements RoutedAction {}
 
-    /** Tell the host of a stage that nobody waits for its reply any more. */
+    /** Notifies the host of a stage that its reply is no longer needed. */
     record AbandonStage(StageAttempt stage) implements RoutedAction {}
 
-    /** Call {@code wake} at the given time, unless the request is over by then. */
+    /** Calls {@code wake} at the given time, unless the request has ended by then. */
     record Wake(long atNanos) implements RoutedAction {}
 
-    /** Answer the caller from these parts; some shards may be missing. */
+    /** Answers the caller from these parts; shards may be missing. */
     record DeliverMerged(MergedAnswer answer) implements RoutedAction {}
 
-    /** Send on the parts that came since the last piece; more may follow. */
+    /** Sends the parts that arrived since the last partial result; more may follow. */
     record DeliverPartial(MergedAnswer partial) implements RoutedAction {}
 
-    /** Answer the caller with what the attempt's leaf answered. */
+    /** Answers the caller with the answer of the attempt's leaf. */
     record DeliverAnswer(Attempt attempt) implements RoutedAction {}
 
-    /** Tell the caller that there is no answer. */
+    /** Refuses the request. */
     record Refuse(RefusalReason reason) implements RoutedAction {}
 
-    /** Count an extra attempt, or one that was not made. */
+    /** Increments a counter. */
     record Count(AttemptCounter counter) implements RoutedAction {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -15,33 +15,36 @@
 import org.bramblerack.version.routing.RouteTarget;
 
 /**
- * The decisions of one query over the shards of one configuration version: whom to ask, when to ask again, and when to
- * seal the answer.
+ * The decisions of one query over the shards of one configuration version: which leaves to call, when to hedge and
+ * retry, and when to finalize the answer.
  *
- * <p>An answer is worth the square of the share of its shards, and almost nothing after its goal. So the query waits
- * for every shard until the goal; at the goal it delivers what is in if that is enough, and after it as soon as it is.
- * It is over early when every shard has answered or has no hope left, or when too many have none.
+ * <p>The value of an answer is the square of the share of its shards, and almost nothing after its goal. The query
+ * therefore waits for every shard until the goal. At the goal it delivers the parts that it has, if they are enough;
+ * afterwards it delivers as soon as they are enough. It ends early when every shard has answered or failed, or when too
+ * many have failed.
  *
- * <p>Shards whose leafs are far may be left to another host near them, which asks them, hedges, and sends the merged
- * rest back. If it is silent for longer than its work takes, the query asks those shards itself, with the attempts that
- * are left; whichever comes first counts.
+ * <p>Shards with distant leaves may be delegated to a host near them, which calls and hedges and returns the merged
+ * parts. If that host is silent for too long, the query calls these shards itself with the remaining attempts, and the
+ * first answer counts.
  *
- * <p>Invariants: every part comes from the shards that the query was created with, at most one of each, and no
- * signature appears twice. Exactly one {@link RoutedAction.DeliverMerged} or {@link RoutedAction.Refuse} is returned,
- * unless the caller goes away first. Not safe for use by several threads.
+ * <p>Invariants: every part belongs to a shard of the query, at most one to each, and signatures are unique. Exactly
+ * one {@link RoutedAction.DeliverMerged} or {@link RoutedAction.Refuse} is returned, unless the caller disconnects
+ * first. Not safe for use by several threads.
  */
 public final class ScatterQuery {
-    /** If more shards than this, and than a part of all, are late at once, the service as a whole is slow. */
+    /**
+     * The service as a whole is considered slow if more shards than this, and more than a fraction of all, are late at
+     * once.
+     */
     private static final int MIN_LATE_SHARDS_FOR_SLOW_SERVICE = 4;
 
     private static final int SLOW_SERVICE_SHARD_DIVISOR = 3;
 
-    /** A host that is behind by more than this part of the hedge delay cannot tell a late answer from an unread one. */
-    private static final int HEDGE_DELAY_LAG_DIVISOR = 2;
     /**
-     * The least time between two looks at all shards for what is overdue: each leaf has a moment of its own, and what a
-     * hedge waits until the next look is little beside what it saves.
+     * If the lag of this host exceeds the hedge delay divided by this, an answer that seems late may just be unread.
      */
+    private static final int HEDGE_DELAY_LAG_DIVISOR = 2;
+    /** Minimum interval between scans of all shards for overdue attempts; each leaf has its own threshold. */
     private static final long MIN_SCAN_INTERVAL_NANOS = Duration.ofMillis(3).toNanos();
 
     private final RouteTarget.Scatter target;
@@ -60,23 +63,23 @@
     private long scheduledWakeNanos;
     private boolean wakeScheduled;
 
-    /** What becomes of the parts that are in at the goal. */
+    /** How the collected parts are delivered at the goal. */
     public enum Delivery {
-        /** They are the answer, if they are enough; one answer is given. */
+        /** In one answer, if there are enough of them. */
         SINGLE,
         /**
-         * They are sent on, however few, and later ones follow as they come, since only the host that asked for them
-         * knows whether they are enough.
+         * At once, however few, and later parts as they arrive: only the host that delegated the query can decide
+         * whether they are enough.
          */
         INCREMENTAL
     }
 
     /**
-     * Creates a query; nothing is asked before {@link #start}.
+     * Creates a query; no leaf is called before {@link #start}.
      *
-     * @param pools the leafs of each shard, in the order of the shards
-     * @param stages the shards that are left to other hosts, each to one at most
-     * @param context what the routing decisions of this host share
+     * @param pools the leaves of each shard, in the order of the shards
+     * @param stages the shards that are delegated to other hosts, each to one at most
+     * @param context the routing state that all requests of this host share
      */
     public ScatterQuery(
             RouteTarget.Scatter target,
@@ -95,7 +98,7 @@
         this.shards = new QueryShards(pools, bounds, context.uses(RoutingFeature.HEDGES), random);
     }
 
-    /** Begins: one attempt on every shard, here or by another host. */
+    /** Starts one attempt on every shard, from here or through another host. */
     public List<RoutedAction> start(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2 * shards.count() + 1);
         startedNanos = nowNanos;
@@ -113,7 +116,7 @@
         return actions;
     }
 
-    /** Takes a whole, signed answer of a leaf. */
+    /** Handles a complete, signed answer of a leaf. */
     public List<RoutedAction> onAnswer(Attempt attempt, PartReply reply, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         ShardRequest shard = attempt.shard();
@@ -136,7 +139,7 @@
         return actions;
     }
 
-    /** Takes the failure of an attempt. */
+    /** Handles the failure of an attempt. */
     public List<RoutedAction> onFailure(Attempt attempt, LeafOutcome outcome, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         closeShardsAtGoal(nowNanos, actions);
@@ -150,7 +153,7 @@
         return actions;
     }
 
-    /** Takes what another host gathered so far; more may follow. */
+    /** Handles a partial result of another host; more may follow. */
     public List<RoutedAction> onStagePartial(StageAttempt stage, StageReply partial, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (over || stage.isOver()) {
@@ -163,7 +166,7 @@
         return actions;
     }
 
-    /** Takes the last of what another host gathered; shards that it lacks are asked here if attempts are left. */
+    /** Handles the last reply of another host. Shards that it lacks are called from here if attempts remain. */
     public List<RoutedAction> onStageReply(StageAttempt stage, StageReply reply, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (over || stage.isOver()) {
@@ -185,7 +188,7 @@
         return actions;
     }
 
-    /** Notes that another host is at work and has asked second leafs of some shards. */
+    /** Records that another host reported progress, and which shards it has hedged. */
     public void onStageProgress(StageAttempt stage, List<Integer> hedgedShards) {
         stage.recordResponse();
         for (int shard : hedgedShards) {
@@ -196,9 +199,9 @@
     }
 
     /**
-     * Takes the failure of another host.
+     * Handles the failure of another host.
      *
-     * @param notRun true if it has certainly not sent the request to any leaf
+     * @param notRun true if the host has certainly not sent the request to any leaf
      */
     public List<RoutedAction> onStageFailure(StageAttempt stage, boolean notRun, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>();
@@ -212,7 +215,7 @@
         return actions;
     }
 
-    /** Looks at the time: hedges what is late, and seals when the goal or the deadline has come. */
+    /** Hedges late attempts, and finalizes the answer once the goal or the deadline has passed. */
     public List<RoutedAction> wake(long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>();
         if (over) {
@@ -225,7 +228,7 @@
         for (StageAttempt stage : stages.abandonSilent(nowNanos - lagNanos - startedNanos, actions)) {
             stage.shards().forEach(shard -> shards.get(shard).startBackupAttempt(nowNanos, actions));
             if (stage.shards().stream().noneMatch(shard -> shards.get(shard).isAwaitedElsewhere())) {
-                // A host that begins late would ask second and third leafs of shards that are asked here by now.
+                // A host that starts late would call leaves of shards that are called from here by now.
                 stage.finish();
                 actions.add(new RoutedAction.AbandonStage(stage));
             }
@@ -238,7 +241,7 @@
         return actions;
     }
 
-    /** Ends the query because its caller went away. */
+    /** Ends the query after its caller disconnected. */
     public List<RoutedAction> callerGone() {
         List<RoutedAction> actions = new ArrayList<>();
         over = true;
@@ -254,50 +257,51 @@
         return over;
     }
 
-    /** Returns true if its answer lacks shards because its goal had come, and was enough by then. */
+    /** Returns true if the answer was finalized at the goal with enough shards but not all. */
     public boolean wasFinalizedAtGoal() {
         return finalizedAtGoal;
     }
 
-    /** Returns true while shards of it are left to other hosts. */
+    /** Returns true while the query waits for other hosts. */
     public boolean isAwaitingStages() {
         return !over && stages.isAnyAwaited();
     }
 
-    /** Returns the numbers of the shards at which more than one leaf was asked. */
+    /** Returns the numbers of the shards for which more than one leaf was called. */
     public ImmutableList<Integer> hedgedShards() {
         return shards.hedgedShards();
     }
 
     /**
-     * Returns why the query is refused, by what came of the attempts that were given up with it: if none of them had
-     * been sent, it has not run.
+     * Returns the refusal reason after the remaining attempts were abandoned: if none of the query's attempts was sent,
+     * it has not run.
+     *
+     * @param provisional the reason that was determined before the attempts were abandoned
      */
     public RefusalReason finalRefusalReason(RefusalReason provisional) {
         return shards.isNotRun() ? shards.refusalReason(false) : provisional;
     }
 
-    /** Notes that a call to another host, which was given up, had not been sent. */
+    /** Records that an abandoned call to another host had not been sent. */
     public void onStageNeverSent(StageAttempt stage) {
         stage.shards().forEach(shard -> shards.get(shard).recordNeverSentElsewhere());
     }
 
-    /** Returns how many shards are not in. */
+    /** Returns the number of shards that have not answered. */
     public int missingShardCount() {
         return shards.count() - parts.count();
     }
 
-    /** Returns true while no shard is in. */
     public boolean noShardAnswered() {
         return parts.count() == 0;
     }
 
-    /** Returns in words which shards are not in and why, for a log line. */
+    /** Describes the shards that have not answered, and the stages, for a log line. */
     public String describeMissing(long nowNanos) {
         return shards.describeWithout(parts.shards(), nowNanos) + stages.describe();
     }
 
-    /** Returns why no late shard should be hedged now, if there is a reason that holds for all of them. */
+    /** Returns the reason, if any, for which no shard of the query may be hedged now. */
     private Optional<AttemptCounter> hedgeDenial(long lagNanos, long nowNanos) {
         if (lagNanos > bounds.hedgeDelayNanos() / HEDGE_DELAY_LAG_DIVISOR) {
             return Optional.of(AttemptCounter.HEDGE_DENIED_HOST_LAG);
@@ -311,8 +315,8 @@
     }
 
     /**
-     * Decides after one more shard is in. That makes nothing due earlier, so a wake that is set still serves: looking
-     * at every shard for the next one, with every answer, took a seventh of the work that 225 shards cost.
+     * Finalizes the query if it is complete. An answer makes nothing due earlier, so that a scheduled wake-up remains
+     * valid and the scan of all shards for the next one is skipped.
      */
     private void finalizeAfterAnswer(long nowNanos, List<RoutedAction> actions) {
         if (!finalizeIfDue(nowNanos, actions) && !wakeScheduled) {
@@ -327,7 +331,9 @@
         }
     }
 
-    /** Ends the query if its time has come, or sends on what is in; returns true if it is over. */
+    /**
+     * Finalizes the query if it is complete or its time is up, or delivers a partial result; returns true if it ended.
+     */
     private boolean finalizeIfDue(long nowNanos, List<RoutedAction> actions) {
         boolean nothingToWaitFor = shards.unfinishedCount() == 0 || !canReachEnoughShards();
         boolean deadlineReached = nowNanos - bounds.deadlineNanos() >= 0;
@@ -353,7 +359,9 @@
         return false;
     }
 
-    /** After its goal a query for another host makes no attempts: that host may make them itself, and counts them. */
+    /**
+     * Stops new attempts after the goal of a delegated query, since the delegating host may then make attempts itself.
+     */
     private void closeShardsAtGoal(long nowNanos, List<RoutedAction> actions) {
         if (delivery == Delivery.INCREMENTAL && nowNanos - bounds.goalNanos() >= 0) {
             for (ShardRequest shard : shards) {
@@ -362,7 +370,7 @@
         }
     }
 
-    /** Adds what another host gathered, if it fits; otherwise its shards stay as they are. */
+    /** Merges the reply of another host if it is valid; otherwise ignores it. */
     private void mergeStageReply(StageAttempt stage, StageReply reply) {
         if (canMerge(stage, reply)) {
             if (!reply.shards().isEmpty()) {
@@ -373,7 +381,7 @@
         }
     }
 
-    /** Returns true if the merged reply can be added: its records cannot be taken apart again. */
+    /** Returns true if a reply can be merged as a whole; its records cannot be separated by shard. */
     private boolean canMerge(StageAttempt stage, StageReply reply) {
         Set<Integer> seen = new HashSet<>();
         for (int position = 0; position < reply.shards().size(); position++) {
@@ -398,7 +406,7 @@
         return parts.count() > 0 && parts.count() >= target.minCoverage() * shards.count();
     }
 
-    /** Returns false once so many shards are lost that there will be no answer, whatever the others bring. */
+    /** Returns false if too many shards have failed for an answer. */
     private boolean canReachEnoughShards() {
         return !context.uses(RoutingFeature.EARLY_END)
                 || parts.count() + shards.unfinishedCount() >= target.minCoverage() * shards.count();
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
@@ -13,21 +13,20 @@
 import org.bramblerack.process.leaf.RoutingFeature;
 
 /**
- * The attempts of one request at one service: which leaf is asked, when another is, and when there is no hope left.
+ * The attempts of one request at one service: which leaf is called, when it is hedged or retried, and when it fails.
  *
- * <p>Invariants: at most {@code maxAttempts} leafs may have the request at work; attempts that certainly did not run do
- * not count toward that, but every one after the first that a leaf can have seen is paid for from the pool's budget. A
- * request that must not run twice is sent again only if no earlier attempt can have run. Not safe for use by several
- * threads.
+ * <p>Invariants: at most {@code maxAttempts} attempts may have run the request; attempts that certainly did not run are
+ * not counted, but every attempt after the first that was sent to a leaf is charged to the pool's budget. A request
+ * that must not run twice is retried only if no earlier attempt can have run. Not safe for use by several threads.
  */
 final class ShardRequest {
-    /** Attempts that leafs refused without running them, beyond those that the route allows. */
+    /** Attempts that may be refused without running, in addition to those that the route permits. */
     private static final int MAX_REFUSED_ATTEMPTS = 3;
-    /** Hedges leave this part of the budget to retries, which are certain to be needed. */
+    /** Percentage of the budget that hedges leave for retries. */
     private static final int RESERVED_FOR_RETRIES_PERCENT = 35;
-    /** A hedge at a leaf that refuses more of its calls than this would mostly cost the budget and bring nothing. */
+    /** A leaf that refuses more of its calls than this is not used for hedges, which it would probably refuse. */
     private static final double MAX_REFUSAL_RATE_FOR_HEDGE = 0.3;
-    /** How long to leave a service alone all of whose leafs said that they are full. */
+    /** Delay before a retry after all leaves of a service refused as busy. */
     private static final long RETRY_BACKOFF_NANOS = Duration.ofMillis(20).toNanos();
 
     private final PermittedLeaves pool;
@@ -49,9 +48,9 @@
     /**
      * Creates a request that is not yet sent.
      *
-     * @param repeatable whether it may run more than once
-     * @param hedged whether a second leaf is asked if the first is late; only if it is repeatable
-     * @param onFinished is run once, when there is nothing to wait for any more
+     * @param repeatable whether the request may run more than once
+     * @param hedged whether late attempts are hedged; ignored if the request is not repeatable
+     * @param onFinished called once, when the request has an answer or can no longer get one
      */
     ShardRequest(
             PermittedLeaves pool,
@@ -69,25 +68,25 @@
         this.hedgeSchedule = new HedgeSchedule(bounds.hedgeDelayNanos());
     }
 
-    /** Leaves the request to another host. */
+    /** Delegates the request to another host. */
     void delegate() {
         delegated = true;
         remoteAttempts = 1;
     }
 
-    /** Notes that the other host never got the request. */
+    /** Records that the call to the other host was never sent. */
     void recordNeverSentElsewhere() {
         remoteAttempts = 0;
     }
 
-    /** Notes that the other host asked a second leaf. */
+    /** Records that the other host has hedged the request. */
     void recordDelegateHedged() {
         remoteAttempts = 2;
     }
 
     /**
-     * Makes an attempt here because the other host is silent, if attempts and budget allow one; otherwise goes on
-     * waiting for the other host.
+     * Makes an attempt from here because the other host is silent, if attempts and budget remain; otherwise continues
+     * to wait for the other host.
      */
     void startBackupAttempt(long nowNanos, List<RoutedAction> actions) {
         boolean allowed = !closed && remoteAttempts < bounds.maxAttempts();
@@ -102,10 +101,11 @@
     }
 
     /**
-     * Takes the request back from the other host, which is done with it, and makes an attempt here.
+     * Ends the delegation to the other host, which has finished, and makes an attempt from here.
      *
-     * @param notRun true if the other host has certainly not sent it to any leaf
-     * @param mayRetry is asked before an attempt if the other host has sent it; if it says no, the request is held
+     * @param notRun true if the other host has certainly not sent the request to any leaf
+     * @param mayRetry evaluated before the attempt if the other host has sent the request; if false, the attempt is
+     *     deferred
      */
     void reclaim(boolean notRun, Predicate<ShardRequest> mayRetry, long nowNanos, List<RoutedAction> actions) {
         if (!delegated || finished) {
@@ -125,14 +125,14 @@
         }
     }
 
-    /** Makes no further attempt until it is resumed. */
+    /** Defers the next attempt until {@link #resume}. */
     void defer(AttemptCounter reason, List<RoutedAction> actions) {
         deferred = true;
         delegated = false;
         actions.add(new RoutedAction.Count(reason));
     }
 
-    /** Makes the attempt that was held back. */
+    /** Makes the deferred attempt. */
     void resume(long nowNanos, List<RoutedAction> actions) {
         deferred = false;
         if (finished) {
@@ -147,24 +147,23 @@
         }
     }
 
-    /** Gives up instead of making the attempt that was held back. */
+    /** Ends the request without making the deferred attempt. */
     void failDeferred(List<RoutedAction> actions) {
         if (!finished) {
             endWithoutAnswer(AttemptCounter.RETRY_DENIED_BREAKS, actions);
         }
     }
 
-    /** Returns true while another host has the request. */
     boolean isDelegated() {
         return delegated;
     }
 
-    /** Returns true while the answer is to come from another host. */
+    /** Returns true while the request waits for another host. */
     boolean isAwaitedElsewhere() {
         return delegated && !finished;
     }
 
-    /** Makes the first attempt; ends without hope if there is no leaf to make it at. */
+    /** Makes the first attempt, or ends the request if no leaf, attempt or budget is available. */
     void start(long nowNanos, List<RoutedAction> actions) {
         if (remoteAttempts >= bounds.maxAttempts()) {
             endWithoutAnswer(AttemptCounter.RETRY_DENIED_ATTEMPTS, actions);
@@ -184,18 +183,18 @@
         sendAttempt(leaf.get(), Attempt.Purpose.FIRST, nowNanos, actions);
     }
 
-    /** Notes that the other host brought the answer. */
+    /** Records that another host returned the answer. */
     void onAnswerElsewhere() {
         end();
     }
 
-    /** Notes that an attempt brought the answer; the others are of no use any more. */
+    /** Records the answer of an attempt and abandons the others. */
     void onAnswer(Attempt attempt, List<RoutedAction> actions) {
         attempt.finish(Attempt.State.ANSWERED);
         finish(actions);
     }
 
-    /** Ends the request and gives up the attempts under way. */
+    /** Ends the request and abandons the attempts in flight. */
     void finish(List<RoutedAction> actions) {
         end();
         for (Attempt attempt : attempts) {
@@ -206,12 +205,12 @@
         }
     }
 
-    /** Ends the request; attempts under way are left to the sender. */
+    /** Ends the request without abandoning the attempts in flight, which the sender does. */
     void abandon() {
         end();
     }
 
-    /** Makes no attempt from now on; those under way are waited for. */
+    /** Stops new attempts; those in flight may still answer. */
     void close(List<RoutedAction> actions) {
         closed = true;
         if (!finished && !delegated && !hasAttemptInFlight()) {
@@ -219,15 +218,15 @@
         }
     }
 
-    /** Notes that an attempt failed, and makes another if that is allowed. */
+    /** Records the failure of an attempt, and retries if that is permitted. */
     void onFailure(Attempt attempt, LeafOutcome outcome, long nowNanos, List<RoutedAction> actions) {
         onFailure(attempt, outcome, shard -> true, nowNanos, actions);
     }
 
     /**
-     * Notes that an attempt failed, and makes another if that is allowed.
+     * Records the failure of an attempt, and retries if that is permitted.
      *
-     * @param mayRetry is asked before the attempt that follows a break; if it says no, the request is held
+     * @param mayRetry evaluated before the retry that follows a disconnect; if false, the retry is deferred
      */
     void onFailure(
             Attempt attempt,
@@ -240,7 +239,7 @@
         }
         attempt.fail(outcome);
         if (!finished && outcome == LeafOutcome.BARRED) {
-            // No other leaf may have it either.
+            // A quarantined request must not be sent to any other leaf.
             endWithoutAnswer(AttemptCounter.DENIED_HARMFUL, actions);
             return;
         }
@@ -256,9 +255,9 @@
     }
 
     /**
-     * Makes a hedge or a retry that is due.
+     * Makes the hedge or retry that is due.
      *
-     * @param denial why no hedge should be made, if there is a reason that holds for the whole query
+     * @param denial the reason, if any, for which no shard of the query may be hedged
      */
     void wake(Optional<AttemptCounter> denial, long nowNanos, List<RoutedAction> actions) {
         if (finished || deferred) {
@@ -274,7 +273,7 @@
         }
     }
 
-    /** Returns when this shard wants to be woken next, or the given moment if it does not. */
+    /** Returns when the request needs to be woken next, or the given time if it does not. */
     long nextWakeNanos(long defaultNanos) {
         if (finished || delegated || closed || deferred) {
             return defaultNanos;
@@ -295,12 +294,12 @@
         return remoteAttempts == 0 && attempts.stream().allMatch(Attempt::isNotRun);
     }
 
-    /** Returns true if any attempt was made, here or elsewhere. */
+    /** Returns true if any attempt was made, here or by another host. */
     boolean wasAttempted() {
         return remoteAttempts > 0 || !attempts.isEmpty();
     }
 
-    /** Returns why a request that has not run could not be served. */
+    /** Returns the refusal reason of a request that has not run. */
     RefusalReason notRunReason() {
         if (isQuarantined()) {
             return RefusalReason.HARMFUL;
@@ -311,22 +310,22 @@
         return pool.areAllOutsideHomeRegions() ? RefusalReason.NO_LEAF_AT_HOME : RefusalReason.NO_LEAF;
     }
 
-    /** Returns true if an attempt was not made because requests like it end leafs. */
+    /** Returns true if an attempt was not sent because the request is quarantined. */
     boolean isQuarantined() {
         return attempts.stream().anyMatch(Attempt::isQuarantined);
     }
 
-    /** Returns true if a leaf may have seen the request. */
+    /** Returns true if the request may have reached a leaf. */
     boolean wasSent() {
         return remoteAttempts > 0 || !attempts.stream().allMatch(Attempt::isNotSent);
     }
 
-    /** Returns true if more than one leaf was asked. */
+    /** Returns true if more than one attempt was made, here or by another host. */
     boolean wasHedged() {
         return remoteAttempts + attempts.size() > 1;
     }
 
-    /** Returns in words what was tried and how it stands, for a log line. */
+    /** Describes the attempts and their state for a log line. */
     String describe(long nowNanos) {
         StringBuilder text = new StringBuilder(pool.service());
         if (remoteAttempts > 0) {
@@ -345,7 +344,7 @@
         return text.toString();
     }
 
-    /** Returns true if the first attempt is late and none was made since. */
+    /** Returns true if the first attempt is late and no other was made. */
     boolean isHedgeDue(long nowNanos) {
         return !finished
                 && !closed
@@ -356,7 +355,7 @@
                 && nowNanos - hedgeSchedule.dueNanos(attempts.get(0)) >= 0;
     }
 
-    /** Counts a hedge that is not made; a little later things may look better. */
+    /** Counts a hedge that is not made, and schedules the next check. */
     private void denyHedge(AttemptCounter reason, long nowNanos, List<RoutedAction> actions) {
         hedgeSchedule.recordDenial(attempts.get(0), nowNanos);
         actions.add(new RoutedAction.Count(reason));
@@ -378,12 +377,12 @@
         }
     }
 
-    /** Returns true if the whole of another attempt is expected to take less than the rest of the overdue one. */
+    /** Returns true if a hedge is expected to answer before the overdue attempt. */
     private boolean savesTime(Leaf candidate, long nowNanos) {
         return candidate.costNanos(bounds.expectedNanos(), nowNanos) < Leaf.STALL_HANDICAP_NANOS;
     }
 
-    /** A hedge at a leaf that is full, or late itself, makes both worse. */
+    /** Returns false for leaves that are full or stalled, where a hedge would only add load. */
     private boolean isHedgeCandidate(Leaf leaf, long nowNanos) {
         return !wasAttempted(leaf)
                 && !leaf.isEjected(nowNanos)
@@ -420,7 +419,7 @@
         }
     }
 
-    /** Makes another attempt; it is paid for unless no leaf has seen an earlier one, so that it is the first there. */
+    /** Makes a retry, charged to the budget unless no earlier attempt reached a leaf. */
     private void retryWithinBudget(Leaf leaf, long nowNanos, List<RoutedAction> actions) {
         if (wasSent() && !pool.budget().tryWithdraw(nowNanos)) {
             endWithoutAnswer(AttemptCounter.RETRY_DENIED_BUDGET, actions);
@@ -436,7 +435,7 @@
         actions.add(new RoutedAction.CallLeaf(attempt));
     }
 
-    /** Returns when an attempt that is made now will be overdue at its leaf. */
+    /** Returns when an attempt that is made now becomes overdue at its leaf. */
     private long overdueNanos(Leaf leaf, long nowNanos) {
         if (!pool.uses(RoutingFeature.LEAF_HEDGES)) {
             return Long.MAX_VALUE / 2;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
@@ -5,8 +5,8 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Some shards of a query that another host asks on behalf of this one, because it is near their leafs. Guarded by the
- * query that it belongs to; compared by identity.
+ * A group of shards of a query that is delegated to another host near their leaves. Guarded by the query that it
+ * belongs to; compared by identity.
  */
 public final class StageAttempt {
     private final String host;
@@ -19,9 +19,9 @@
     /**
      * Creates an attempt that is not yet made.
      *
-     * @param host the host that is to ask
+     * @param host the host that calls the leaves
      * @param shards the numbers of the shards, at least one
-     * @param silenceTimeoutNanos how long the host may be silent before it counts as lost
+     * @param silenceTimeoutNanos how long the host may be silent before it is treated as failed
      */
     public StageAttempt(String host, ImmutableList<Integer> shards, long silenceTimeoutNanos) {
         checkArgument(!shards.isEmpty(), "a stage of no shards at %s", host);
@@ -30,22 +30,20 @@
         this.silenceTimeoutNanos = silenceTimeoutNanos;
     }
 
-    /** Returns the host that asks. */
     public String host() {
         return host;
     }
 
-    /** Returns the numbers of the shards. */
     public ImmutableList<Integer> shards() {
         return shards;
     }
 
-    /** Returns true once the query no longer counts on the host, because it was silent for too long. */
+    /** Returns true once the query has abandoned the stage because its host was silent for too long. */
     public boolean isAbandoned() {
         return abandoned;
     }
 
-    /** Returns in words how it stands, for a log line. */
+    /** Describes the state of the stage for a log line. */
     String describe() {
         String state = over ? "over" : responded ? "at work" : "silent";
         return "stage " + host + " of " + shards.size() + " shards is " + state + (abandoned ? ", abandoned" : "");
@@ -55,7 +53,7 @@
         return silenceTimeoutNanos;
     }
 
-    /** Returns true while the query waits for the first word of the host. */
+    /** Returns true while the query waits for the first response of the host. */
     boolean isSilent() {
         return !over && !responded && !abandoned;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -14,70 +14,68 @@
 import org.bramblerack.version.routing.HomeRegions;
 
 /**
- * Decides which shards of a query other hosts ask on behalf of this one.
+ * Decides which shards of a query are delegated to other hosts, and to which.
  *
- * <p>Shards are left to the hosts that hold the connections to their best leafs or, in a fleet that is small enough for
- * every host to connect to every leaf, those whose best leafs are in another region to hosts there. Shards that are in
- * no stage are asked from here. Not safe for use by several threads.
+ * <p>Shards are delegated to the hosts that hold the connections to their best leaves. In a fleet that is small enough
+ * for every host to connect to every leaf, shards whose best leaves are in another region are delegated to hosts of
+ * that region. This host calls the leaves of all other shards itself. Not safe for use by several threads.
  */
 public final class StagePlanner {
-    /** Fewer shards than this are asked from here: one call costs no more than one message to another host. */
+    /** Smaller groups are called from here: one call to a leaf costs no more than one message to another host. */
     private static final int MIN_SHARDS_PER_STAGE = 2;
-    /** A region is as good as the best if it has this part of the best one's shards. */
+    /** A region is a candidate if it covers at least this fraction of the shards that the best region covers. */
     private static final double MIN_COVERAGE_OF_BEST = 0.8;
 
     private final Topology topology;
     private final RandomGenerator random;
 
-    /** Creates a planner. */
     public StagePlanner(Topology topology, RandomGenerator random) {
         this.topology = topology;
         this.random = random;
     }
 
-    /** Whether the holders of another region are asked through one of them. */
+    /** Whether the holders of another region are called through one of them. */
     public enum Relays {
-        /** One of them is asked for all; its merged reply crosses the border once. */
+        /** One holder is called for all; its merged reply crosses the region boundary once. */
         USED,
-        /** Each is asked by itself, as by a host that was asked itself. */
+        /** Each holder is called directly. */
         NOT_USED
     }
 
-    /** What is known of the ways to leafs and to other hosts. */
+    /** The known network locations of leaves and hosts, and the state of the hosts. */
     public interface Topology {
-        /** Returns the region of a host if it is another one than this host's. */
+        /** Returns the region of a host if it differs from the region of this host. */
         Optional<String> otherRegionOf(String host);
 
         /**
-         * Returns the host that holds the connections to a leaf, if that is another host, can be asked, and may see the
-         * body of a request with the given homes.
+         * Returns the host that holds the connections to a leaf, if that is another host, is available, and may receive
+         * the body of a request with the given home regions.
          */
         Optional<String> holderOf(Leaf leaf, HomeRegions homes);
 
-        /** Returns the region of a leaf. */
         String regionOf(Leaf leaf);
 
-        /** Returns true if a host said of late that it is behind with its work. */
+        /** Returns true if a host recently reported that it is lagging. */
         boolean isLagging(String host);
 
-        /** Returns the host of a region that can be asked and has the least under way for this one. */
+        /** Returns the available host of a region with the fewest calls in flight from this host. */
         Optional<String> leastBusyIn(String region);
 
         /**
-         * Returns how long a host may be silent before it counts as lost.
+         * Returns how long a host may be silent before it is treated as failed.
          *
-         * @param hedgeDelayNanos after which it asks second leafs, and says so
+         * @param hedgeDelayNanos the delay after which the host hedges calls and reports its progress
          */
         long silenceTimeoutNanos(String host, long hedgeDelayNanos);
     }
 
     /**
-     * Divides the shards of a query.
+     * Groups shards of a query into stages.
      *
-     * @param pools the leafs of each shard, in the order of the shards
-     * @param expectedNanos how long a call usually takes
-     * @param hedgeDelayNanos after which a host asks second leafs, and says so
-     * @param relays whether the holders of another region are asked through one of them
+     * @param pools the leaves of each shard, in the order of the shards
+     * @param expectedNanos the expected duration of a call
+     * @param hedgeDelayNanos the delay after which a host hedges calls and reports its progress
+     * @param relays whether the holders of another region are called through one of them
      */
     public ImmutableList<StageAttempt> plan(
             ImmutableList<PermittedLeaves> pools,
@@ -108,7 +106,7 @@
         return stages.build();
     }
 
-    /** Joins the shards of the holders of each other region under one of them, drawn to spread the load. */
+    /** Groups the shards of all holders of a region under one holder, chosen at random to spread the load. */
     private Map<String, List<Integer>> joinFarHolders(Map<String, List<Integer>> shardsByHolder, Relays relays) {
         if (relays == Relays.NOT_USED) {
             return shardsByHolder;
@@ -133,7 +131,7 @@
         return shardsByHost;
     }
 
-    /** Draws one of the holders of a region that are not behind, or of all if all are. */
+    /** Chooses at random among the holders that are not lagging, or among all if all are lagging. */
     private String chooseRelay(List<String> holders) {
         List<String> notLagging =
                 holders.stream().filter(holder -> !topology.isLagging(holder)).toList();
@@ -171,7 +169,7 @@
         return far;
     }
 
-    /** Notes the regions in which a shard has a leaf that can be asked. */
+    /** Records the other regions in which a shard has an available leaf. */
     private void recordRegions(
             PermittedLeaves pool, int shard, long nowNanos, Map<String, List<Integer>> shardsByRegion) {
         for (Leaf leaf : pool.all()) {
@@ -185,7 +183,7 @@
         }
     }
 
-    /** Returns a region with about as many of the shards as any; which one is drawn, to spread the load. */
+    /** Returns a region that covers nearly as many shards as the best one, chosen at random to spread the load. */
     private Optional<String> bestRegion(Map<String, List<Integer>> shardsByRegion) {
         int maxShards =
                 shardsByRegion.values().stream().mapToInt(List::size).max().orElse(0);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageReply.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageReply.java
@@ -6,21 +6,21 @@
 import com.google.protobuf.ByteString;
 
 /**
- * What another host gathered of the shards that were left to it.
+ * The merged parts that another host returned for the shards of a stage.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param shards the numbers of the shards that are in
+ * @param shards the numbers of the shards that have answered
  * @param signatures the signatures of their parts, in the same order
- * @param notSent the numbers of the shards that it sent the query to no leaf for, as it knows none
- * @param records the greatest records of these parts, the greatest first
+ * @param notSent the numbers of the shards for which the host sent the query to no leaf
+ * @param records the greatest records of these parts, in descending order
  */
 public record StageReply(
         ImmutableList<Integer> shards,
         ImmutableList<String> signatures,
         ImmutableList<Integer> notSent,
         ByteString records) {
-    /** Refuses a reply whose lists do not match. */
+    /** Rejects a reply with different numbers of shards and signatures. */
     public StageReply {
         checkArgument(
                 shards.size() == signatures.size(), "%s signatures for %s shards", signatures.size(), shards.size());
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/TopRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/TopRecords.java
@@ -5,12 +5,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * Keeps the greatest records of many parts, compared byte by byte; equal records all count.
+ * Keeps the greatest of the added records, compared as unsigned bytes; equal records are all kept.
  *
  * <p>A record that is not among the greatest costs one comparison. Not safe for use by several threads.
  */
 public final class TopRecords {
-    /** The length of a record. */
     public static final int RECORD_BYTES = 16;
 
     private final long[] high;
@@ -23,7 +22,7 @@
         this.low = new long[maxRecords];
     }
 
-    /** Adds every whole record of a part. */
+    /** Adds every complete record of a part; a shorter remainder is ignored. */
     public void addAll(ByteString records) {
         ByteBuffer buffer = records.asReadOnlyByteBuffer();
         while (buffer.remaining() >= RECORD_BYTES) {
@@ -31,7 +30,7 @@
         }
     }
 
-    /** Returns the records kept, the greatest first. */
+    /** Returns the kept records in descending order. */
     public ByteString toBytes() {
         ByteBuffer buffer = ByteBuffer.allocate(count * RECORD_BYTES);
         for (int position = 0; position < count; position++) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** In whose name requests are made, by what callers show. */
+/** Checks the identity of callers by the credentials that they present. */
 final class CallerCheckTest {
     private static final Team TEAM = team("a", "key-1", "key-2");
     private static final Teams TEAMS = Teams.of(List.of(TEAM, team("b", "key-3")));
@@ -74,7 +74,7 @@
                 .isEqualTo(new CallerCheck.Result.Known(new CallerIdentity(Optional.of(TEAM))));
     }
 
-    /** Whoever holds a key by either of two versions may be served while it moves; nobody else. */
+    /** Guards against resolving a key by another version than the one given. */
     @Test
     void aKeyThatMovesIdentifiesTheTeamOfTheVersionInForce() {
         Teams after = Teams.of(List.of(team("a", "key-1"), team("b", "key-2", "key-3")));
@@ -95,7 +95,7 @@
         assertThat(new CallerIdentity(Optional.of(TEAM)).priority(PRIVATE)).isEqualTo(7);
     }
 
-    /** Case of the scheme and white space around the key do not matter; everything in the key does. */
+    /** The case of the scheme and surrounding whitespace are ignored; the key itself is compared exactly. */
     @Property(tries = 500)
     void schemeCaseAndWhitespaceDoNotMatter(
             @ForAll @CharRange(from = '!', to = '~') @StringLength(min = 1, max = 40) String key,
@@ -116,7 +116,6 @@
         assertThat(teamNameFor(teams, credentials + other)).isEqualTo(other.equals(key) ? "a" : "");
     }
 
-    /** Whatever is shown, a caller is known by a key of the teams or not at all, and nothing fails. */
     @Property(tries = 500)
     void arbitraryCredentialsAreRejectedWithoutError(
             @ForAll List<@AlphaChars @CharRange(from = '\0', to = ' ') String> credentials) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/DisconnectProbeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/DisconnectProbeTest.java
@@ -9,7 +9,10 @@
 import org.bramblerack.process.leaf.RoutingContext;
 import org.junit.jupiter.api.Test;
 
-/** Calls of one query that break on many shards in one moment, by a request that ends leafs or by lost connections. */
+/**
+ * Calls of one query that are disconnected on many shards at once, by lost connections or by a request that crashes
+ * leaves.
+ */
 final class DisconnectProbeTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 20;
@@ -49,7 +52,7 @@
         assertThat(harness.attempts).hasSize(2 * SHARDS - 1);
     }
 
-    /** Half of the leafs end for a reason of their own while the others are still at work. */
+    /** Half of the leaves crash for other reasons while the others are still working. */
     @Test
     void afterASecondDisconnectShardsWaitForOutstandingAnswers() {
         ScatterQuery query = start();
@@ -60,7 +63,7 @@
         assertThat(harness.attempts).hasSize(SHARDS + 1);
         assertThat(harness.refused).isEmpty();
         harness.answer(query, harness.attempts.get(SHARDS - 1), "sig", 3 * MILLI);
-        // All but the one whose attempts are spent.
+        // All but the shard that has used its attempts.
         assertThat(harness.attempts).hasSize(SHARDS + 1 + SHARDS / 2 - 1);
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/FinalizeLeadTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/FinalizeLeadTest.java
@@ -7,12 +7,12 @@
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.Test;
 
-/** What callers get of the answers that a host seals at their goal, by how far behind the host is. */
+/** Compares the value of answers that a host finalizes at their goal with that of other policies, by the host's lag. */
 final class FinalizeLeadTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final Duration GOAL = Duration.ofMillis(89);
     private static final long PERIOD_NANOS = 20 * MILLI;
-    /** The way to the caller, which takes 3 ms where it is usual. */
+    /** Network time to the caller in this model. */
     private static final long PATH_NANOS = 3 * MILLI;
 
     private final SplittableRandom random = new SplittableRandom(1);
@@ -77,7 +77,7 @@
         assertThat(value).isAtLeast(0.99 * valueOfMaximumLead);
     }
 
-    /** One stall in twenty: covering it would cost every answer shards. */
+    /** One stall in twenty; covering it would cost every answer shards. */
     @Test
     void rareStallsAreNotCovered() {
         simulate(Duration.ofSeconds(60), () -> random.nextInt(40) == 0 ? 30 * MILLI : steady());
@@ -137,13 +137,15 @@
         return leadNanos >= PATH_NANOS + overrunNanos;
     }
 
-    /** The square of a share of shards of which the last tenth comes evenly over the goal's second half. */
+    /**
+     * The square of the answered share, where the last tenth of the shards answers evenly over the goal's second half.
+     */
     private static double valueOf(long leadNanos, long overrunNanos) {
         double share = 1 - 0.1 * Math.min(1, leadNanos / (GOAL.toNanos() / 2.0));
         return isOnTime(leadNanos, overrunNanos) ? share * share : 0.04;
     }
 
-    /** The law to compare with: twice the mean of the overruns up to 12 ms. */
+    /** A policy to compare with: twice the mean of the overruns up to 12 ms. */
     private static final class TwiceTheMean {
         private double overrunNanos = 4.0 * MILLI;
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedQueryTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A query on behalf of another host, one of whose shards is left to a third host, as a holder does whose own leaf is
- * dark or slow.
+ * A query on behalf of another host, with one shard delegated to a third host because the holder's own leaf is
+ * unreachable or slow.
  */
 final class ForwardedQueryTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
@@ -63,7 +63,7 @@
         assertThat(harness.attempts).hasSize(2);
     }
 
-    /** The host that asked must know: it would make a third attempt otherwise. */
+    /** Guards against a third attempt by the delegating host. */
     @Test
     void aShardThatTheThirdHostHedgedIsReportedAsHedged() {
         assertThat(query.hedgedShards()).isEmpty();
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafHedgeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafHedgeTest.java
@@ -11,7 +11,7 @@
 import org.bramblerack.process.leaf.RoutingContext;
 import org.junit.jupiter.api.Test;
 
-/** Hedges by leaf and moment: the load is queries to many shards, some of whose leafs pause, others just being slow. */
+/** Hedges by the usual time of each leaf, in queries with paused and with slow leaves. */
 final class LeafHedgeTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long FAR_GOAL = 272 * MILLI;
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -20,9 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded schedules of failures, late leafs, hosts that pass shards back, and zones that are drained and taken back
- * while queries and single requests are under way: no attempt leaves the homes of its request or goes to a drained
- * zone.
+ * Seeded schedules of failures, late leaves, failed stages, and zones that are drained and restored while queries and
+ * single requests are running: no attempt leaves the home regions of its request or goes to a drained zone.
  */
 final class LeafLocationScheduleTest {
     private static final int SCHEDULES = 10_000;
@@ -41,7 +40,7 @@
         assertThat(asked).isGreaterThan(SCHEDULES);
     }
 
-    /** The check sees a decision that forgets the homes. */
+    /** Guards against a check that detects nothing: requests without their restriction are reported. */
     @Test
     void detectsAttemptsOutsideTheHomeRegions() {
         int detected = 0;
@@ -59,7 +58,7 @@
         return zone.substring(0, zone.indexOf('-'));
     }
 
-    /** One request or query with all that happens to it. */
+    /** One request or query with random events. */
     private static final class Schedule {
         private final int seed;
         private final SplittableRandom random;
@@ -181,7 +180,7 @@
             return failures.get(random.nextInt(failures.size()));
         }
 
-        /** Time goes on; now and then operators drain a zone or take it back. */
+        /** Advances the time; sometimes drains or restores a zone. */
         private void advanceTime() {
             nowNanos += random.nextLong(20 * MILLI);
             if (random.nextInt(5) == 0) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What no leaf has seen costs no budget: while a part of the fleet is cut off from control and a new index comes into
- * force, holders are asked for leafs that they do not know yet.
+ * Attempts that reached no leaf cost no budget. A host may delegate shards to a holder that does not know the leaves of
+ * a new index yet.
  */
 final class NotSentTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
@@ -59,7 +59,7 @@
         assertThat(harness.delivered.get(0).shards()).containsExactly(1, 2);
     }
 
-    /** All connections to the leafs are in use until the caller's time is up. */
+    /** All connections to the leaves are in use until the deadline. */
     @Test
     void aQueryWhoseCallsWereGivenUpBeforeTheyWereSentHasNotRun() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
@@ -71,7 +71,7 @@
         assertThat(query.finalRefusalReason(RefusalReason.TIME_UP).isNotRun()).isTrue();
     }
 
-    /** The link to the other host did not come up before the caller's time was up. */
+    /** The connection to the other host is not established before the deadline. */
     @Test
     void aQueryWhoseCallToAnotherHostWasNeverSentHasNotRun() {
         ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of(stage));
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
@@ -18,7 +18,7 @@
 import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RouteTarget;
 
-/** Leafs by name and a record of what a request wanted done. */
+/** Leaves by name, and a record of the actions that a request returned. */
 final class RoutedRequestHarness {
     static final long EXPECTED_NANOS = Duration.ofMillis(10).toNanos();
     static final long HEDGE_DELAY_NANOS = Duration.ofMillis(40).toNanos();
@@ -37,14 +37,14 @@
     final List<Long> wakes = new ArrayList<>();
     private final Map<Attempt, Leaf.Call> openCalls = new LinkedHashMap<>();
 
-    /** Returns a budget of a host that has been up for long. */
+    /** Returns the budget of a host that has been running for more than a window. */
     static WindowedBudget budget(int extraPercent, int reserve) {
         Duration window = Duration.ofSeconds(10);
         return WindowedBudget.create(extraPercent, window, -2 * window.toNanos())
                 .setReserve(reserve, reserve);
     }
 
-    /** Adds a service with leafs named after it: {@code s-0}, {@code s-1} and so on. */
+    /** Adds a service with leaves named after it: {@code s-0}, {@code s-1} and so on. */
     LeafPool addService(String name, int leafCount, int budget) {
         LeafPool pool = new LeafPool(name, budget(0, budget));
         for (int number = 0; number < leafCount; number++) {
@@ -62,7 +62,7 @@
         return new SplittableRandom(1);
     }
 
-    /** Notes actions as a sender would carry them out. */
+    /** Records actions as a sender would carry them out. */
     void execute(List<RoutedAction> actions, long nowNanos) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Ends the call of an attempt, as a sender does before it tells the request. */
+    /** Ends the call of an attempt, as a sender does before it notifies the request. */
     void end(Attempt attempt, LeafOutcome outcome, long nowNanos) {
         Leaf.Call call = openCalls.remove(attempt);
         if (call != null) {
@@ -121,12 +121,12 @@
     void exhaustBudgets() {
         for (LeafPool pool : pools.values()) {
             while (pool.budget().tryWithdraw(0)) {
-                // Until nothing is left.
+                // Withdraws until the budget is empty.
             }
         }
     }
 
-    /** Answers everything that was asked so far, with a signature by the shard's number. */
+    /** Answers every attempt so far, with a signature that contains the shard's number. */
     void answerAll(ScatterQuery query, long nowNanos) {
         for (Attempt attempt : ImmutableList.copyOf(attempts)) {
             String service = attempt.leaf().service();
@@ -134,13 +134,11 @@
         }
     }
 
-    /** Brings the answer of one attempt. */
     void answer(ScatterQuery query, Attempt attempt, String signature, long nowNanos) {
         end(attempt, LeafOutcome.SUCCEEDED, nowNanos);
         execute(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
     }
 
-    /** Ends one attempt without an answer. */
     void fail(ScatterQuery query, Attempt attempt, LeafOutcome outcome, long nowNanos) {
         end(attempt, outcome, nowNanos);
         execute(query.onFailure(attempt, outcome, nowNanos), nowNanos);
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
@@ -82,7 +82,7 @@
     void hedgesLeaveAReserveForRetries() {
         ScatterQuery query = query(1, 3, 10, 1);
         while (harness.pools.values().iterator().next().budget().tryWithdrawAbove(35, 0)) {
-            // Down to the reserve.
+            // Withdraws down to the reserve for retries.
         }
         harness.execute(query.start(0), 0);
         withdrawOne();
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -64,9 +64,7 @@
         assertThat(stages.get(0).shards()).containsExactly(1);
     }
 
-    /**
-     * 60 of 90 shards are in two other regions, a dozen at a holder: one merged reply a region in place of four each.
-     */
+    /** One merged reply crosses the region boundary in place of one for each holder. */
     @Test
     void holdersOfAnotherRegionAreCalledThroughOneRelay() {
         holders.put("shard-0", "near-holder");
@@ -121,7 +119,7 @@
         return pool(shard, region, Distance.OTHER_REGION);
     }
 
-    /** A pool with one leaf, whose address names its region. */
+    /** Returns a pool with one leaf, whose address is its region. */
     private static LeafPool pool(int shard, String region, Distance distance) {
         String name = "shard-" + shard;
         LeafPool pool = new LeafPool(name, RoutedRequestHarness.budget(10, 10));
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagedQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagedQueryTest.java
@@ -10,7 +10,7 @@
 import org.bramblerack.process.leaf.RoutingContext;
 import org.junit.jupiter.api.Test;
 
-/** Queries of which other hosts ask a part, on both sides. */
+/** Queries with shards that are delegated to other hosts, on the delegating and on the delegated side. */
 final class StagedQueryTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long SILENCE_TIMEOUT = 60 * MILLI;
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Compares the merge with one that sorts everything. */
+/** Compares the merge with sorting all records. */
 final class TopRecordsTest {
     @Test
     void agreesWithSortingAllRecords() {
@@ -46,7 +46,7 @@
         assertThat(records.toBytes()).isEqualTo(high);
     }
 
-    /** Few different bytes, so that ties are frequent, and at times a rest that is no record. */
+    /** Uses few distinct bytes so that ties are frequent; may end in an incomplete record. */
     private static ByteString part(SplittableRandom random) {
         byte[] bytes = new byte[random.nextInt(0, 100)];
         for (int position = 0; position < bytes.length; position++) {
