--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
@@ -21,7 +21,7 @@
 
     /** The result of a check. */
     public sealed interface Result {
-        /** The request is permitted with this identity. */
+        /** The caller is identified, or needs no key. */
         record Known(CallerIdentity caller) implements Result {}
 
         /** The caller needs a key and presented no known one. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryShards.java
@@ -53,7 +53,7 @@
     int numberOf(ShardRequest shard) {
         Integer number = numbers.get(shard);
         if (number == null) {
-            throw new IllegalStateException("an attempt of another query");
+            throw new IllegalStateException("the attempt belongs to another query");
         }
         return number;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/RequestBounds.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/RequestBounds.java
@@ -17,7 +17,7 @@
         long goalNanos, long deadlineNanos, long hedgeDelayNanos, long expectedNanos, int maxAttempts) {
     /** Rejects bounds that permit no attempt, and negative hedge delays. */
     public RequestBounds {
-        checkArgument(maxAttempts >= 1, "%s attempts", maxAttempts);
-        checkArgument(hedgeDelayNanos >= 0, "a hedge delay of %s", hedgeDelayNanos);
+        checkArgument(maxAttempts >= 1, "maxAttempts must be at least 1: %s", maxAttempts);
+        checkArgument(hedgeDelayNanos >= 0, "hedgeDelayNanos must not be negative: %s", hedgeDelayNanos);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageAttempt.java
@@ -24,7 +24,7 @@
      * @param silenceTimeoutNanos how long the host may be silent before it is treated as failed
      */
     public StageAttempt(String host, ImmutableList<Integer> shards, long silenceTimeoutNanos) {
-        checkArgument(!shards.isEmpty(), "a stage of no shards at %s", host);
+        checkArgument(!shards.isEmpty(), "a stage needs at least one shard, host %s", host);
         this.host = host;
         this.shards = shards;
         this.silenceTimeoutNanos = silenceTimeoutNanos;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -51,7 +51,7 @@
          * Returns the host that holds the connections to a leaf, if that is another host, is available, and may receive
          * the body of a request with the given home regions.
          */
-        Optional<String> holderOf(Leaf leaf, HomeRegions homes);
+        Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions);
 
         String regionOf(Leaf leaf);
 
@@ -85,11 +85,11 @@
             long nowNanos) {
         Map<String, List<Integer>> shardsByRegion = new HashMap<>();
         Map<String, List<Integer>> shardsByHolder = new LinkedHashMap<>();
-        List<Integer> far = collectShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
+        List<Integer> farShards = collectShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
         ImmutableList.Builder<StageAttempt> stages = ImmutableList.builder();
         joinFarHolders(shardsByHolder, relays)
                 .forEach((host, shards) -> stages.add(stage(host, ImmutableList.copyOf(shards), hedgeDelayNanos)));
-        while (far.size() >= MIN_SHARDS_PER_STAGE) {
+        while (farShards.size() >= MIN_SHARDS_PER_STAGE) {
             Optional<String> region = bestRegion(shardsByRegion);
             Optional<String> host = region.flatMap(topology::leastBusyIn);
             if (region.isEmpty() || host.isEmpty()) {
@@ -99,7 +99,7 @@
             if (assigned == null || assigned.size() < MIN_SHARDS_PER_STAGE) {
                 break;
             }
-            far.removeAll(assigned);
+            farShards.removeAll(assigned);
             shardsByRegion.values().forEach(shards -> shards.removeAll(assigned));
             stages.add(stage(host.get(), ImmutableList.copyOf(assigned), hedgeDelayNanos));
         }
@@ -143,13 +143,14 @@
         return new StageAttempt(host, shards, topology.silenceTimeoutNanos(host, hedgeDelayNanos));
     }
 
+    /** Groups shards by holder, or else by the other regions of their leaves; returns the shards of the latter kind. */
     private List<Integer> collectShards(
             ImmutableList<PermittedLeaves> pools,
             long expectedNanos,
             long nowNanos,
             Map<String, List<Integer>> shardsByRegion,
             Map<String, List<Integer>> shardsByHolder) {
-        List<Integer> far = new ArrayList<>();
+        List<Integer> farShards = new ArrayList<>();
         for (int shard = 0; shard < pools.size(); shard++) {
             PermittedLeaves pool = pools.get(shard);
             Optional<Leaf> best = pool.choose(leaf -> true, expectedNanos, random, nowNanos);
@@ -163,10 +164,10 @@
             if (best.isEmpty() || best.get().distance() != Distance.OTHER_REGION) {
                 continue;
             }
-            far.add(shard);
+            farShards.add(shard);
             recordRegions(pool, shard, nowNanos, shardsByRegion);
         }
-        return far;
+        return farShards;
     }
 
     /** Records the other regions in which a shard has an available leaf. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageReply.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageReply.java
@@ -23,7 +23,10 @@
     /** Rejects a reply with different numbers of shards and signatures. */
     public StageReply {
         checkArgument(
-                shards.size() == signatures.size(), "%s signatures for %s shards", signatures.size(), shards.size());
+                shards.size() == signatures.size(),
+                "stage reply has %s signatures for %s shards",
+                signatures.size(),
+                shards.size());
     }
 
     /** Creates a reply of a host that sent the query to a leaf of every shard. */
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -136,9 +136,19 @@
         return new Team(name, digests.build(), OptionalInt.empty(), RateLimit.NONE, HomeRegions.ANY);
     }
 
-    private static Route route(boolean isPublic, HomeRegions homes) {
+    private static Route route(boolean isPublic, HomeRegions homeRegions) {
         Duration time = Duration.ofSeconds(1);
         return new Route(
-                "r", "h", "/", RequestKind.IDEMPOTENT, time, time, 7, 1, new RouteTarget.Single("s"), homes, isPublic);
+                "r",
+                "h",
+                "/",
+                RequestKind.IDEMPOTENT,
+                time,
+                time,
+                7,
+                1,
+                new RouteTarget.Single("s"),
+                homeRegions,
+                isPublic);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/FinalizeLeadTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/FinalizeLeadTest.java
@@ -108,14 +108,14 @@
         valueOfMaximumLead = 0;
     }
 
-    /** Plays a spell with an answer every tenth of a second that lacks shards at its goal. */
+    /** Simulates a period with an answer every tenth of a second that lacks shards at its goal. */
     private void simulate(Duration length, LongSupplier overruns) {
         long untilNanos = nowNanos + length.toNanos();
         long nextAnswerNanos = nowNanos;
         while (nowNanos < untilNanos) {
-            long lateNanos = overruns.getAsLong();
-            nowNanos += PERIOD_NANOS + lateNanos;
-            lead.recordTaskDelay(lateNanos, PERIOD_NANOS, nowNanos);
+            long delayNanos = overruns.getAsLong();
+            nowNanos += PERIOD_NANOS + delayNanos;
+            lead.recordTaskDelay(delayNanos, PERIOD_NANOS, nowNanos);
             if (nowNanos >= nextAnswerNanos) {
                 nextAnswerNanos = nowNanos + Duration.ofMillis(100).toNanos();
                 answer(overruns.getAsLong());
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -33,11 +33,11 @@
 
     @Test
     void attemptsStayInHomeRegionsAndAvoidDrainedZones() {
-        int asked = 0;
+        int attempts = 0;
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            asked += new Schedule(seed, true).run();
+            attempts += new Schedule(seed, true).run();
         }
-        assertThat(asked).isGreaterThan(SCHEDULES);
+        assertThat(attempts).isGreaterThan(SCHEDULES);
     }
 
     /** Guards against a check that detects nothing: requests without their restriction are reported. */
@@ -87,13 +87,13 @@
             int leafCount = 1 + random.nextInt(5);
             for (int number = 0; number < leafCount; number++) {
                 String zone = ZONES.get(random.nextInt(ZONES.size()));
-                LeafLocation place =
+                LeafLocation location =
                         new LeafLocation(zone, regionOf(zone), DISTANCES.get(random.nextInt(DISTANCES.size())));
                 pool.add(new Leaf(
                         service + "-" + number,
                         service,
                         "10.0.0.1:1",
-                        place,
+                        location,
                         2,
                         Duration.ZERO,
                         RoutingContext.plain(),
@@ -194,14 +194,14 @@
 
         private void execute(List<RoutedAction> actions) {
             for (RoutedAction action : actions) {
-                if (action instanceof RoutedAction.CallLeaf ask) {
+                if (action instanceof RoutedAction.CallLeaf call) {
                     attemptCount++;
-                    Leaf leaf = ask.attempt().leaf();
-                    openAttempts.add(ask.attempt());
-                    assertWithMessage("seed %s: %s asked at %s", seed, homeRegions, leaf.location())
+                    Leaf leaf = call.attempt().leaf();
+                    openAttempts.add(call.attempt());
+                    assertWithMessage("seed %s: attempt with home regions %s at %s", seed, homeRegions, leaf.location())
                             .that(homeRegions.allows(leaf.location().region()))
                             .isTrue();
-                    assertWithMessage("seed %s: asked at drained %s", seed, leaf.location())
+                    assertWithMessage("seed %s: attempt in drained zone at %s", seed, leaf.location())
                             .that(drained[ZONES.indexOf(leaf.location().zone())])
                             .isFalse();
                 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
@@ -65,13 +65,13 @@
     /** Records actions as a sender would carry them out. */
     void execute(List<RoutedAction> actions, long nowNanos) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.CallLeaf ask) {
-                attempts.add(ask.attempt());
-                openCalls.put(ask.attempt(), ask.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
-            } else if (action instanceof RoutedAction.CallStage ask) {
-                stages.add(ask.stage());
-            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                abandoned.add(giveUp.attempt());
+            if (action instanceof RoutedAction.CallLeaf call) {
+                attempts.add(call.attempt());
+                openCalls.put(call.attempt(), call.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
+            } else if (action instanceof RoutedAction.CallStage call) {
+                stages.add(call.stage());
+            } else if (action instanceof RoutedAction.AbandonAttempt abandon) {
+                abandoned.add(abandon.attempt());
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 delivered.add(deliver.answer());
             } else if (action instanceof RoutedAction.DeliverPartial deliver) {
@@ -107,8 +107,8 @@
     }
 
     /** Returns the target of a query over all services. */
-    RouteTarget.Scatter target(double leastShare) {
-        return new RouteTarget.Scatter(ImmutableList.copyOf(pools.keySet()), 5, leastShare);
+    RouteTarget.Scatter target(double minCoverage) {
+        return new RouteTarget.Scatter(ImmutableList.copyOf(pools.keySet()), 5, minCoverage);
     }
 
     ImmutableList<PermittedLeaves> pools() {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
@@ -261,14 +261,14 @@
         assertThat(harness.outcomeCount()).isEqualTo(0);
     }
 
-    private ScatterQuery query(int shardCount, int leafCount, int budget, double leastShare) {
+    private ScatterQuery query(int shardCount, int leafCount, int budget, double minCoverage) {
         for (int shard = 0; shard < shardCount; shard++) {
             if (harness.pools.size() < shardCount) {
                 harness.addService("s" + shard, leafCount, budget);
             }
         }
         return new ScatterQuery(
-                harness.target(leastShare),
+                harness.target(minCoverage),
                 harness.pools(),
                 ImmutableList.of(),
                 RoutedRequestHarness.bounds(2),
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -20,7 +20,7 @@
 
 final class StagePlannerTest {
     private static final long EXPECTED = Duration.ofMillis(20).toNanos();
-    private static final long HEDGE = Duration.ofMillis(40).toNanos();
+    private static final long HEDGE_DELAY = Duration.ofMillis(40).toNanos();
 
     private final Map<String, String> hostsByRegion = new HashMap<>();
     private final Map<String, String> holders = new HashMap<>();
@@ -108,7 +108,7 @@
         ImmutableList<PermittedLeaves> permitted = Arrays.stream(pools)
                 .map(pool -> pool.permitted(HomeRegions.ANY))
                 .collect(ImmutableList.toImmutableList());
-        return planner.plan(permitted, EXPECTED, HEDGE, relays, 0);
+        return planner.plan(permitted, EXPECTED, HEDGE_DELAY, relays, 0);
     }
 
     private static LeafPool near(int shard) {
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions) {
             return Optional.ofNullable(holders.get(leaf.id()));
         }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/TopRecordsTest.java
@@ -46,7 +46,7 @@
         assertThat(records.toBytes()).isEqualTo(high);
     }
 
-    /** Uses few distinct bytes so that ties are frequent; may end in an incomplete record. */
+    /** Returns records of few distinct byte values, so that ties are frequent; may end in an incomplete record. */
     private static ByteString part(SplittableRandom random) {
         byte[] bytes = new byte[random.nextInt(0, 100)];
         for (int position = 0; position < bytes.length; position++) {
