--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
@@ -9,6 +9,7 @@
  * <p>The sender passes it back to the request with its outcome.
  */
 public final class Attempt {
+    /** The reason for an attempt. The names appear in log lines and counters. */
     public enum Purpose {
         /** The first attempt of its shard. */
         FIRST,
