--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -14,70 +14,68 @@
 import org.bramblerack.version.routing.HomeRegions;
 
 /**
- * Decides which shards of a query other hosts ask on behalf of this one.
+ * Decides which shards of a query are delegated to other hosts, and to which.
  *
- * <p>Shards are left to the hosts that hold the connections to their best leafs or, in a fleet that is small enough for
- * every host to connect to every leaf, those whose best leafs are in another region to hosts there. Shards that are in
- * no stage are asked from here. Not safe for use by several threads.
+ * <p>Shards are delegated to the hosts that hold the connections to their best leaves. In a fleet that is small enough
+ * for every host to connect to every leaf, shards whose best leaves are in another region are delegated to hosts of
+ * that region. This host calls the leaves of all other shards itself. Not safe for use by several threads.
  */
 public final class StagePlanner {
-    /** Fewer shards than this are asked from here: one call costs no more than one message to another host. */
-    private static final int LEAST_SHARDS = 2;
-    /** A region is as good as the best if it has this part of the best one's shards. */
-    private static final double GOOD_COVER = 0.8;
+    /** Smaller groups are called from here: one call to a leaf costs no more than one message to another host. */
+    private static final int MIN_SHARDS_PER_STAGE = 2;
+    /** A region is a candidate if it covers at least this fraction of the shards that the best region covers. */
+    private static final double MIN_COVERAGE_OF_BEST = 0.8;
 
-    private final Topology ways;
+    private final Topology topology;
     private final RandomGenerator random;
 
-    /** Creates a planner. */
-    public StagePlanner(Topology ways, RandomGenerator random) {
-        this.ways = ways;
+    public StagePlanner(Topology topology, RandomGenerator random) {
+        this.topology = topology;
         this.random = random;
     }
 
-    /** Whether the holders of another region are asked through one of them. */
+    /** Whether the holders of another region are called through one of them. */
     public enum Relays {
-        /** One of them is asked for all; its merged reply crosses the border once. */
+        /** One holder is called for all; its merged reply crosses the region boundary once. */
         USED,
-        /** Each is asked by itself, as by a host that was asked itself. */
+        /** Each holder is called directly. */
         NOT_USED
     }
 
-    /** What is known of the ways to leafs and to other hosts. */
+    /** The known network locations of leaves and hosts, and the state of the hosts. */
     public interface Topology {
-        /** Returns the region of a host if it is another one than this host's. */
+        /** Returns the region of a host if it differs from the region of this host. */
         Optional<String> otherRegionOf(String host);
 
         /**
-         * Returns the host that holds the connections to a leaf, if that is another host, can be asked, and may see the
-         * body of a request with the given homes.
+         * Returns the host that holds the connections to a leaf, if that is another host, is available, and may receive
+         * the body of a request with the given home regions.
          */
-        Optional<String> holderOf(Leaf leaf, HomeRegions homes);
+        Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions);
 
-        /** Returns the region of a leaf. */
         String regionOf(Leaf leaf);
 
-        /** Returns true if a host said of late that it is behind with its work. */
+        /** Returns true if a host recently reported that it is lagging. */
         boolean isLagging(String host);
 
-        /** Returns the host of a region that can be asked and has the least under way for this one. */
+        /** Returns the available host of a region with the fewest calls in flight from this host. */
         Optional<String> leastBusyIn(String region);
 
         /**
-         * Returns how long a host may be silent before it counts as lost.
+         * Returns how long a host may be silent before it is treated as failed.
          *
-         * @param hedgeDelayNanos after which it asks second leafs, and says so
+         * @param hedgeDelayNanos the delay after which the host hedges calls and reports its progress
          */
         long silenceTimeoutNanos(String host, long hedgeDelayNanos);
     }
 
     /**
-     * Divides the shards of a query.
+     * Groups shards of a query into stages.
      *
-     * @param pools the leafs of each shard, in the order of the shards
-     * @param expectedNanos how long a call usually takes
-     * @param hedgeDelayNanos after which a host asks second leafs, and says so
-     * @param relays whether the holders of another region are asked through one of them
+     * @param pools the leaves of each shard, in the order of the shards
+     * @param expectedNanos the expected duration of a call
+     * @param hedgeDelayNanos the delay after which a host hedges calls and reports its progress
+     * @param relays whether the holders of another region are called through one of them
      */
     public ImmutableList<StageAttempt> plan(
             ImmutableList<PermittedLeaves> pools,
@@ -87,75 +85,76 @@
             long nowNanos) {
         Map<String, List<Integer>> shardsByRegion = new HashMap<>();
         Map<String, List<Integer>> shardsByHolder = new LinkedHashMap<>();
-        List<Integer> far = farShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
+        List<Integer> farShards = collectShards(pools, expectedNanos, nowNanos, shardsByRegion, shardsByHolder);
         ImmutableList.Builder<StageAttempt> stages = ImmutableList.builder();
-        byWay(shardsByHolder, relays)
+        joinFarHolders(shardsByHolder, relays)
                 .forEach((host, shards) -> stages.add(stage(host, ImmutableList.copyOf(shards), hedgeDelayNanos)));
-        while (far.size() >= LEAST_SHARDS) {
+        while (farShards.size() >= MIN_SHARDS_PER_STAGE) {
             Optional<String> region = bestRegion(shardsByRegion);
-            Optional<String> host = region.flatMap(ways::leastBusyIn);
+            Optional<String> host = region.flatMap(topology::leastBusyIn);
             if (region.isEmpty() || host.isEmpty()) {
                 break;
             }
-            List<Integer> taken = shardsByRegion.remove(region.get());
-            if (taken == null || taken.size() < LEAST_SHARDS) {
+            List<Integer> assigned = shardsByRegion.remove(region.get());
+            if (assigned == null || assigned.size() < MIN_SHARDS_PER_STAGE) {
                 break;
             }
-            far.removeAll(taken);
-            shardsByRegion.values().forEach(shards -> shards.removeAll(taken));
-            stages.add(stage(host.get(), ImmutableList.copyOf(taken), hedgeDelayNanos));
+            farShards.removeAll(assigned);
+            shardsByRegion.values().forEach(shards -> shards.removeAll(assigned));
+            stages.add(stage(host.get(), ImmutableList.copyOf(assigned), hedgeDelayNanos));
         }
         return stages.build();
     }
 
-    /** Joins the shards of the holders of each other region under one of them, drawn to spread the load. */
-    private Map<String, List<Integer>> byWay(Map<String, List<Integer>> shardsByHolder, Relays relays) {
+    /** Groups the shards of all holders of a region under one holder, chosen at random to spread the load. */
+    private Map<String, List<Integer>> joinFarHolders(Map<String, List<Integer>> shardsByHolder, Relays relays) {
         if (relays == Relays.NOT_USED) {
             return shardsByHolder;
         }
-        Map<String, List<Integer>> shardsByWay = new LinkedHashMap<>();
+        Map<String, List<Integer>> shardsByHost = new LinkedHashMap<>();
         Map<String, List<String>> farHolders = new LinkedHashMap<>();
         shardsByHolder.forEach((holder, shards) -> {
-            Optional<String> region = ways.otherRegionOf(holder);
+            Optional<String> region = topology.otherRegionOf(holder);
             if (region.isPresent()) {
                 farHolders
                         .computeIfAbsent(region.get(), unused -> new ArrayList<>())
                         .add(holder);
             } else {
-                shardsByWay.put(holder, shards);
+                shardsByHost.put(holder, shards);
             }
         });
         for (List<String> holders : farHolders.values()) {
             List<Integer> joined = new ArrayList<>();
             holders.forEach(holder -> joined.addAll(shardsByHolder.getOrDefault(holder, List.of())));
-            shardsByWay.put(relayOf(holders), joined);
+            shardsByHost.put(chooseRelay(holders), joined);
         }
-        return shardsByWay;
+        return shardsByHost;
     }
 
-    /** Draws one of the holders of a region that are not behind, or of all if all are. */
-    private String relayOf(List<String> holders) {
-        List<String> withRoom =
-                holders.stream().filter(holder -> !ways.isLagging(holder)).toList();
-        List<String> drawn = withRoom.isEmpty() ? holders : withRoom;
-        return drawn.get(random.nextInt(drawn.size()));
+    /** Chooses at random among the holders that are not lagging, or among all if all are lagging. */
+    private String chooseRelay(List<String> holders) {
+        List<String> notLagging =
+                holders.stream().filter(holder -> !topology.isLagging(holder)).toList();
+        List<String> candidates = notLagging.isEmpty() ? holders : notLagging;
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
     private StageAttempt stage(String host, ImmutableList<Integer> shards, long hedgeDelayNanos) {
-        return new StageAttempt(host, shards, ways.silenceTimeoutNanos(host, hedgeDelayNanos));
+        return new StageAttempt(host, shards, topology.silenceTimeoutNanos(host, hedgeDelayNanos));
     }
 
-    private List<Integer> farShards(
+    /** Groups shards by holder, or else by the other regions of their leaves; returns the shards of the latter kind. */
+    private List<Integer> collectShards(
             ImmutableList<PermittedLeaves> pools,
             long expectedNanos,
             long nowNanos,
             Map<String, List<Integer>> shardsByRegion,
             Map<String, List<Integer>> shardsByHolder) {
-        List<Integer> far = new ArrayList<>();
+        List<Integer> farShards = new ArrayList<>();
         for (int shard = 0; shard < pools.size(); shard++) {
             PermittedLeaves pool = pools.get(shard);
             Optional<Leaf> best = pool.choose(leaf -> true, expectedNanos, random, nowNanos);
-            Optional<String> holder = best.flatMap(leaf -> ways.holderOf(leaf, pool.homeRegions()));
+            Optional<String> holder = best.flatMap(leaf -> topology.holderOf(leaf, pool.homeRegions()));
             if (holder.isPresent()) {
                 shardsByHolder
                         .computeIfAbsent(holder.get(), unused -> new ArrayList<>())
@@ -165,18 +164,19 @@
             if (best.isEmpty() || best.get().distance() != Distance.OTHER_REGION) {
                 continue;
             }
-            far.add(shard);
-            noteRegions(pool, shard, nowNanos, shardsByRegion);
+            farShards.add(shard);
+            recordRegions(pool, shard, nowNanos, shardsByRegion);
         }
-        return far;
+        return farShards;
     }
 
-    /** Notes the regions in which a shard has a leaf that can be asked. */
-    private void noteRegions(
+    /** Records the other regions in which a shard has an available leaf. */
+    private void recordRegions(
             PermittedLeaves pool, int shard, long nowNanos, Map<String, List<Integer>> shardsByRegion) {
         for (Leaf leaf : pool.all()) {
             if (leaf.acceptsWork() && leaf.distance() == Distance.OTHER_REGION && !leaf.isEjected(nowNanos)) {
-                List<Integer> shards = shardsByRegion.computeIfAbsent(ways.regionOf(leaf), unused -> new ArrayList<>());
+                List<Integer> shards =
+                        shardsByRegion.computeIfAbsent(topology.regionOf(leaf), unused -> new ArrayList<>());
                 if (!shards.contains(shard)) {
                     shards.add(shard);
                 }
@@ -184,15 +184,16 @@
         }
     }
 
-    /** Returns a region with about as many of the shards as any; which one is drawn, to spread the load. */
+    /** Returns a region that covers nearly as many shards as the best one, chosen at random to spread the load. */
     private Optional<String> bestRegion(Map<String, List<Integer>> shardsByRegion) {
-        int most = shardsByRegion.values().stream().mapToInt(List::size).max().orElse(0);
-        List<String> good = shardsByRegion.entrySet().stream()
-                .filter(entry -> entry.getValue().size() >= GOOD_COVER * most)
+        int maxShards =
+                shardsByRegion.values().stream().mapToInt(List::size).max().orElse(0);
+        List<String> candidates = shardsByRegion.entrySet().stream()
+                .filter(entry -> entry.getValue().size() >= MIN_COVERAGE_OF_BEST * maxShards)
                 .map(Map.Entry::getKey)
-                .filter(region -> ways.leastBusyIn(region).isPresent())
+                .filter(region -> topology.leastBusyIn(region).isPresent())
                 .sorted()
                 .toList();
-        return good.isEmpty() ? Optional.empty() : Optional.of(good.get(random.nextInt(good.size())));
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedRequestHarness.java
@@ -18,66 +18,66 @@
 import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RouteTarget;
 
-/** Leafs by name and a record of what a request wanted done. */
-final class RoutedWorld {
+/** Leaves by name, and a record of the actions that a request returned. */
+final class RoutedRequestHarness {
     static final long EXPECTED_NANOS = Duration.ofMillis(10).toNanos();
-    static final long HEDGE_NANOS = Duration.ofMillis(40).toNanos();
+    static final long HEDGE_DELAY_NANOS = Duration.ofMillis(40).toNanos();
     static final long GOAL_NANOS = Duration.ofMillis(100).toNanos();
     static final long DEADLINE_NANOS = Duration.ofSeconds(1).toNanos();
 
     final Map<String, LeafPool> pools = new LinkedHashMap<>();
-    final List<Attempt> asked = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
     final List<StageAttempt> stages = new ArrayList<>();
-    final List<MergedAnswer> pieces = new ArrayList<>();
+    final List<MergedAnswer> partials = new ArrayList<>();
     final List<MergedAnswer> delivered = new ArrayList<>();
-    final List<Attempt> givenUp = new ArrayList<>();
-    final List<Attempt> passed = new ArrayList<>();
+    final List<Attempt> abandoned = new ArrayList<>();
+    final List<Attempt> deliveredAnswers = new ArrayList<>();
     final List<RefusalReason> refused = new ArrayList<>();
     final List<AttemptCounter> counts = new ArrayList<>();
     final List<Long> wakes = new ArrayList<>();
-    private final Map<Attempt, Leaf.Call> calls = new LinkedHashMap<>();
+    private final Map<Attempt, Leaf.Call> openCalls = new LinkedHashMap<>();
 
-    /** Returns a budget of a host that has been up for long. */
-    static WindowedBudget shareOf(int extraPercent, int reserve) {
+    /** Returns the budget of a host that has been running for more than a window. */
+    static WindowedBudget budget(int extraPercent, int reserve) {
         Duration window = Duration.ofSeconds(10);
         return WindowedBudget.create(extraPercent, window, -2 * window.toNanos())
                 .setReserve(reserve, reserve);
     }
 
-    /** Adds a service with leafs named after it: {@code s-0}, {@code s-1} and so on. */
-    LeafPool service(String name, int leafs, int budget) {
-        LeafPool pool = new LeafPool(name, shareOf(0, budget));
-        for (int number = 0; number < leafs; number++) {
+    /** Adds a service with leaves named after it: {@code s-0}, {@code s-1} and so on. */
+    LeafPool addService(String name, int leafCount, int budget) {
+        LeafPool pool = new LeafPool(name, budget(0, budget));
+        for (int number = 0; number < leafCount; number++) {
             pool.add(new Leaf(name + "-" + number, name, "10.0.0.1:1", Distance.SAME_ZONE, 2, Duration.ZERO, 0));
         }
         pools.put(name, pool);
         return pool;
     }
 
-    static RequestBounds bounds(int attempts) {
-        return new RequestBounds(GOAL_NANOS, DEADLINE_NANOS, HEDGE_NANOS, EXPECTED_NANOS, attempts);
+    static RequestBounds bounds(int maxAttempts) {
+        return new RequestBounds(GOAL_NANOS, DEADLINE_NANOS, HEDGE_DELAY_NANOS, EXPECTED_NANOS, maxAttempts);
     }
 
     static SplittableRandom random() {
         return new SplittableRandom(1);
     }
 
-    /** Notes actions as a sender would carry them out. */
-    void carryOut(List<RoutedAction> actions, long nowNanos) {
+    /** Records actions as a sender would carry them out. */
+    void execute(List<RoutedAction> actions, long nowNanos) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.CallLeaf ask) {
-                asked.add(ask.attempt());
-                calls.put(ask.attempt(), ask.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
-            } else if (action instanceof RoutedAction.CallStage ask) {
-                stages.add(ask.stage());
-            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                givenUp.add(giveUp.attempt());
+            if (action instanceof RoutedAction.CallLeaf call) {
+                attempts.add(call.attempt());
+                openCalls.put(call.attempt(), call.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
+            } else if (action instanceof RoutedAction.CallStage call) {
+                stages.add(call.stage());
+            } else if (action instanceof RoutedAction.AbandonAttempt abandon) {
+                abandoned.add(abandon.attempt());
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 delivered.add(deliver.answer());
             } else if (action instanceof RoutedAction.DeliverPartial deliver) {
-                pieces.add(deliver.partial());
+                partials.add(deliver.partial());
             } else if (action instanceof RoutedAction.DeliverAnswer deliver) {
-                passed.add(deliver.attempt());
+                deliveredAnswers.add(deliver.attempt());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 refused.add(refuse.reason());
             } else if (action instanceof RoutedAction.Count count) {
@@ -88,9 +88,9 @@
         }
     }
 
-    /** Ends the call of an attempt, as a sender does before it tells the request. */
+    /** Ends the call of an attempt, as a sender does before it notifies the request. */
     void end(Attempt attempt, LeafOutcome outcome, long nowNanos) {
-        Leaf.Call call = calls.remove(attempt);
+        Leaf.Call call = openCalls.remove(attempt);
         if (call != null) {
             attempt.leaf().end(call, outcome, Optional.empty(), nowNanos);
         }
@@ -102,13 +102,13 @@
         return new PartReply(signature, ByteString.copyFrom(record));
     }
 
-    int answers() {
-        return delivered.size() + passed.size() + refused.size();
+    int outcomeCount() {
+        return delivered.size() + deliveredAnswers.size() + refused.size();
     }
 
     /** Returns the target of a query over all services. */
-    RouteTarget.Scatter target(double leastShare) {
-        return new RouteTarget.Scatter(ImmutableList.copyOf(pools.keySet()), 5, leastShare);
+    RouteTarget.Scatter target(double minCoverage) {
+        return new RouteTarget.Scatter(ImmutableList.copyOf(pools.keySet()), 5, minCoverage);
     }
 
     ImmutableList<PermittedLeaves> pools() {
@@ -118,31 +118,29 @@
     }
 
     /** Spends the whole budget of every service. */
-    void spendDeposits() {
+    void exhaustBudgets() {
         for (LeafPool pool : pools.values()) {
             while (pool.budget().tryWithdraw(0)) {
-                // Until nothing is left.
+                // Withdraws until the budget is empty.
             }
         }
     }
 
-    /** Answers everything that was asked so far, with a signature by the shard's number. */
+    /** Answers every attempt so far, with a signature that contains the shard's number. */
     void answerAll(ScatterQuery query, long nowNanos) {
-        for (Attempt attempt : ImmutableList.copyOf(asked)) {
+        for (Attempt attempt : ImmutableList.copyOf(attempts)) {
             String service = attempt.leaf().service();
             answer(query, attempt, "sig" + service.substring(1), nowNanos);
         }
     }
 
-    /** Brings the answer of one attempt. */
     void answer(ScatterQuery query, Attempt attempt, String signature, long nowNanos) {
         end(attempt, LeafOutcome.SUCCEEDED, nowNanos);
-        carryOut(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
+        execute(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
     }
 
-    /** Ends one attempt without an answer. */
     void fail(ScatterQuery query, Attempt attempt, LeafOutcome outcome, long nowNanos) {
         end(attempt, outcome, nowNanos);
-        carryOut(query.onFailure(attempt, outcome, nowNanos), nowNanos);
+        execute(query.onFailure(attempt, outcome, nowNanos), nowNanos);
     }
 }
