--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -26,7 +26,7 @@
 import org.bramblerack.request.routed.StageAttempt;
 import org.bramblerack.request.routed.StagePlanner;
 import org.bramblerack.request.routed.StageTiming;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 
 /**
  * An entry host: what it knows of the leafs and of other hosts, by the product's own classes. Its own work takes no
@@ -73,7 +73,7 @@
         this.planner = new StagePlanner(this, random);
         ImmutableList.Builder<PermittedLeaves> built = ImmutableList.builder();
         for (int shard = 0; shard < shards.size(); shard++) {
-            built.add(newPool(shard, position, shards.get(shard)).permitted(Homes.ANYWHERE));
+            built.add(newPool(shard, position, shards.get(shard)).permitted(HomeRegions.ANY));
         }
         this.permitted = built.build();
     }
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public Optional<String> holderOf(Leaf leaf, Homes homes) {
+    public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
         return Optional.empty();
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaGate.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/connection/ReplicaLimiter.java
@@ -24,7 +24,7 @@
  *
  * <p>Not safe for use by several threads: the holder's table guards each gate with its lock.
  */
-public final class ReplicaGate {
+public final class ReplicaLimiter {
     static final int NORMAL_EVERY = 8;
     private static final int MAX_WAITING = 256;
     private static final double SMOOTHING = 0.1;
@@ -44,7 +44,7 @@
      *
      * @param slots how many calls the upstream works on at a time, at least 1
      */
-    public ReplicaGate(int slots) {
+    public ReplicaLimiter(int slots) {
         checkArgument(slots > 0, "slots %s is not positive", slots);
         this.slots = slots;
         this.limit = slots;
@@ -63,16 +63,16 @@
     }
 
     /** Takes a new call. */
-    public List<GateAction> submit(String callId, Priority priority, long deadlineNanos, long nowNanos) {
+    public List<LimiterAction> submit(String callId, Priority priority, long deadlineNanos, long nowNanos) {
         if (waiting() >= MAX_WAITING || !canFinish(priority, deadlineNanos, nowNanos)) {
-            return ImmutableList.of(new GateAction.Refuse(callId, LeafFailure.QUEUE_FULL));
+            return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.QUEUE_FULL));
         }
         queueOf(priority).addLast(new Waiting(callId, deadlineNanos));
         return dispatch(nowNanos);
     }
 
     /** Takes the end of a call that the upstream worked on. */
-    public List<GateAction> finished(String callId, long nowNanos) {
+    public List<LimiterAction> onFinished(String callId, long nowNanos) {
         Long since = runningSinceNanos.remove(callId);
         if (since != null) {
             serviceNanos += SMOOTHING * (nowNanos - since - serviceNanos);
@@ -82,7 +82,7 @@
     }
 
     /** Takes the end of a call that the upstream shed: fewer are sent at a time for a while. */
-    public List<GateAction> shed(String callId, long nowNanos) {
+    public List<LimiterAction> onShed(String callId, long nowNanos) {
         if (runningSinceNanos.remove(callId) != null) {
             limit = Math.max(1.0, limit * SHED_FACTOR);
         }
@@ -90,14 +90,14 @@
     }
 
     /** Cancels a call, waiting or running. A running one keeps its place until it has finished. */
-    public List<GateAction> cancel(String callId) {
+    public List<LimiterAction> cancel(String callId) {
         for (Deque<Waiting> queue : queues.values()) {
             if (queue.removeIf(waiting -> waiting.callId().equals(callId))) {
-                return ImmutableList.of(new GateAction.Refuse(callId, LeafFailure.CANCELLED));
+                return ImmutableList.of(new LimiterAction.Refuse(callId, LeafFailure.CANCELLED));
             }
         }
         return runningSinceNanos.containsKey(callId)
-                ? ImmutableList.of(new GateAction.CancelAtUpstream(callId))
+                ? ImmutableList.of(new LimiterAction.CancelAtUpstream(callId))
                 : ImmutableList.of();
     }
 
@@ -122,13 +122,13 @@
         return doneNanos - deadlineNanos < 0;
     }
 
-    private List<GateAction> dispatch(long nowNanos) {
-        List<GateAction> actions = new ArrayList<>();
+    private List<LimiterAction> dispatch(long nowNanos) {
+        List<LimiterAction> actions = new ArrayList<>();
         refuseExpired(nowNanos, actions);
         while (running() < (int) limit && waiting() > 0) {
             Waiting next = takeNext();
             runningSinceNanos.put(next.callId(), nowNanos);
-            actions.add(new GateAction.Dispatch(next.callId()));
+            actions.add(new LimiterAction.Dispatch(next.callId()));
         }
         return actions;
     }
@@ -145,14 +145,14 @@
         return urgent.removeFirst();
     }
 
-    private void refuseExpired(long nowNanos, List<GateAction> actions) {
+    private void refuseExpired(long nowNanos, List<LimiterAction> actions) {
         for (Deque<Waiting> queue : queues.values()) {
             Iterator<Waiting> iterator = queue.iterator();
             while (iterator.hasNext()) {
                 Waiting waiting = iterator.next();
                 if (nowNanos + (long) (serviceNanos / 2) - waiting.deadlineNanos() >= 0) {
                     iterator.remove();
-                    actions.add(new GateAction.Refuse(waiting.callId(), LeafFailure.EXPIRED));
+                    actions.add(new LimiterAction.Refuse(waiting.callId(), LeafFailure.EXPIRED));
                 }
             }
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.WindowedBudget;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 
 /**
  * The leafs of one service and this host's share of the service's budget of extra attempts.
@@ -53,7 +53,7 @@
     }
 
     /** Returns what a request with the given homes may use of it. */
-    public PermittedLeaves permitted(Homes homes) {
+    public PermittedLeaves permitted(HomeRegions homes) {
         return new PermittedLeaves(this, homes);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.WindowedBudget;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 
 /**
  * The leafs of a service that one request may be sent to.
@@ -17,9 +17,9 @@
  */
 public final class PermittedLeaves {
     private final LeafPool pool;
-    private final Homes homes;
+    private final HomeRegions homes;
 
-    PermittedLeaves(LeafPool pool, Homes homes) {
+    PermittedLeaves(LeafPool pool, HomeRegions homes) {
         this.pool = requireNonNull(pool);
         this.homes = requireNonNull(homes);
     }
@@ -35,7 +35,7 @@
     }
 
     /** Returns the regions that bind the request. */
-    public Homes homes() {
+    public HomeRegions homes() {
         return homes;
     }
 
@@ -63,11 +63,11 @@
 
     /** Chooses among the permitted leafs; see {@link LeafPool#choose}. */
     public Optional<Leaf> choose(Predicate<Leaf> filter, long expectedNanos, RandomGenerator random, long nowNanos) {
-        Predicate<Leaf> permitted = homes.areAnywhere() ? filter : leaf -> permits(leaf) && filter.test(leaf);
+        Predicate<Leaf> permitted = homes.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
         return pool.choose(permitted, expectedNanos, random, nowNanos);
     }
 
     private boolean permits(Leaf leaf) {
-        return homes.allow(leaf.place().region());
+        return homes.allows(leaf.place().region());
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaAction.java
@@ -9,10 +9,10 @@
 /** What is to be done about permissions. Immutable and safe for use by many threads. */
 public sealed interface QuotaAction {
     /** A request may be made. */
-    record Permit(long ticket, Ground ground) implements QuotaAction {}
+    record Permit(long ticket, DecisionSource source) implements QuotaAction {}
 
     /** A request is refused, since its team has made as many as it may. */
-    record Refuse(long ticket, long retryAfterMillis, Ground ground) implements QuotaAction {}
+    record Refuse(long ticket, long retryAfterMillis, DecisionSource source) implements QuotaAction {}
 
     /** Sends a report to a host, maybe this one, and hands back the verdict, or that none came in time. */
     record Report(String host, long id, RateReport report) implements QuotaAction {
@@ -22,7 +22,7 @@
         private static final Duration TELLING_WAIT = Duration.ofMillis(600);
 
         /** Returns for how long an answer is waited for before another host is asked. */
-        public Duration answerWait() {
+        public Duration answerTimeout() {
             boolean asks = report.getTeamsList().stream().anyMatch(team -> team.getAsked() > 0);
             return asks ? ASKING_WAIT : TELLING_WAIT;
         }
@@ -35,16 +35,16 @@
     record Call(String host, RateCall call) implements QuotaAction {}
 
     /** This host begins to keep the accounts of an owner's teams that another one kept, or may have kept. */
-    record TookOver(String owner) implements QuotaAction {}
+    record RecordTakeover(String owner) implements QuotaAction {}
 
     /** Tells every host. */
-    record Tell(RateNotice notice) implements QuotaAction {}
+    record Notify(RateNotice notice) implements QuotaAction {}
 
     /** The parts want to be woken then. */
     record Wake(long atNanos) implements QuotaAction {}
 
     /** Where a decision about a request came from. */
-    enum Ground {
+    enum DecisionSource {
         /** The team is far from its limit: requests are made and then reported. */
         FREE,
         /** The host that keeps account was asked. */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns how many requests of a team may run within any window. */
-    public double most(RateLimit limit) {
+    public double maxRequests(RateLimit limit) {
         return withinLimit(limit) * (1 + excess) + slack;
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/RateSpender.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaClient.java
@@ -30,7 +30,7 @@
  * beyond these, a request waits for a word. A host that reaches none that keeps account makes only its part of what the
  * sum over all hosts leaves safe. Owned by one thread.
  */
-public final class RateSpender {
+public final class QuotaClient {
     /** The least time between two reports to one host: what comes meanwhile goes together. */
     private static final long SPACING_NANOS = Duration.ofMillis(10).toNanos();
     /** For how long a host that did not answer is not asked. */
@@ -59,7 +59,7 @@
      *
      * @param self the peer address of this host
      */
-    public RateSpender(String self, QuotaBound bound, RandomGenerator random, long nowNanos) {
+    public QuotaClient(String self, QuotaBound bound, RandomGenerator random, long nowNanos) {
         this.self = self;
         this.bound = bound;
         this.random = random;
@@ -80,12 +80,12 @@
     }
 
     /** Takes whether this host is in touch with a leader of control; if not, it makes no requests freely. */
-    public void setCurrent(boolean isCurrent) {
+    public void setControlReachable(boolean isCurrent) {
         current = isCurrent;
     }
 
     /** Takes word that this host was suspended: permissions from before are void, and nothing is known to be free. */
-    public void suspended(long nowNanos) {
+    public void handleSuspension(long nowNanos) {
         mustAsk.addAll(spendings.keySet());
         List.copyOf(outstanding.keySet()).forEach(id -> takeBack(id));
         wake(nowNanos);
@@ -103,7 +103,7 @@
             decideAlone(ticket, spending, nowNanos);
         } else if (mayMakeFreely(spending, nowNanos)) {
             spending.madeFreely(nowNanos);
-            actions.add(new QuotaAction.Permit(ticket, QuotaAction.Ground.FREE));
+            actions.add(new QuotaAction.Permit(ticket, QuotaAction.DecisionSource.FREE));
             markDue(spending);
         } else {
             spending.waits(ticket);
@@ -113,7 +113,7 @@
     }
 
     /** Takes word that a request which was permitted did not run. */
-    public void giveBack(String team, long nowNanos) {
+    public void refund(String team, long nowNanos) {
         TeamSpender spending = spendings.get(team);
         if (spending != null) {
             spending.givenBack(nowNanos);
@@ -123,7 +123,7 @@
     }
 
     /** Takes the answer to a report. */
-    public void answered(long id, RateVerdict verdict, long nowNanos) {
+    public void handleVerdict(long id, RateVerdict verdict, long nowNanos) {
         Outstanding report = outstanding.remove(id);
         if (report == null) {
             return;
@@ -145,7 +145,7 @@
      *
      * @return false if the report was answered or given up before
      */
-    public boolean failed(long id, long nowNanos) {
+    public boolean handleReportFailure(long id, long nowNanos) {
         Outstanding report = outstanding.get(id);
         if (report == null) {
             return false;
@@ -157,14 +157,14 @@
     }
 
     /** Takes word of a host that keeps account. */
-    public void told(RateNotice notice) {
+    public void handleNotice(RateNotice notice) {
         for (TeamAllowance allowance : notice.getTeamsList()) {
             setMustAsk(allowance);
         }
     }
 
     /** Takes the call of a host that keeps account from now on, and returns what was spent before. */
-    public RateCallResult called(String from, RateCall call, long nowNanos) {
+    public RateCallResult handleCall(String from, RateCall call, long nowNanos) {
         String owner = call.getOwner();
         RateCallResult.Builder result = RateCallResult.newBuilder();
         ImmutableList<String> keepers = order.keepers(owner);
@@ -212,7 +212,7 @@
     }
 
     /** Forgets teams of which nothing was spent within the window. To be called now and then. */
-    public void forgetIdle(long nowNanos) {
+    public void evictIdle(long nowNanos) {
         spendings.values().removeIf(spending -> spending.isIdle(nowNanos));
         charges.values().forEach(charge -> charge.spendings.removeIf(spending -> spending.isIdle(nowNanos)));
     }
@@ -268,10 +268,10 @@
     /** Decides by what the sum over all hosts leaves safe. */
     private void decideAlone(long ticket, TeamSpender spending, long nowNanos) {
         if (spending.makeAlone(partAlone(spending), nowNanos)) {
-            actions.add(new QuotaAction.Permit(ticket, QuotaAction.Ground.ALONE));
+            actions.add(new QuotaAction.Permit(ticket, QuotaAction.DecisionSource.ALONE));
         } else {
             int millis = ALONE_RETRY_MILLIS + random.nextInt(ALONE_RETRY_MILLIS);
-            actions.add(new QuotaAction.Refuse(ticket, millis, QuotaAction.Ground.ALONE));
+            actions.add(new QuotaAction.Refuse(ticket, millis, QuotaAction.DecisionSource.ALONE));
         }
     }
 
@@ -351,7 +351,8 @@
             reported.asked().forEach(ticket -> decideAlone(ticket, spending, nowNanos));
             return;
         }
-        QuotaAction.Ground ground = standsIn ? QuotaAction.Ground.STAND_IN : QuotaAction.Ground.ASKED;
+        QuotaAction.DecisionSource ground =
+                standsIn ? QuotaAction.DecisionSource.STAND_IN : QuotaAction.DecisionSource.ASKED;
         int granted = allowance.getGranted();
         long retryMicros = Duration.ofMillis(allowance.getRetryAfterMillis()).toNanos() / 1_000;
         for (long ticket : reported.asked()) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/RateKeeper.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaServer.java
@@ -32,7 +32,7 @@
  *
  * <p>Owned by one thread.
  */
-public final class RateKeeper {
+public final class QuotaServer {
     /** How often hosts are called again that have not answered, or must be heard of late. */
     private static final long CALL_NANOS = Duration.ofMillis(250).toNanos();
     /** How long a host counts as one that reports here: two calls and the way. */
@@ -70,7 +70,7 @@
      *
      * @param self the peer address of this host
      */
-    public RateKeeper(String self, QuotaBound bound, long nowNanos) {
+    public QuotaServer(String self, QuotaBound bound, long nowNanos) {
         this.self = self;
         this.bound = bound;
         this.rememberedSinceNanos = nowNanos;
@@ -94,7 +94,7 @@
     }
 
     /** Takes whether this host is in touch with a leader of control. */
-    public void setCurrent(boolean isCurrent, long nowNanos) {
+    public void setControlReachable(boolean isCurrent, long nowNanos) {
         if (current != isCurrent) {
             current = isCurrent;
             if (!isCurrent) {
@@ -104,13 +104,13 @@
     }
 
     /** Forgets every account, since this host was suspended: another one may have kept them meanwhile. */
-    public void suspended(long nowNanos) {
+    public void handleSuspension(long nowNanos) {
         charges.clear();
         rememberedSinceNanos = nowNanos;
     }
 
     /** Takes word that another host calls on all to report to it. */
-    public void superseded(String owner, String by, long nowNanos) {
+    public void handleSuperseded(String owner, String by, long nowNanos) {
         if (!by.equals(self)) {
             charges.remove(owner);
             if (owner.equals(self)) {
@@ -124,7 +124,7 @@
      *
      * @param token names the report in the answer
      */
-    public void report(String from, long token, RateReport report, long nowNanos) {
+    public void handleReport(String from, long token, RateReport report, long nowNanos) {
         Charge charge = charges.get(report.getOwner());
         if (charge == null || charge.isForgotten(nowNanos)) {
             charge = begin(report.getOwner(), nowNanos);
@@ -144,7 +144,7 @@
     }
 
     /** Takes what a host says to a call. */
-    public void called(String from, String owner, RateCallResult result, long nowNanos) {
+    public void handleCallResult(String from, String owner, RateCallResult result, long nowNanos) {
         Charge charge = charges.get(owner);
         if (charge == null || !hosts.contains(from)) {
             return;
@@ -177,7 +177,7 @@
     }
 
     /** Forgets accounts of which nothing was spent within the window. To be called now and then. */
-    public void forgetIdle(long nowNanos) {
+    public void evictIdle(long nowNanos) {
         charges.values().forEach(charge -> charge.accounts.values().removeIf(account -> account.isIdle(nowNanos)));
     }
 
@@ -255,7 +255,7 @@
             told.clear();
             settled = false;
             begunNanos = nowNanos;
-            actions.add(new QuotaAction.TookOver(owner));
+            actions.add(new QuotaAction.RecordTakeover(owner));
             call(nowNanos);
         }
 
@@ -389,7 +389,7 @@
         }
 
         private void tell(String team, boolean mustAsk) {
-            actions.add(new QuotaAction.Tell(RateNotice.newBuilder()
+            actions.add(new QuotaAction.Notify(RateNotice.newBuilder()
                     .addTeams(TeamAllowance.newBuilder().setTeam(team).setMustAsk(mustAsk))
                     .build()));
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ServiceTables.java
@@ -5,7 +5,7 @@
 import org.bramblerack.process.RetryBudget;
 import org.bramblerack.process.UpstreamTable;
 import org.bramblerack.version.UpstreamLimits;
-import org.bramblerack.version.VersionBoard;
+import org.bramblerack.version.VersionRegistry;
 
 /**
  * The shared tables that the queries of one service consult.
@@ -19,7 +19,7 @@
  * @param budget the retries and hedges of the service
  */
 public record ServiceTables(
-        UpstreamTable upstreams, VersionBoard versions, LatencyTracker latency, RetryBudget budget) {
+        UpstreamTable upstreams, VersionRegistry versions, LatencyTracker latency, RetryBudget budget) {
     /** The quantile of the leaf latency after which a reply is late. */
     public static final double LATE_QUANTILE_PERCENT = 97;
 
@@ -36,7 +36,7 @@
     public static ServiceTables create(UpstreamTable upstreams, UpstreamLimits limits) {
         return new ServiceTables(
                 upstreams,
-                new VersionBoard(),
+                new VersionRegistry(),
                 new LatencyTracker(LATE_QUANTILE_PERCENT, INITIAL_LATE),
                 RetryBudget.create(limits.extraLoadPercent(), BUDGET_RESERVE));
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
@@ -1,7 +1,7 @@
 package org.bramblerack.request.routed;
 
 import java.util.Optional;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.Route;
 import org.bramblerack.version.routing.Team;
 
@@ -22,8 +22,9 @@
     }
 
     /** Returns the regions that may serve a request on a route. */
-    public Homes homes(Route route) {
-        return team.map(known -> known.homes().and(route.homes())).orElse(route.homes());
+    public HomeRegions homes(Route route) {
+        return team.map(known -> known.homeRegions().intersect(route.homeRegions()))
+                .orElse(route.homeRegions());
     }
 
     /** Returns the name of the team, empty if there is none. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -395,13 +395,13 @@
     }
 
     private boolean isEnough() {
-        return parts.count() > 0 && parts.count() >= target.leastShare() * shards.count();
+        return parts.count() > 0 && parts.count() >= target.minCoverage() * shards.count();
     }
 
     /** Returns false once so many shards are lost that there will be no answer, whatever the others bring. */
     private boolean canBeEnough() {
         return !context.uses(Mechanism.EARLY_END)
-                || parts.count() + shards.waitingCount() >= target.leastShare() * shards.count();
+                || parts.count() + shards.waitingCount() >= target.minCoverage() * shards.count();
     }
 
     private void end(List<RoutedAction> actions) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -11,7 +11,7 @@
 import org.bramblerack.process.leaf.Distance;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.PermittedLeaves;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 
 /**
  * Decides which shards of a query other hosts ask on behalf of this one.
@@ -52,7 +52,7 @@
          * Returns the host that holds the connections to a leaf, if that is another host, can be asked, and may see the
          * body of a request with the given homes.
          */
-        Optional<String> holderOf(Leaf leaf, Homes homes);
+        Optional<String> holderOf(Leaf leaf, HomeRegions homes);
 
         /** Returns the region of a leaf. */
         String regionOf(Leaf leaf);
--- a/bramblerack-core/src/main/java/org/bramblerack/version/VersionBoard.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/VersionRegistry.java
@@ -19,7 +19,7 @@
  * <p>Safe for use by many threads. Its lock is the last of the lock order (see {@code docs/DESIGN.md}); nothing is
  * called while it is held. The newest map is kept between changes, so that a look-up costs one lock.
  */
-public final class VersionBoard {
+public final class VersionRegistry {
     private final Map<UpstreamName, Statement> statements = new HashMap<>();
     private Optional<ShardMap> cachedNewest = Optional.empty();
     private boolean cached = true;
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Homes.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/HomeRegions.java
@@ -9,46 +9,46 @@
  *
  * <p>Immutable and safe for use by many threads.
  */
-public final class Homes {
+public final class HomeRegions {
     /** Every region may. */
-    public static final Homes ANYWHERE = new Homes(false, ImmutableSortedSet.of());
+    public static final HomeRegions ANY = new HomeRegions(false, ImmutableSortedSet.of());
 
     private final boolean bound;
     private final ImmutableSortedSet<String> regions;
 
-    private Homes(boolean bound, ImmutableSortedSet<String> regions) {
+    private HomeRegions(boolean bound, ImmutableSortedSet<String> regions) {
         this.bound = bound;
         this.regions = regions;
     }
 
     /** Returns the homes that a list of regions stands for; an empty list binds nothing. */
-    public static Homes of(Collection<String> regions) {
-        return regions.isEmpty() ? ANYWHERE : new Homes(true, ImmutableSortedSet.copyOf(regions));
+    public static HomeRegions of(Collection<String> regions) {
+        return regions.isEmpty() ? ANY : new HomeRegions(true, ImmutableSortedSet.copyOf(regions));
     }
 
     /** Returns true if the region may serve the request and see its body. */
-    public boolean allow(String region) {
+    public boolean allows(String region) {
         return !bound || regions.contains(region);
     }
 
     /** Returns the regions that both allow, which may be none at all. */
-    public Homes and(Homes other) {
+    public HomeRegions intersect(HomeRegions other) {
         if (!bound) {
             return other;
         }
         if (!other.bound) {
             return this;
         }
-        return new Homes(true, ImmutableSortedSet.copyOf(Sets.intersection(regions, other.regions)));
+        return new HomeRegions(true, ImmutableSortedSet.copyOf(Sets.intersection(regions, other.regions)));
     }
 
     /** Returns true if every region may serve the request. */
-    public boolean areAnywhere() {
+    public boolean isUnrestricted() {
         return !bound;
     }
 
     /** Returns true if no region may serve the request. */
-    public boolean areNowhere() {
+    public boolean allowsNone() {
         return bound && regions.isEmpty();
     }
 
@@ -59,7 +59,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Homes that && bound == that.bound && regions.equals(that.regions);
+        return other instanceof HomeRegions that && bound == that.bound && regions.equals(that.regions);
     }
 
     @Override
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
@@ -19,7 +19,7 @@
  * @param priority its rank; 0 is the highest
  * @param maxAttempts how many leafs a request may be sent to, for a fan-out at each shard
  * @param target where its requests go
- * @param homes the regions that may serve its requests
+ * @param homeRegions the regions that may serve its requests
  * @param isPublic true if its callers need no key although the configuration has teams
  */
 public record Route(
@@ -32,13 +32,13 @@
         int priority,
         int maxAttempts,
         RouteTarget target,
-        Homes homes,
+        HomeRegions homeRegions,
         boolean isPublic) {
     /** Refuses what no request could be served by. */
     public Route {
         requireNonNull(kind);
         requireNonNull(target);
-        requireNonNull(homes);
+        requireNonNull(homeRegions);
         checkArgument(
                 prefix.startsWith("/") && prefix.endsWith("/"),
                 "the prefix %s of route %s does not begin and end with a slash",
@@ -60,7 +60,7 @@
             int priority,
             int maxAttempts,
             RouteTarget target,
-            Homes homes) {
+            HomeRegions homes) {
         this(name, host, prefix, kind, timeout, goal, priority, maxAttempts, target, homes, false);
     }
 
@@ -75,6 +75,6 @@
             int priority,
             int maxAttempts,
             RouteTarget target) {
-        this(name, host, prefix, kind, timeout, goal, priority, maxAttempts, target, Homes.ANYWHERE);
+        this(name, host, prefix, kind, timeout, goal, priority, maxAttempts, target, HomeRegions.ANY);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
@@ -56,9 +56,9 @@
      *
      * @param shards the services that are the shards
      * @param topRecords how many of the greatest records the answer holds
-     * @param leastShare the share of the shards, 0 to 1, below which there is no answer
+     * @param minCoverage the share of the shards, 0 to 1, below which there is no answer
      */
-    record Scatter(ImmutableList<String> shards, int topRecords, double leastShare) implements RouteTarget {
+    record Scatter(ImmutableList<String> shards, int topRecords, double minCoverage) implements RouteTarget {
         /** Refuses a set of shards that is empty or names one twice. */
         public Scatter {
             checkArgument(!shards.isEmpty(), "a fan-out names no shard; name one at least");
@@ -66,7 +66,8 @@
                     ImmutableSet.copyOf(shards).size() == shards.size(),
                     "a fan-out names a shard twice; name each once");
             checkArgument(topRecords >= 0, "a fan-out asks for %s records; ask for 0 or more", topRecords);
-            checkArgument(leastShare >= 0 && leastShare <= 1, "the least share %s is not between 0 and 1", leastShare);
+            checkArgument(
+                    minCoverage >= 0 && minCoverage <= 1, "the least share %s is not between 0 and 1", minCoverage);
         }
 
         @Override
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
@@ -15,14 +15,15 @@
  * @param keys the digests of its keys; a team without any cannot make requests
  * @param priority its rank, which goes before that of a route; 0 is the highest, empty leaves it to the route
  * @param limit how many requests it may make
- * @param homes the regions that may serve its requests
+ * @param homeRegions the regions that may serve its requests
  */
-public record Team(String name, ImmutableSet<KeyDigest> keys, OptionalInt priority, RateLimit limit, Homes homes) {
+public record Team(
+        String name, ImmutableSet<KeyDigest> keys, OptionalInt priority, RateLimit limit, HomeRegions homeRegions) {
     /** Refuses a team without a name. */
     public Team {
         checkArgument(!name.isEmpty(), "a team has no name; give it one");
         requireNonNull(keys);
         requireNonNull(limit);
-        requireNonNull(homes);
+        requireNonNull(homeRegions);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/HolderAssignmentTest.java
@@ -22,7 +22,7 @@
     private static final ServiceName SERVICE = new ServiceName("p", "s");
 
     @Property(tries = 500, seed = "11")
-    void theSharesOfAllHoldersInAllTheirLivesFitTheLimit(
+    void theSharesOfAllHoldersInAllIncarnationsFitTheLimit(
             @ForAll @IntRange(min = 1, max = 100) int connections, @ForAll @IntRange(min = 0, max = 120) int hosts) {
         HolderAssignment assignment = HolderAssignment.compute(upstream(0), limits(connections), hosts(hosts));
         int most = assignment.holders().size() * HolderAssignment.LIVES * assignment.share();
--- a/bramblerack-core/src/test/java/org/bramblerack/connection/ReplicaGateTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/connection/ReplicaGateTest.java
@@ -13,8 +13,8 @@
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long FAR = 1_000_000 * MILLI;
 
-    private final ReplicaGate gate = new ReplicaGate(2);
-    private final List<GateAction> actions = new ArrayList<>();
+    private final ReplicaLimiter gate = new ReplicaLimiter(2);
+    private final List<LimiterAction> actions = new ArrayList<>();
 
     @Test
     void neverHasMoreCallsAtTheUpstreamThanItHasSlots() {
@@ -22,7 +22,7 @@
             actions.addAll(gate.submit("c" + call, Priority.NORMAL, FAR, 0));
         }
         assertThat(dispatched()).containsExactly("c0", "c1").inOrder();
-        actions.addAll(gate.finished("c0", MILLI));
+        actions.addAll(gate.onFinished("c0", MILLI));
         assertThat(dispatched()).containsExactly("c0", "c1", "c2").inOrder();
     }
 
@@ -33,7 +33,7 @@
             actions.addAll(gate.submit("u" + call, Priority.URGENT, FAR, 0));
         }
         for (int step = 0; step < 24; step++) {
-            actions.addAll(gate.finished(dispatched().get(step), step * MILLI));
+            actions.addAll(gate.onFinished(dispatched().get(step), step * MILLI));
         }
         long normal = dispatched().stream().filter(call -> call.startsWith("n")).count();
         assertThat(normal).isAtLeast(3L);
@@ -48,7 +48,7 @@
             gate.submit("w" + call, Priority.NORMAL, FAR, 0);
         }
         assertThat(gate.submit("late", Priority.NORMAL, 3 * MILLI, 0))
-                .containsExactly(new GateAction.Refuse("late", LeafFailure.QUEUE_FULL));
+                .containsExactly(new LimiterAction.Refuse("late", LeafFailure.QUEUE_FULL));
     }
 
     @Test
@@ -56,7 +56,7 @@
         gate.submit("a", Priority.NORMAL, FAR, 0);
         gate.submit("b", Priority.NORMAL, FAR, 0);
         gate.submit("c", Priority.NORMAL, 5 * MILLI, 0);
-        assertThat(gate.finished("a", 6 * MILLI)).containsExactly(new GateAction.Refuse("c", LeafFailure.EXPIRED));
+        assertThat(gate.onFinished("a", 6 * MILLI)).containsExactly(new LimiterAction.Refuse("c", LeafFailure.EXPIRED));
     }
 
     @Test
@@ -64,8 +64,8 @@
         gate.submit("a", Priority.NORMAL, FAR, 0);
         gate.submit("b", Priority.NORMAL, FAR, 0);
         gate.submit("c", Priority.NORMAL, FAR, 0);
-        assertThat(gate.cancel("c")).containsExactly(new GateAction.Refuse("c", LeafFailure.CANCELLED));
-        assertThat(gate.cancel("a")).containsExactly(new GateAction.CancelAtUpstream("a"));
+        assertThat(gate.cancel("c")).containsExactly(new LimiterAction.Refuse("c", LeafFailure.CANCELLED));
+        assertThat(gate.cancel("a")).containsExactly(new LimiterAction.CancelAtUpstream("a"));
         assertThat(gate.running()).isEqualTo(2);
         assertThat(gate.cancel("unknown")).isEmpty();
     }
@@ -75,14 +75,14 @@
         gate.submit("a", Priority.NORMAL, FAR, 0);
         gate.submit("b", Priority.NORMAL, FAR, 0);
         gate.submit("c", Priority.NORMAL, FAR, 0);
-        assertThat(gate.shed("a", MILLI)).isEmpty();
+        assertThat(gate.onShed("a", MILLI)).isEmpty();
         assertThat(gate.running()).isEqualTo(1);
     }
 
     private List<String> dispatched() {
         return actions.stream()
-                .filter(GateAction.Dispatch.class::isInstance)
-                .map(action -> ((GateAction.Dispatch) action).callId())
+                .filter(LimiterAction.Dispatch.class::isInstance)
+                .map(action -> ((LimiterAction.Dispatch) action).callId())
                 .toList();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaScheduleTest.java
@@ -21,7 +21,7 @@
     private static final QuotaWorld.Demand HOT = new QuotaWorld.Demand(0.625, 6.25);
 
     @Test
-    void theBoundHoldsWhateverHappens() {
+    void theBoundHoldsUnderAllFaults() {
         List<String> broken = new ArrayList<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
             double over = drawn(seed, QuotaWorld.Plant.NONE).worst();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whoKeepsToItsLimitIsNotRefused() {
+    void aTeamWithinItsLimitIsNotRefused() {
         int asked = 0;
         int refused = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
@@ -48,7 +48,7 @@
 
     /** Hosts that are killed or stopped in turn, and control that is lost, leave the others in touch. */
     @Test
-    void whoKeepsToItsLimitIsNotRefusedWhileHostsComeAndGo() {
+    void aTeamWithinItsLimitIsNotRefusedWhileHostsComeAndGo() {
         int asked = 0;
         int refused = 0;
         for (QuotaWorld.Trouble trouble :
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aLimitIsUsed() {
+    void aTeamCanUseItsWholeLimit() {
         double least = 1;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS / 10; seed++) {
             least = Math.min(
--- a/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/quota/QuotaWorld.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RateLimit;
 import org.bramblerack.version.routing.Team;
 import org.bramblerack.version.routing.Teams;
@@ -163,7 +163,7 @@
     private double bound(String team, long from, long to) {
         return versions.stream()
                 .filter(version -> version.since <= to && version.lastHeld() + WINDOW >= from)
-                .mapToDouble(version -> BOUND.most(requireNonNull(version.limits.get(team))))
+                .mapToDouble(version -> BOUND.maxRequests(requireNonNull(version.limits.get(team))))
                 .max()
                 .orElseThrow();
     }
@@ -374,8 +374,8 @@
         private final Map<Long, String> teamsByTicket = new HashMap<>();
         private final Deque<Runnable> whileFrozen = new ArrayDeque<>();
         private final Map<Long, Host> askers = new HashMap<>();
-        private RateSpender spender;
-        private RateKeeper keeper;
+        private QuotaClient spender;
+        private QuotaServer keeper;
         private int life;
         private int side;
         private boolean up;
@@ -391,8 +391,8 @@
         Host(String name, int region) {
             this.name = name;
             this.region = region;
-            this.spender = new RateSpender(name, BOUND, new SplittableRandom(1), 0);
-            this.keeper = new RateKeeper(name, BOUND, 0);
+            this.spender = new QuotaClient(name, BOUND, new SplittableRandom(1), 0);
+            this.keeper = new QuotaServer(name, BOUND, 0);
         }
 
         long nanos() {
@@ -406,8 +406,8 @@
             current = began < 0;
             life++;
             long nanos = TimeUnit.MICROSECONDS.toNanos(began - leftOut) + TimeUnit.DAYS.toNanos(1);
-            spender = new RateSpender(name, BOUND, new SplittableRandom(random.nextLong()), nanos);
-            keeper = new RateKeeper(name, BOUND, nanos);
+            spender = new QuotaClient(name, BOUND, new SplittableRandom(random.nextLong()), nanos);
+            keeper = new QuotaServer(name, BOUND, nanos);
             teamsByTicket.clear();
             askers.clear();
             whileFrozen.clear();
@@ -434,8 +434,8 @@
             frozen = false;
             leftOut += length;
             if (length >= SECOND * 4 / 10) {
-                spender.suspended(nanos());
-                keeper.suspended(nanos());
+                spender.handleSuspension(nanos());
+                keeper.handleSuspension(nanos());
             }
             while (!whileFrozen.isEmpty()) {
                 whileFrozen.remove().run();
@@ -461,8 +461,8 @@
                 boolean isCurrent = ready && (reached || now - lastCurrent < CONTROL_SILENCE);
                 if (isCurrent != current) {
                     current = isCurrent;
-                    spender.setCurrent(isCurrent);
-                    keeper.setCurrent(isCurrent, nanos());
+                    spender.setControlReachable(isCurrent);
+                    keeper.setControlReachable(isCurrent, nanos());
                 }
                 keeper.wake(nanos());
                 spender.wake(nanos());
@@ -478,7 +478,7 @@
                     .collect(ImmutableSet.toImmutableSet());
             List<Team> teams = limits.entrySet().stream()
                     .map(limit -> new Team(
-                            limit.getKey(), ImmutableSet.of(), OptionalInt.empty(), limit.getValue(), Homes.ANYWHERE))
+                            limit.getKey(), ImmutableSet.of(), OptionalInt.empty(), limit.getValue(), HomeRegions.ANY))
                     .toList();
             keeper.setTeams(Teams.of(teams));
             versions.forEach(version -> version.leave(this));
@@ -489,8 +489,8 @@
                 keeper.setHosts(ImmutableList.copyOf(names), nanos());
                 spender.setHosts(ImmutableList.copyOf(names), nanos());
             }
-            spender.setCurrent(true);
-            keeper.setCurrent(true, nanos());
+            spender.setControlReachable(true);
+            keeper.setControlReachable(true, nanos());
             current = true;
         }
 
@@ -557,8 +557,8 @@
                 answer(answer);
             } else if (action instanceof QuotaAction.Call call) {
                 call(call);
-            } else if (action instanceof QuotaAction.Tell tell) {
-                hosts.forEach(to -> sendTo(to, () -> to.spender.told(tell.notice())));
+            } else if (action instanceof QuotaAction.Notify tell) {
+                hosts.forEach(to -> sendTo(to, () -> to.spender.handleNotice(tell.notice())));
             } else if (action instanceof QuotaAction.Wake wake) {
                 long inMicros = Math.max(0, TimeUnit.NANOSECONDS.toMicros(wake.atNanos() - nanos()) + 1);
                 later(now + inMicros, () -> {
@@ -571,7 +571,7 @@
         /** Makes a request; one in twenty turns out not to have run. */
         private void run(String team) {
             if (random.nextInt(20) == 0) {
-                later(now + random.nextLong(SECOND / 2), () -> spender.giveBack(team, nanos()));
+                later(now + random.nextLong(SECOND / 2), () -> spender.refund(team, nanos()));
             } else {
                 runs.computeIfAbsent(team, unused -> new ArrayList<>()).add(now);
             }
@@ -580,7 +580,7 @@
         private void refuse(QuotaAction.Refuse refuse) {
             String team = teamsByTicket.remove(refuse.ticket());
             owedRefused += owed.contains(refuse.ticket()) ? 1 : 0;
-            if (plant == Plant.ALONE_IS_FREE && refuse.ground() == QuotaAction.Ground.ALONE) {
+            if (plant == Plant.ALONE_IS_FREE && refuse.source() == QuotaAction.DecisionSource.ALONE) {
                 run(team);
                 return;
             }
@@ -598,22 +598,22 @@
                                 .setTeam(team.getTeam())
                                 .setMustAsk(!permits)
                                 .setGranted(permits ? team.getAsked() : 0));
-                later(now, () -> spender.answered(report.id(), verdict.build(), nanos()));
+                later(now, () -> spender.handleVerdict(report.id(), verdict.build(), nanos()));
                 return;
             }
             if (to == null || !to.up) {
-                later(now, () -> spender.failed(report.id(), nanos()));
+                later(now, () -> spender.handleReportFailure(report.id(), nanos()));
                 return;
             }
             later(
-                    now + TimeUnit.NANOSECONDS.toMicros(report.answerWait().toNanos()),
-                    () -> spender.failed(report.id(), nanos()));
+                    now + TimeUnit.NANOSECONDS.toMicros(report.answerTimeout().toNanos()),
+                    () -> spender.handleReportFailure(report.id(), nanos()));
             int ofLife = life;
             sendTo(to, () -> {
                 if (life == ofLife) {
                     long token = tickets++;
                     to.askers.put(token, this);
-                    to.keeper.report(name, (token << 20) | report.id(), report.report(), to.nanos());
+                    to.keeper.handleReport(name, (token << 20) | report.id(), report.report(), to.nanos());
                 }
             });
         }
@@ -624,7 +624,7 @@
                 int ofLife = to.life;
                 sendTo(to, () -> {
                     if (to.life == ofLife) {
-                        to.spender.answered(answer.token() & 0xfffff, answer.verdict(), to.nanos());
+                        to.spender.handleVerdict(answer.token() & 0xfffff, answer.verdict(), to.nanos());
                     }
                 });
             }
@@ -636,14 +636,15 @@
                 return;
             }
             sendTo(to, () -> {
-                RateCallResult told = to.spender.called(name, call.call(), to.nanos());
+                RateCallResult told = to.spender.handleCall(name, call.call(), to.nanos());
                 if (told.getFollows()) {
-                    to.keeper.superseded(call.call().getOwner(), name, to.nanos());
+                    to.keeper.handleSuperseded(call.call().getOwner(), name, to.nanos());
                 }
                 RateCallResult result = plant == Plant.NOTHING_TOLD
                         ? told.toBuilder().clearTeams().build()
                         : told;
-                to.sendTo(this, () -> keeper.called(to.name, call.call().getOwner(), result, nanos()));
+                to.sendTo(
+                        this, () -> keeper.handleCallResult(to.name, call.call().getOwner(), result, nanos()));
             });
         }
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.CharRange;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.StringLength;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.KeyDigest;
 import org.bramblerack.version.routing.RateLimit;
 import org.bramblerack.version.routing.RequestKind;
@@ -29,8 +29,8 @@
 final class CallerCheckTest {
     private static final Team TEAM = team("a", "key-1", "key-2");
     private static final Teams TEAMS = Teams.of(List.of(TEAM, team("b", "key-3")));
-    private static final Route CLOSED = route(false, Homes.of(List.of("r1", "r2")));
-    private static final Route PUBLIC = route(true, Homes.ANYWHERE);
+    private static final Route CLOSED = route(false, HomeRegions.of(List.of("r1", "r2")));
+    private static final Route PUBLIC = route(true, HomeRegions.ANY);
 
     @ParameterizedTest
     @ValueSource(strings = {"Token key-1", "token key-2", "TOKEN   key-1", " Token\tkey-1 "})
@@ -84,12 +84,12 @@
 
     @Test
     void theHomesOfTeamAndRouteBindTogetherAndTheRankOfTheTeamGoesFirst() {
-        CallerIdentity caller = new CallerIdentity(Optional.of(
-                new Team("a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, Homes.of(List.of("r2", "r3")))));
-        assertThat(caller.homes(CLOSED)).isEqualTo(Homes.of(List.of("r2")));
-        assertThat(caller.homes(route(false, Homes.of(List.of("r1")))).areNowhere())
+        CallerIdentity caller = new CallerIdentity(Optional.of(new Team(
+                "a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, HomeRegions.of(List.of("r2", "r3")))));
+        assertThat(caller.homes(CLOSED)).isEqualTo(HomeRegions.of(List.of("r2")));
+        assertThat(caller.homes(route(false, HomeRegions.of(List.of("r1")))).allowsNone())
                 .isTrue();
-        assertThat(caller.homes(PUBLIC)).isEqualTo(Homes.of(List.of("r2", "r3")));
+        assertThat(caller.homes(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
         assertThat(caller.priority(CLOSED)).isEqualTo(0);
         assertThat(new CallerIdentity(Optional.of(TEAM)).priority(CLOSED)).isEqualTo(7);
     }
@@ -129,10 +129,10 @@
         for (String key : keys) {
             digests.add(KeyDigest.of(key));
         }
-        return new Team(name, digests.build(), OptionalInt.empty(), RateLimit.NONE, Homes.ANYWHERE);
+        return new Team(name, digests.build(), OptionalInt.empty(), RateLimit.NONE, HomeRegions.ANY);
     }
 
-    private static Route route(boolean isPublic, Homes homes) {
+    private static Route route(boolean isPublic, HomeRegions homes) {
         Duration time = Duration.ofSeconds(1);
         return new Route(
                 "r", "h", "/", RequestKind.IDEMPOTENT, time, time, 7, 1, new RouteTarget.Single("s"), homes, isPublic);
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/PlacesScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/PlacesScheduleTest.java
@@ -15,7 +15,7 @@
 import org.bramblerack.process.leaf.LeafPool;
 import org.bramblerack.process.leaf.PermittedLeaves;
 import org.bramblerack.process.leaf.RoutingContext;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RouteTarget;
 import org.junit.jupiter.api.Test;
 
@@ -64,7 +64,7 @@
         private final int seed;
         private final SplittableRandom random;
         private final boolean keepsHomes;
-        private final Homes homes;
+        private final HomeRegions homes;
         private final List<LeafPool> pools = new ArrayList<>();
         private final List<Attempt> open = new ArrayList<>();
         private final boolean[] drained = new boolean[ZONES.size()];
@@ -76,8 +76,8 @@
             this.keepsHomes = keepsHomes;
             this.random = new SplittableRandom(seed);
             this.homes = random.nextInt(4) == 0
-                    ? Homes.ANYWHERE
-                    : Homes.of(ImmutableList.of(regionOf(ZONES.get(random.nextInt(ZONES.size())))));
+                    ? HomeRegions.ANY
+                    : HomeRegions.of(ImmutableList.of(regionOf(ZONES.get(random.nextInt(ZONES.size())))));
             for (int shard = 0; shard < SHARDS; shard++) {
                 pools.add(pool("s" + shard));
             }
@@ -103,7 +103,7 @@
         }
 
         private ImmutableList<PermittedLeaves> permitted() {
-            Homes used = keepsHomes ? homes : Homes.ANYWHERE;
+            HomeRegions used = keepsHomes ? homes : HomeRegions.ANY;
             return pools.stream().map(pool -> pool.permitted(used)).collect(ImmutableList.toImmutableList());
         }
 
@@ -198,7 +198,7 @@
                     Leaf leaf = ask.attempt().leaf();
                     open.add(ask.attempt());
                     assertWithMessage("seed %s: %s asked at %s", seed, homes, leaf.place())
-                            .that(homes.allow(leaf.place().region()))
+                            .that(homes.allows(leaf.place().region()))
                             .isTrue();
                     assertWithMessage("seed %s: asked at drained %s", seed, leaf.place())
                             .that(drained[ZONES.indexOf(leaf.place().zone())])
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
@@ -15,7 +15,7 @@
 import org.bramblerack.process.leaf.LeafOutcome;
 import org.bramblerack.process.leaf.LeafPool;
 import org.bramblerack.process.leaf.PermittedLeaves;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RouteTarget;
 
 /** Leafs by name and a record of what a request wanted done. */
@@ -113,7 +113,7 @@
 
     ImmutableList<PermittedLeaves> pools() {
         return pools.values().stream()
-                .map(pool -> pool.permitted(Homes.ANYWHERE))
+                .map(pool -> pool.permitted(HomeRegions.ANY))
                 .collect(ImmutableList.toImmutableList());
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -15,7 +15,7 @@
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafPool;
 import org.bramblerack.process.leaf.PermittedLeaves;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.junit.jupiter.api.Test;
 
 final class StagePlannerTest {
@@ -108,7 +108,7 @@
 
     private ImmutableList<StageAttempt> plan(StagePlanner.Relays relays, LeafPool... pools) {
         ImmutableList<PermittedLeaves> permitted = Arrays.stream(pools)
-                .map(pool -> pool.permitted(Homes.ANYWHERE))
+                .map(pool -> pool.permitted(HomeRegions.ANY))
                 .collect(ImmutableList.toImmutableList());
         return planner.plan(permitted, EXPECTED, HEDGE, relays, 0);
     }
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, Homes homes) {
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
             return Optional.ofNullable(holders.get(leaf.id()));
         }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/version/VersionBoardTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/VersionRegistryTest.java
@@ -5,10 +5,10 @@
 import com.google.common.collect.ImmutableSet;
 import org.junit.jupiter.api.Test;
 
-final class VersionBoardTest {
+final class VersionRegistryTest {
     private static final ServiceName SERVICE = new ServiceName("p", "s");
 
-    private final VersionBoard board = new VersionBoard();
+    private final VersionRegistry board = new VersionRegistry();
 
     @Test
     void choosesTheNewestVersionThatEveryShardServes() {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void countsTheShardsOfEachVersionByItself() {
+    void countsTheShardsOfEachVersionSeparately() {
         state("a", 0, 1, 7);
         board.record(name("a"), ImmutableSet.of(new ServedVersion(7, 0, 1), new ServedVersion(8, 0, 2)));
         assertThat(board.newest().orElseThrow().shardCount()).isEqualTo(1);
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomesTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/HomesTest.java
@@ -6,31 +6,31 @@
 import org.junit.jupiter.api.Test;
 
 final class HomesTest {
-    private static final Homes NORTH = Homes.of(ImmutableList.of("north"));
-    private static final Homes NORTH_OR_SOUTH = Homes.of(ImmutableList.of("south", "north"));
+    private static final HomeRegions NORTH = HomeRegions.of(ImmutableList.of("north"));
+    private static final HomeRegions NORTH_OR_SOUTH = HomeRegions.of(ImmutableList.of("south", "north"));
 
     @Test
     void anEmptyListBindsNothing() {
-        assertThat(Homes.of(ImmutableList.of())).isEqualTo(Homes.ANYWHERE);
-        assertThat(Homes.ANYWHERE.allow("anything")).isTrue();
-        assertThat(Homes.ANYWHERE.areNowhere()).isFalse();
+        assertThat(HomeRegions.of(ImmutableList.of())).isEqualTo(HomeRegions.ANY);
+        assertThat(HomeRegions.ANY.allows("anything")).isTrue();
+        assertThat(HomeRegions.ANY.allowsNone()).isFalse();
     }
 
     @Test
     void onlyTheNamedRegionsAreAllowed() {
-        assertThat(NORTH.allow("north")).isTrue();
-        assertThat(NORTH.allow("south")).isFalse();
-        assertThat(NORTH.allow("")).isFalse();
+        assertThat(NORTH.allows("north")).isTrue();
+        assertThat(NORTH.allows("south")).isFalse();
+        assertThat(NORTH.allows("")).isFalse();
     }
 
     @Test
     void whereTwoBindBothDo() {
-        assertThat(NORTH.and(NORTH_OR_SOUTH)).isEqualTo(NORTH);
-        assertThat(Homes.ANYWHERE.and(NORTH)).isEqualTo(NORTH);
-        assertThat(NORTH.and(Homes.ANYWHERE)).isEqualTo(NORTH);
-        Homes none = NORTH.and(Homes.of(ImmutableList.of("south")));
-        assertThat(none.areNowhere()).isTrue();
-        assertThat(none.allow("north")).isFalse();
-        assertThat(none.and(Homes.ANYWHERE).areNowhere()).isTrue();
+        assertThat(NORTH.intersect(NORTH_OR_SOUTH)).isEqualTo(NORTH);
+        assertThat(HomeRegions.ANY.intersect(NORTH)).isEqualTo(NORTH);
+        assertThat(NORTH.intersect(HomeRegions.ANY)).isEqualTo(NORTH);
+        HomeRegions none = NORTH.intersect(HomeRegions.of(ImmutableList.of("south")));
+        assertThat(none.allowsNone()).isTrue();
+        assertThat(none.allows("north")).isFalse();
+        assertThat(none.intersect(HomeRegions.ANY).allowsNone()).isTrue();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/version/routing/TeamsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/routing/TeamsTest.java
@@ -26,6 +26,6 @@
     }
 
     private static Team team(String name, String key) {
-        return new Team(name, ImmutableSet.of(KeyDigest.of(key)), OptionalInt.empty(), RateLimit.NONE, Homes.ANYWHERE);
+        return new Team(name, ImmutableSet.of(KeyDigest.of(key)), OptionalInt.empty(), RateLimit.NONE, HomeRegions.ANY);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -19,8 +19,8 @@
 import org.bramblerack.process.SuspendWatch;
 import org.bramblerack.process.quota.QuotaAction;
 import org.bramblerack.process.quota.QuotaBound;
-import org.bramblerack.process.quota.RateKeeper;
-import org.bramblerack.process.quota.RateSpender;
+import org.bramblerack.process.quota.QuotaClient;
+import org.bramblerack.process.quota.QuotaServer;
 import org.bramblerack.request.routed.CallerIdentity;
 import org.bramblerack.version.routing.Team;
 import org.bramblerack.wire.Envelope;
@@ -59,8 +59,8 @@
     private final MonotonicClock clock;
     private final InstantSource wallClock;
     private final EventLoop loop;
-    private final RateSpender spender;
-    private final RateKeeper keeper;
+    private final QuotaClient spender;
+    private final QuotaServer keeper;
     private final SuspendWatch suspendWatch;
     private final RateBound lines;
     private final Map<Long, Asker> askers = new HashMap<>();
@@ -97,8 +97,8 @@
         this.loop = loop;
         long nowNanos = clock.nowNanos();
         this.forgotNanos = nowNanos;
-        this.spender = new RateSpender(self, bound, random, nowNanos);
-        this.keeper = new RateKeeper(self, bound, nowNanos);
+        this.spender = new QuotaClient(self, bound, random, nowNanos);
+        this.keeper = new QuotaServer(self, bound, nowNanos);
         this.suspendWatch = new SuspendWatch(LEAST_SUSPENSION, nowNanos, wallClock.millis());
         this.lines = new RateBound(clock, LINES_A_SECOND);
     }
@@ -141,7 +141,7 @@
             loop.execute(() -> reply.accept(
                     Envelope.newBuilder().setRateCallResult(called(message.getSender(), message.getRateCall()))));
         } else if (message.hasRateNotice()) {
-            loop.execute(() -> spender.told(message.getRateNotice()));
+            loop.execute(() -> spender.handleNotice(message.getRateNotice()));
         } else {
             return false;
         }
@@ -153,15 +153,15 @@
         long token = ++lastTicket;
         reporters.put(token, reporter);
         metrics.reportTaken();
-        keeper.report(from, token, report, nowNanos);
+        keeper.handleReport(from, token, report, nowNanos);
         carryOut();
     }
 
     private RateCallResult called(String from, RateCall call) {
         long nowNanos = refresh();
-        RateCallResult result = spender.called(from, call, nowNanos);
+        RateCallResult result = spender.handleCall(from, call, nowNanos);
         if (result.getFollows()) {
-            keeper.superseded(call.getOwner(), from, nowNanos);
+            keeper.handleSuperseded(call.getOwner(), from, nowNanos);
         }
         carryOut();
         return result;
@@ -176,8 +176,8 @@
         spender.wake(nowNanos);
         if (nowNanos - forgotNanos >= FORGET_EVERY.toNanos()) {
             forgotNanos = nowNanos;
-            keeper.forgetIdle(nowNanos);
-            spender.forgetIdle(nowNanos);
+            keeper.evictIdle(nowNanos);
+            spender.evictIdle(nowNanos);
         }
         carryOut();
     }
@@ -187,12 +187,12 @@
         long nowNanos = clock.nowNanos();
         if (suspendWatch.wasSuspended(nowNanos, wallClock.millis())) {
             EVENTS.info("limits_suspended").with("host", self).write();
-            keeper.suspended(nowNanos);
-            spender.suspended(nowNanos);
+            keeper.handleSuspension(nowNanos);
+            spender.handleSuspension(nowNanos);
         }
         boolean current = tablesCurrent.getAsBoolean();
-        keeper.setCurrent(current, nowNanos);
-        spender.setCurrent(current);
+        keeper.setControlReachable(current, nowNanos);
+        spender.setControlReachable(current);
         keeper.setTeams(view.configuration().teams());
         return nowNanos;
     }
@@ -230,9 +230,9 @@
             Optional.ofNullable(reporters.remove(answer.token())).ifPresent(reporter -> reporter.taker.accept(answer));
         } else if (action instanceof QuotaAction.Call call) {
             call(call);
-        } else if (action instanceof QuotaAction.TookOver tookOver) {
+        } else if (action instanceof QuotaAction.RecordTakeover tookOver) {
             tookOver(tookOver);
-        } else if (action instanceof QuotaAction.Tell tell) {
+        } else if (action instanceof QuotaAction.Notify tell) {
             tell(tell.notice());
         } else if (action instanceof QuotaAction.Wake wake) {
             loop.schedule(this::look, Math.max(0, wake.atNanos() - clock.nowNanos()), TimeUnit.NANOSECONDS);
@@ -242,24 +242,24 @@
     private void permit(QuotaAction.Permit permit) {
         Asker asker = askers.remove(permit.ticket());
         if (asker != null) {
-            metrics.permitted(permit.ground(), asker.team);
+            metrics.permitted(permit.source(), asker.team);
             asker.taker.accept(new Spending.Permitted(() -> giveBack(asker.team)));
         }
     }
 
     private void giveBack(String team) {
         metrics.givenBack();
-        spender.giveBack(team, refresh());
+        spender.refund(team, refresh());
         carryOut();
     }
 
     private void refuse(QuotaAction.Refuse refuse) {
         Asker asker = askers.remove(refuse.ticket());
         if (asker != null) {
-            metrics.refused(refuse.ground(), asker.team);
+            metrics.refused(refuse.source(), asker.team);
             asker.taker.accept(new Spending.Refused(
                     Duration.ofMillis(refuse.retryAfterMillis()),
-                    refuse.ground().name()));
+                    refuse.source().name()));
         }
     }
 
@@ -267,7 +267,7 @@
         long id = report.id();
         if (report.host().equals(self)) {
             loop.execute(() -> takeReport(self, report.report(), new Reporter(answer -> {
-                spender.answered(id, answer.verdict(), refresh());
+                spender.handleVerdict(id, answer.verdict(), refresh());
                 carryOut();
             })));
             return;
@@ -275,18 +275,18 @@
         metrics.reported();
         ScheduledFuture<?> giveUp = loop.schedule(
                 () -> reportFailed(id, report.host(), "no answer in time"),
-                report.answerWait().toNanos(),
+                report.answerTimeout().toNanos(),
                 TimeUnit.NANOSECONDS);
         network.requestWhenConnected(
                         report.host(),
                         () -> Envelope.newBuilder().setRateReport(report.report()),
-                        report.answerWait(),
+                        report.answerTimeout(),
                         progress -> {})
                 .subscribe()
                 .with(
                         reply -> loop.execute(() -> {
                             giveUp.cancel(false);
-                            spender.answered(id, reply.getRateVerdict(), refresh());
+                            spender.handleVerdict(id, reply.getRateVerdict(), refresh());
                             carryOut();
                         }),
                         failure -> loop.execute(() -> {
@@ -296,7 +296,7 @@
     }
 
     private void reportFailed(long id, String host, String reason) {
-        if (spender.failed(id, refresh())) {
+        if (spender.handleReportFailure(id, refresh())) {
             metrics.reportFailed();
             if (lines.admits()) {
                 EVENTS.info("limit_keeper_away")
@@ -323,11 +323,11 @@
     }
 
     private void takeResult(String host, RateCall call, RateCallResult result) {
-        keeper.called(host, call.getOwner(), result, refresh());
+        keeper.handleCallResult(host, call.getOwner(), result, refresh());
         carryOut();
     }
 
-    private void tookOver(QuotaAction.TookOver tookOver) {
+    private void tookOver(QuotaAction.RecordTakeover tookOver) {
         metrics.tookOver();
         if (lines.admits()) {
             EVENTS.info("limit_accounts_taken_over")
@@ -339,7 +339,7 @@
     }
 
     private void tell(RateNotice notice) {
-        spender.told(notice);
+        spender.handleNotice(notice);
         for (TeamAllowance team : notice.getTeamsList()) {
             metrics.turned(team.getMustAsk());
             if (lines.admits()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -355,7 +355,7 @@
         leaf.setZoneDrained(drained);
         LeafService service = configuration.services().get(record.getService());
         if (wasDrained && !drained && service != null && service.coldRequestsPerSecond() > 0) {
-            leaf.turnCold(service.coldFor(), clock.nowNanos());
+            leaf.turnCold(service.coldDuration(), clock.nowNanos());
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -245,7 +245,7 @@
 
     /** Asks whether the team may make one more request. */
     private void permit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
-        if (caller.homes(route).areNowhere()) {
+        if (caller.homes(route).allowsNone()) {
             answers.refuse(RefusalReason.NO_LEAF_AT_HOME);
             logUnrouted(exchange, RefusalReason.NO_LEAF_AT_HOME.name(), line -> {});
             return;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -15,7 +15,7 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.wire.StageCall;
 import org.bramblerack.wire.StageResult;
 
@@ -29,7 +29,7 @@
     private final StageCall query;
     private final FleetView view;
     private final StageLinks links;
-    private final Homes homes;
+    private final HomeRegions homes;
     private final CallHeaders names;
     private final MonotonicClock clock;
 
@@ -42,7 +42,7 @@
         this.query = query;
         this.view = view;
         this.links = links;
-        this.homes = Homes.of(query.getHomeRegionsList());
+        this.homes = HomeRegions.of(query.getHomeRegionsList());
         this.names = names;
         this.clock = clock;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
@@ -23,12 +23,12 @@
         this.registry = registry;
     }
 
-    void permitted(QuotaAction.Ground ground, String team) {
+    void permitted(QuotaAction.DecisionSource ground, String team) {
         count("permitted_" + ground.name().toLowerCase(Locale.ROOT));
         count("team_permitted_" + nameOf(team));
     }
 
-    void refused(QuotaAction.Ground ground, String team) {
+    void refused(QuotaAction.DecisionSource ground, String team) {
         count("refused_" + ground.name().toLowerCase(Locale.ROOT));
         count("team_refused_" + nameOf(team));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
@@ -2,7 +2,7 @@
 
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.request.routed.CallerIdentity;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.Route;
 
 /**
@@ -25,7 +25,7 @@
         long arrivedNanos,
         RequestTimes times) {
     /** Returns the regions that may serve it. */
-    Homes homes() {
+    HomeRegions homes() {
         return caller.homes(route);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -13,7 +13,7 @@
 import org.bramblerack.request.routed.StageAttempt;
 import org.bramblerack.request.routed.StageReply;
 import org.bramblerack.request.routed.StageTiming;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.wire.StageCall;
 import org.bramblerack.wire.StageProgress;
 import org.bramblerack.wire.StageResult;
@@ -27,7 +27,7 @@
     private final ImmutableList<String> shardServices;
     private final RequestTimes times;
     private final StageLinks links;
-    private final Homes homes;
+    private final HomeRegions homes;
     private final MonotonicClock clock;
     private final GatewayMetrics metrics;
     private final Runnable survived;
@@ -52,7 +52,7 @@
         this.shardServices = shardServices;
         this.times = times;
         this.links = links;
-        this.homes = Homes.of(call.getHomeRegionsList());
+        this.homes = HomeRegions.of(call.getHomeRegionsList());
         this.clock = clock;
         this.metrics = metrics;
         this.survived = survived;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -29,7 +29,7 @@
 import org.bramblerack.request.routed.StageAttempt;
 import org.bramblerack.request.routed.StagePlanner;
 import org.bramblerack.request.routed.StageTiming;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.wire.Envelope;
 import org.bramblerack.wire.HostRecord;
 import org.bramblerack.wire.Ping;
@@ -129,7 +129,7 @@
      *
      * @param passedOver the hosts that whoever asks this one passed over; they count if this one stands in for them
      */
-    Optional<Link> firstUsable(List<String> hosts, String leafId, Homes homes, Collection<String> passedOver) {
+    Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> passedOver) {
         if (hosts.isEmpty()) {
             return Optional.empty();
         }
@@ -176,7 +176,11 @@
      * @param progress takes what the host says of its progress before the reply
      */
     Uni<Envelope> ask(
-            Link link, Homes homes, Supplier<StageCall.Builder> message, Duration wait, Consumer<Envelope> progress) {
+            Link link,
+            HomeRegions homes,
+            Supplier<StageCall.Builder> message,
+            Duration wait,
+            Consumer<Envelope> progress) {
         if (!maySee(link.host, homes)) {
             return Uni.createFrom()
                     .failure(new PeerFailure(
@@ -186,8 +190,9 @@
                 link.host, () -> Envelope.newBuilder().setStageCall(message.get()), wait, progress);
     }
 
-    private boolean maySee(String host, Homes homes) {
-        return homes.areAnywhere() || view.regionOf(host).filter(homes::allow).isPresent();
+    private boolean maySee(String host, HomeRegions homes) {
+        return homes.isUnrestricted()
+                || view.regionOf(host).filter(homes::allows).isPresent();
     }
 
     /** Returns a number that no other call of this host has. */
@@ -255,7 +260,7 @@
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, Homes homes) {
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
             return firstUsable(view.holdersOf(leaf), leaf.id(), homes, passedOver)
                     .map(Link::host);
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -21,7 +21,7 @@
 import org.bramblerack.request.routed.RefusalReason;
 import org.bramblerack.request.routed.SealLead;
 import org.bramblerack.request.routed.StageTiming;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RequestKind;
 import org.bramblerack.version.routing.Route;
 import org.bramblerack.version.routing.RouteTarget;
@@ -88,7 +88,7 @@
             calls.end(sender, call.getCall());
             reply.accept(message);
         };
-        Homes homes = homes(call);
+        HomeRegions homes = homes(call);
         LeafRequest request = LeafRequest.create(
                 call.getMethod(),
                 call.getUri(),
@@ -135,7 +135,7 @@
     private void runQuery(
             String sender,
             StageCall call,
-            Homes homes,
+            HomeRegions homes,
             long arrivedNanos,
             LeafRequest request,
             Consumer<Envelope.Builder> reply,
@@ -183,7 +183,7 @@
      * Returns why a call is not run, if it is not. One that waited here for longer than the host that asked waits for a
      * first word is asked elsewhere by now; begun all the same, it would take one leaf more than the route allows.
      */
-    private Optional<String> refusal(StageCall call, Homes homes, LeafRequest request, long arrivedNanos) {
+    private Optional<String> refusal(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
         if (refusesWork) {
             return Optional.of("this host is stopping");
         }
@@ -193,7 +193,7 @@
         if (view.harm().permission(request::fingerprints) == Permission.BARRED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
-        if (homes.areNowhere()) {
+        if (homes.allowsNone()) {
             return Optional.of("no region may serve the route by all that hosts know of it");
         }
         long waitedNanos = clock.nowNanos() - arrivedNanos;
@@ -205,11 +205,13 @@
      * Returns the regions that may serve a call: those that the host that asked knows of its route and its team and
      * those that this host does, since for a moment the two may follow different versions of the configuration.
      */
-    private Homes homes(StageCall call) {
+    private HomeRegions homes(StageCall call) {
         RoutingConfiguration known = view.configuration();
-        Homes ofRoute = known.routeNamed(call.getRoute()).map(Route::homes).orElse(Homes.ANYWHERE);
-        Homes ofTeam = known.teams().named(call.getTeam()).map(Team::homes).orElse(Homes.ANYWHERE);
-        return Homes.of(call.getHomeRegionsList()).and(ofRoute).and(ofTeam);
+        HomeRegions ofRoute =
+                known.routeNamed(call.getRoute()).map(Route::homeRegions).orElse(HomeRegions.ANY);
+        HomeRegions ofTeam =
+                known.teams().named(call.getTeam()).map(Team::homeRegions).orElse(HomeRegions.ANY);
+        return HomeRegions.of(call.getHomeRegionsList()).intersect(ofRoute).intersect(ofTeam);
     }
 
     /**
@@ -222,7 +224,7 @@
     }
 
     /** Returns what hosts are told that are asked in turn; shards and times are added for each. */
-    private static StageCall passedOn(StageCall call, Homes homes, int maxAttempts) {
+    private static StageCall passedOn(StageCall call, HomeRegions homes, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
                 .clearServices()
@@ -247,11 +249,11 @@
      *
      * <p>Evidence of how long calls take is kept by its name.
      */
-    private Route route(StageCall call, RouteTarget.Scatter target, Homes homes, int maxAttempts) {
+    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homes, int maxAttempts) {
         return view.configuration()
                 .routeNamed(call.getRoute())
                 .filter(known -> known.maxAttempts() == maxAttempts
-                        && known.homes().equals(homes)
+                        && known.homeRegions().equals(homes)
                         && known.priority() == call.getPriority())
                 .orElseGet(() -> new Route(
                         call.getRoute(),
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -40,7 +40,7 @@
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
 import org.bramblerack.process.leaf.RoutingPolicy;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.LeafService;
 import org.bramblerack.version.routing.RequestKind;
 import org.bramblerack.version.routing.RequestLimits;
@@ -307,7 +307,7 @@
                     .set(names.requestId(), "warm-up-" + sent)
                     .set(names.deadlineMillis(), ROUTE_TIME.toMillis());
             String uri = sent % 5 == 0 ? "/single/query" : "/scatter/query";
-            LeafRequest request = LeafRequest.create("GET", uri, headers, new byte[0], Homes.ANYWHERE, "", names);
+            LeafRequest request = LeafRequest.create("GET", uri, headers, new byte[0], HomeRegions.ANY, "", names);
             connections.send(request, clock.nowNanos() + ROUTE_TIME.toNanos(), this);
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
-import org.bramblerack.connection.GateAction;
-import org.bramblerack.connection.ReplicaGate;
+import org.bramblerack.connection.LimiterAction;
+import org.bramblerack.connection.ReplicaLimiter;
 import org.bramblerack.daemon.peer.Workers;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.EndWatch;
@@ -31,7 +31,7 @@
     private final Workers workers;
     private final MonotonicClock clock;
     private final ReentrantLock lock = new ReentrantLock();
-    private final ReplicaGate gate;
+    private final ReplicaLimiter gate;
     private final UpstreamHarm harm;
     private final EndWatch<LeafRequest> ends = new EndWatch<>();
     private final Map<String, Call> calls = new HashMap<>();
@@ -48,7 +48,7 @@
         this.workers = workers;
         this.clock = clock;
         this.harm = harm;
-        this.gate = new ReplicaGate(slots);
+        this.gate = new ReplicaLimiter(slots);
     }
 
     Upstream upstream() {
@@ -96,13 +96,13 @@
         }
     }
 
-    private void carryOut(List<GateAction> actions) {
-        for (GateAction action : actions) {
-            if (action instanceof GateAction.Dispatch dispatch) {
+    private void carryOut(List<LimiterAction> actions) {
+        for (LimiterAction action : actions) {
+            if (action instanceof LimiterAction.Dispatch dispatch) {
                 dispatch(dispatch.callId());
-            } else if (action instanceof GateAction.Refuse refuse) {
+            } else if (action instanceof LimiterAction.Refuse refuse) {
                 complete(refuse.callId(), new LeafOutcome.Failed(refuse.failure()));
-            } else if (action instanceof GateAction.CancelAtUpstream cancel) {
+            } else if (action instanceof LimiterAction.CancelAtUpstream cancel) {
                 protocol.cancel(cancel.callId());
             }
         }
@@ -134,7 +134,7 @@
             complete(callId, outcome);
             boolean shed = outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.OVERLOADED;
             long nowNanos = clock.nowNanos();
-            carryOut(shed ? gate.shed(callId, nowNanos) : gate.finished(callId, nowNanos));
+            carryOut(shed ? gate.onShed(callId, nowNanos) : gate.onFinished(callId, nowNanos));
         } finally {
             lock.unlock();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -14,7 +14,7 @@
 import org.bramblerack.process.harm.Arrival;
 import org.bramblerack.process.harm.Fingerprints;
 import org.bramblerack.process.leaf.Leaf;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -44,7 +44,7 @@
     private final boolean head;
     private final byte[] commonHead;
     private final byte[] body;
-    private final Homes homes;
+    private final HomeRegions homes;
     private final Supplier<Fingerprints> fingerprintsSource;
     private volatile @Nullable Fingerprints fingerprints;
 
@@ -54,7 +54,7 @@
             boolean head,
             byte[] commonHead,
             byte[] body,
-            Homes homes,
+            HomeRegions homes,
             Supplier<Fingerprints> fingerprintsSource) {
         this.names = names;
         this.requestId = requestId;
@@ -76,7 +76,7 @@
             String uri,
             Iterable<Map.Entry<String, String>> headers,
             byte[] body,
-            Homes homes,
+            HomeRegions homes,
             String team,
             CallHeaders names) {
         StringBuilder text = new StringBuilder(256);
@@ -142,7 +142,7 @@
 
     /** Returns true if the leaf may get it. */
     boolean mayBeSentTo(Leaf leaf) {
-        return homes.allow(leaf.place().region());
+        return homes.allows(leaf.place().region());
     }
 
     /** Returns true if answers to it have no body whatever their head says. */
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -28,7 +28,7 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.quota.QuotaBound;
 import org.bramblerack.request.routed.CallerIdentity;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RateLimit;
 import org.bramblerack.version.routing.RequestLimits;
 import org.bramblerack.version.routing.RoutingConfiguration;
@@ -46,7 +46,7 @@
     private static final Duration WINDOW = Duration.ofSeconds(1);
     private static final QuotaBound BOUND = new QuotaBound(WINDOW, 0.1, 20);
     private static final RateLimit LIMIT = new RateLimit(50, 10);
-    private static final Team TEAM = new Team("team", ImmutableSet.of(), OptionalInt.empty(), LIMIT, Homes.ANYWHERE);
+    private static final Team TEAM = new Team("team", ImmutableSet.of(), OptionalInt.empty(), LIMIT, HomeRegions.ANY);
     private static final CallerIdentity CALLER = new CallerIdentity(Optional.of(TEAM));
 
     private final MonotonicClock clock = MonotonicClock.system();
@@ -83,7 +83,7 @@
         long endNanos = clock.nowNanos();
         hosts.forEach(Host::kill);
 
-        assertThat(mostInAWindow()).isAtMost((int) BOUND.most(LIMIT));
+        assertThat(mostInAWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
         assertThat(takenOver()).isGreaterThan(takenOver);
         long inLastWindows = permittedNanos.stream()
                 .filter(at -> at > killedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -34,7 +34,7 @@
 import org.bramblerack.daemon.peer.PeerServer;
 import org.bramblerack.daemon.peer.PeerTraffic;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.KeyDigest;
 import org.bramblerack.version.routing.LeafService;
 import org.bramblerack.version.routing.RateLimit;
@@ -283,7 +283,7 @@
                 ImmutableSet.of(KeyDigest.of("key-1")),
                 OptionalInt.empty(),
                 RateLimit.NONE,
-                Homes.of(List.of("elsewhere")));
+                HomeRegions.of(List.of("elsewhere")));
         apply(2, true, Teams.of(List.of(bound)));
         assertThat(status("/home/x", KEY)).isEqualTo(503);
         apply(3, false, Teams.of(List.of(bound)));
@@ -357,16 +357,16 @@
         return RoutingConfiguration.create(
                 version,
                 ImmutableList.of(
-                        route("one", new RouteTarget.Single("s"), Homes.ANYWHERE, false),
-                        route("home", new RouteTarget.Single("s"), Homes.of(List.of("r")), false),
-                        route("public", new RouteTarget.Single("s"), Homes.ANYWHERE, true),
-                        route("all", new RouteTarget.Scatter(ImmutableList.of("s"), 5, 0.5), Homes.ANYWHERE, false)),
+                        route("one", new RouteTarget.Single("s"), HomeRegions.ANY, false),
+                        route("home", new RouteTarget.Single("s"), HomeRegions.of(List.of("r")), false),
+                        route("public", new RouteTarget.Single("s"), HomeRegions.ANY, true),
+                        route("all", new RouteTarget.Scatter(ImmutableList.of("s"), 5, 0.5), HomeRegions.ANY, false)),
                 ImmutableMap.of("s", new LeafService("s", "/health", 26)),
                 RequestLimits.DEFAULT,
                 teams);
     }
 
-    private static Route route(String name, RouteTarget target, Homes homes, boolean isPublic) {
+    private static Route route(String name, RouteTarget target, HomeRegions homes, boolean isPublic) {
         Duration time = Duration.ofSeconds(1);
         return new Route(name, "h", "/" + name + "/", RequestKind.MUTATING, time, time, 5, 1, target, homes, isPublic);
     }
@@ -376,7 +376,7 @@
         for (String key : keys) {
             digests.add(KeyDigest.of(key));
         }
-        return new Team(name, digests.build(), OptionalInt.of(3), RateLimit.NONE, Homes.ANYWHERE);
+        return new Team(name, digests.build(), OptionalInt.of(3), RateLimit.NONE, HomeRegions.ANY);
     }
 
     private static HostAndPort freeAddress() throws IOException {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
@@ -22,7 +22,7 @@
 import org.bramblerack.process.leaf.Distance;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -56,7 +56,7 @@
     private ServerSocket server;
     private Thread listener;
     private LeafConnections connections;
-    private volatile Homes homes = Homes.ANYWHERE;
+    private volatile HomeRegions homes = HomeRegions.ANY;
     private volatile String answer = WHOLE;
     private volatile End end = End.STAY;
 
@@ -95,7 +95,7 @@
     /** The last check before a leaf: whoever chose it, a request with homes does not leave them. */
     @Test
     void aRequestIsNotSentToALeafOutsideItsHomes() throws Exception {
-        homes = Homes.of(ImmutableList.of("elsewhere"));
+        homes = HomeRegions.of(ImmutableList.of("elsewhere"));
         assertThat(send("r-1")).isEqualTo(LeafOutcome.NO_CONNECTION);
         assertThat(accepted.get()).isEqualTo(0);
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.statistics.Statistics;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 
 /** Whatever bytes a caller sends as header fields, a leaf is told one team, and it is ours. */
 final class TeamFieldTest {
@@ -90,7 +90,7 @@
                 return Optional.empty();
             }
             ByteBuf encoded = LeafRequest.create(
-                            "GET", "/x", request.headers(), new byte[0], Homes.ANYWHERE, "ours", NAMES)
+                            "GET", "/x", request.headers(), new byte[0], HomeRegions.ANY, "ours", NAMES)
                     .encode(UnpooledByteBufAllocator.DEFAULT, "i-1", 100);
             try {
                 return Optional.of(encoded.toString(StandardCharsets.ISO_8859_1));
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
@@ -4,7 +4,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import org.bramblerack.process.harm.Fingerprints;
-import org.bramblerack.version.routing.Homes;
+import org.bramblerack.version.routing.HomeRegions;
 import org.junit.jupiter.api.Test;
 
 /** Who counts as the same caller where requests are told apart that end leafs. */
@@ -36,7 +36,7 @@
         if (!credentials.isEmpty()) {
             headers.set("Authorization", credentials);
         }
-        return LeafRequest.create("GET", "/x", headers, new byte[0], Homes.ANYWHERE, team, NAMES)
+        return LeafRequest.create("GET", "/x", headers, new byte[0], HomeRegions.ANY, team, NAMES)
                 .fingerprints();
     }
 }
