--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ClaimTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ClaimTable.java
@@ -28,15 +28,15 @@
  */
 final class ClaimTable {
     /** How many digests are kept; beyond it, requests without an issue time are refused. */
-    static final int MAX_FORGOTTEN = 500_000;
+    static final int MAX_EXPIRED_DIGESTS = 500_000;
 
     private static final long MAX_CLOCK_SKEW_MILLIS = 5L * 60 * 1_000;
-    private static final long KEEP_ABANDONED_MILLIS = 60L * 60 * 1_000;
+    private static final long ABANDONED_RETENTION_MILLIS = 60L * 60 * 1_000;
 
     private final Map<ClaimKey, Claim> claims = new HashMap<>();
     private final TreeSet<Expiry> expiries =
             new TreeSet<>(Comparator.comparingLong(Expiry::atMillis).thenComparing(Expiry::key, ClaimKey.ORDER));
-    private final Set<ByteString> forgotten = new LinkedHashSet<>();
+    private final Set<ByteString> expiredDigests = new LinkedHashSet<>();
     private long clockMillis;
 
     static ClaimTable restore(ControlSnapshot snapshot) {
@@ -45,7 +45,7 @@
         snapshot.getClaimsList().forEach(table::put);
         ByteString digests = snapshot.getForgotten();
         for (int start = 0; start + Digests.SHORT_BYTES <= digests.size(); start += Digests.SHORT_BYTES) {
-            table.forgotten.add(digests.substring(start, start + Digests.SHORT_BYTES));
+            table.expiredDigests.add(digests.substring(start, start + Digests.SHORT_BYTES));
         }
         return table;
     }
@@ -53,38 +53,38 @@
     CommandResult claim(ClaimRequest request) {
         advanceClock(request.getAtMillis());
         ClaimKey key = new ClaimKey(request.getService(), request.getRequestId());
-        Claim known = claims.get(key);
-        if (known == null) {
-            return claimUnknown(key, request);
+        Claim existing = claims.get(key);
+        if (existing == null) {
+            return claimNew(key, request);
         }
-        boolean otherBody = !known.getBodyDigest().equals(request.getBodyDigest());
-        if (otherBody && !known.getBodyDigest().isEmpty()) {
-            return result(CommandResult.Kind.MISMATCH, known);
+        boolean otherBody = !existing.getBodyDigest().equals(request.getBodyDigest());
+        if (otherBody && !existing.getBodyDigest().isEmpty()) {
+            return result(CommandResult.Kind.MISMATCH, existing);
         }
-        boolean sameAttempt = known.getAttempt().equals(request.getAttempt());
-        if (known.getKind() == OutcomeKind.IN_PROGRESS && sameAttempt) {
-            return result(CommandResult.Kind.CLAIMED, known);
+        boolean sameAttempt = existing.getAttempt().equals(request.getAttempt());
+        if (existing.getKind() == OutcomeKind.IN_PROGRESS && sameAttempt) {
+            return result(CommandResult.Kind.CLAIMED, existing);
         }
-        if (known.getKind() == OutcomeKind.NOT_RUN && !sameAttempt) {
+        if (existing.getKind() == OutcomeKind.NOT_RUN && !sameAttempt) {
             return grant(key, request);
         }
-        return result(CommandResult.Kind.ALREADY, known);
+        return result(CommandResult.Kind.ALREADY, existing);
     }
 
     CommandResult recordOutcome(RecordOutcome outcome) {
         advanceClock(outcome.getAtMillis());
         ClaimKey key = new ClaimKey(outcome.getService(), outcome.getRequestId());
-        Claim known = claims.get(key);
-        if (known == null && outcome.getKind() == OutcomeKind.NOT_RUN) {
+        Claim existing = claims.get(key);
+        if (existing == null && outcome.getKind() == OutcomeKind.NOT_RUN) {
             return abandonBeforeClaim(outcome);
         }
-        if (known == null || !known.getAttempt().equals(outcome.getAttempt())) {
+        if (existing == null || !existing.getAttempt().equals(outcome.getAttempt())) {
             return result(CommandResult.Kind.NOT_HOLDER, Claim.getDefaultInstance());
         }
-        if (!mayBecome(known.getKind(), outcome.getKind())) {
-            return result(CommandResult.Kind.ALREADY, known);
+        if (!isValidTransition(existing.getKind(), outcome.getKind())) {
+            return result(CommandResult.Kind.ALREADY, existing);
         }
-        Claim changed = known.toBuilder()
+        Claim changed = existing.toBuilder()
                 .setKind(outcome.getKind())
                 .setAnswer(outcome.getAnswer())
                 .setReason(outcome.getReason())
@@ -97,8 +97,8 @@
         return Optional.ofNullable(claims.get(new ClaimKey(service, requestId)));
     }
 
-    boolean isForgotten(String service, String requestId) {
-        return forgotten.contains(Digests.shortDigest(service, requestId));
+    boolean isExpired(String service, String requestId) {
+        return expiredDigests.contains(Digests.shortDigest(service, requestId));
     }
 
     int size() {
@@ -110,7 +110,7 @@
     }
 
     /** Returns the claims in the order of their expiry, which is the same on every voter. */
-    ImmutableList<Claim> all() {
+    ImmutableList<Claim> claimsByExpiry() {
         ImmutableList.Builder<Claim> ordered = ImmutableList.builder();
         for (Expiry expiry : expiries) {
             Claim claim = claims.get(expiry.key());
@@ -121,20 +121,20 @@
         return ordered.build();
     }
 
-    ByteString forgotten() {
-        return ByteString.copyFrom(forgotten);
+    ByteString expiredDigests() {
+        return ByteString.copyFrom(expiredDigests);
     }
 
-    private CommandResult claimUnknown(ClaimKey key, ClaimRequest request) {
+    private CommandResult claimNew(ClaimKey key, ClaimRequest request) {
         boolean issueTimeKnown = request.getIssuedAtMillis() > 0;
         boolean tooOld = issueTimeKnown && request.getIssuedAtMillis() + request.getRetentionMillis() <= clockMillis;
-        if (tooOld || isForgotten(key.service(), key.requestId())) {
+        if (tooOld || isExpired(key.service(), key.requestId())) {
             return result(CommandResult.Kind.EXPIRED, Claim.getDefaultInstance());
         }
         if (request.getIssuedAtMillis() > clockMillis + MAX_CLOCK_SKEW_MILLIS) {
             return result(CommandResult.Kind.INVALID, Claim.getDefaultInstance());
         }
-        if (!issueTimeKnown && forgotten.size() >= MAX_FORGOTTEN) {
+        if (!issueTimeKnown && expiredDigests.size() >= MAX_EXPIRED_DIGESTS) {
             return result(CommandResult.Kind.NO_ROOM, Claim.getDefaultInstance());
         }
         return grant(key, request);
@@ -149,14 +149,14 @@
                 .setKind(OutcomeKind.NOT_RUN)
                 .setReason(outcome.getReason())
                 .setAtMillis(clockMillis)
-                .setKeepUntilMillis(clockMillis + KEEP_ABANDONED_MILLIS)
+                .setKeepUntilMillis(clockMillis + ABANDONED_RETENTION_MILLIS)
                 .build();
         put(abandoned);
         return result(CommandResult.Kind.RECORDED, abandoned);
     }
 
     private CommandResult grant(ClaimKey key, ClaimRequest request) {
-        long keptFromMillis = Math.max(clockMillis, request.getIssuedAtMillis());
+        long retentionStartMillis = Math.max(clockMillis, request.getIssuedAtMillis());
         Claim granted = Claim.newBuilder()
                 .setService(key.service())
                 .setRequestId(key.requestId())
@@ -164,7 +164,7 @@
                 .setKind(OutcomeKind.IN_PROGRESS)
                 .setAtMillis(clockMillis)
                 .setBodyDigest(request.getBodyDigest())
-                .setKeepUntilMillis(keptFromMillis + request.getRetentionMillis())
+                .setKeepUntilMillis(retentionStartMillis + request.getRetentionMillis())
                 .setIssueTimeKnown(request.getIssuedAtMillis() > 0)
                 .setDeadlineMillis(request.getDeadlineMillis())
                 .build();
@@ -184,20 +184,20 @@
     private void advanceClock(long atMillis) {
         clockMillis = Math.max(clockMillis, atMillis);
         while (!expiries.isEmpty() && expiries.first().atMillis() <= clockMillis) {
-            forget(expiries.first());
+            evict(expiries.first());
         }
     }
 
-    private void forget(Expiry expiry) {
+    private void evict(Expiry expiry) {
         expiries.remove(expiry);
         Claim claim = claims.remove(expiry.key());
         boolean mayRunAgain = claim == null || claim.getKind() == OutcomeKind.NOT_RUN;
         if (!mayRunAgain && !claim.getIssueTimeKnown()) {
-            forgotten.add(Digests.shortDigest(claim.getService(), claim.getRequestId()));
+            expiredDigests.add(Digests.shortDigest(claim.getService(), claim.getRequestId()));
         }
     }
 
-    private static boolean mayBecome(OutcomeKind from, OutcomeKind to) {
+    private static boolean isValidTransition(OutcomeKind from, OutcomeKind to) {
         return switch (from) {
             case IN_PROGRESS -> to == OutcomeKind.RAN || to == OutcomeKind.NOT_RUN || to == OutcomeKind.UNKNOWN;
             case UNKNOWN -> to == OutcomeKind.RAN;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
@@ -27,8 +27,8 @@
  * again when it is resent. Not safe for use by several threads.
  */
 public final class ControlState {
-    private static final int MAX_RESULTS = 20_000;
-    private static final int MAX_HISTORY = 2_000;
+    private static final int MAX_CHANGE_RESULTS = 20_000;
+    private static final int MAX_HISTORY_ENTRIES = 2_000;
 
     private final Map<String, PartnerDeclaration> declarations = new TreeMap<>();
     private final LinkedHashMap<ChangeKey, ChangeResult> results = new LinkedHashMap<>();
@@ -80,7 +80,7 @@
 
     /** Returns true if a once-only request was claimed but its outcome is no longer kept. */
     public boolean isExpired(String service, String requestId) {
-        return claims.isForgotten(service, requestId);
+        return claims.isExpired(service, requestId);
     }
 
     /** Returns how many claims are kept. */
@@ -100,9 +100,9 @@
                 .addAllDeclarations(declarations.values())
                 .addAllHistory(history)
                 .addAllResults(results.values())
-                .addAllClaims(claims.all())
+                .addAllClaims(claims.claimsByExpiry())
                 .setClockMillis(claims.clockMillis())
-                .setForgotten(claims.forgotten())
+                .setForgotten(claims.expiredDigests())
                 .setTables(tables.toSnapshot())
                 .build()
                 .toByteString();
@@ -116,7 +116,8 @@
         revision = snapshot.getRevision();
         snapshot.getDeclarationsList().forEach(declaration -> declarations.put(declaration.getPartner(), declaration));
         snapshot.getResultsList()
-                .forEach(result -> results.put(new ChangeKey(result.getPartner(), result.getChangeId()), result));
+                .forEach(changeResult -> results.put(
+                        new ChangeKey(changeResult.getPartner(), changeResult.getChangeId()), changeResult));
         history.addAll(snapshot.getHistoryList());
         claims = ClaimTable.restore(snapshot);
         tables.restore(snapshot.getTables());
@@ -127,9 +128,9 @@
         ByteString digest = Digests.of(change.getText());
         ChangeResult earlier = results.get(key);
         if (earlier != null) {
-            boolean same = earlier.getTextDigest().equals(digest);
+            boolean sameText = earlier.getTextDigest().equals(digest);
             return CommandResult.newBuilder()
-                    .setKind(same ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.MISMATCH)
+                    .setKind(sameText ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.MISMATCH)
                     .setRevision(earlier.getRevision())
                     .build();
         }
@@ -139,7 +140,7 @@
             return CommandResult.newBuilder()
                     .setKind(CommandResult.Kind.CONFLICT)
                     .setRevision(current.getRevision())
-                    .setWinnerChangeId(changeAt(current.getRevision()))
+                    .setWinnerChangeId(changeIdAt(current.getRevision()))
                     .build();
         }
         accept(change, key, digest);
@@ -166,7 +167,7 @@
                         .setRevision(revision)
                         .setTextDigest(digest)
                         .build());
-        if (results.size() > MAX_RESULTS) {
+        if (results.size() > MAX_CHANGE_RESULTS) {
             results.remove(results.keySet().iterator().next());
         }
         history.add(HistoryEntry.newBuilder()
@@ -175,12 +176,12 @@
                 .setChangeId(change.getChangeId())
                 .setAcceptedAtMillis(change.getAtMillis())
                 .build());
-        if (history.size() > MAX_HISTORY) {
+        if (history.size() > MAX_HISTORY_ENTRIES) {
             history.remove(0);
         }
     }
 
-    private String changeAt(long acceptedRevision) {
+    private String changeIdAt(long acceptedRevision) {
         for (int position = history.size() - 1; position >= 0; position--) {
             if (history.get(position).getRevision() == acceptedRevision) {
                 return history.get(position).getChangeId();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Digests.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Digests.java
@@ -26,9 +26,9 @@
 
     /** Returns the first bytes of the SHA-256 of the names of a once-only request. */
     static ByteString shortDigest(String service, String requestId) {
-        byte[] whole = Hashing.sha256()
+        byte[] full = Hashing.sha256()
                 .hashString(service + "\n" + requestId, StandardCharsets.UTF_8)
                 .asBytes();
-        return ByteString.copyFrom(Arrays.copyOf(whole, SHORT_BYTES));
+        return ByteString.copyFrom(Arrays.copyOf(full, SHORT_BYTES));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTimer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTimer.java
@@ -5,21 +5,21 @@
 /** When a host last heard of a leader, and when it may ask for an election. Not safe for use by several threads. */
 final class ElectionTimer {
     /** A quarter is still four round trips between the users' regions. */
-    private static final int FIRST_DIVISOR = 4;
+    private static final int STARTUP_TIMEOUT_DIVISOR = 4;
     /** Half is what a round takes between regions on processors that have just started. */
-    private static final int ROUND_DIVISOR = 2;
+    private static final int STARTUP_ROUND_DIVISOR = 2;
 
-    private final long electionNanos;
+    private final long electionTimeoutNanos;
     private final RandomGenerator random;
     private long dueNanos;
     /** More elections than any question about the leader looks back. */
-    private static final long LONG_AGO_ELECTIONS = 100;
+    private static final long EXPIRED_CONTACT_TIMEOUTS = 100;
 
-    private long heardNanos;
-    private boolean heard;
+    private long lastContactNanos;
+    private boolean leaderContacted;
 
-    ElectionTimer(long electionNanos, RandomGenerator random, long nowNanos) {
-        this.electionNanos = electionNanos;
+    ElectionTimer(long electionTimeoutNanos, RandomGenerator random, long nowNanos) {
+        this.electionTimeoutNanos = electionTimeoutNanos;
         this.random = random;
         restart(nowNanos);
     }
@@ -30,17 +30,17 @@
      * for.
      */
     void restart(long nowNanos) {
-        long shortestNanos = heard ? electionNanos : electionNanos / FIRST_DIVISOR;
-        dueNanos = nowNanos + shortestNanos + random.nextLong(shortestNanos);
+        long minNanos = leaderContacted ? electionTimeoutNanos : electionTimeoutNanos / STARTUP_TIMEOUT_DIVISOR;
+        dueNanos = nowNanos + minNanos + random.nextLong(minNanos);
     }
 
     /**
      * Gives this voter's own round its time, the shorter one as long as no leader was heard of: votes that come after
      * the next round has begun count for nothing.
      */
-    void awaitRound(long nowNanos) {
-        long shortestNanos = heard ? electionNanos : electionNanos / ROUND_DIVISOR;
-        dueNanos = nowNanos + shortestNanos + random.nextLong(shortestNanos);
+    void restartForRound(long nowNanos) {
+        long minNanos = leaderContacted ? electionTimeoutNanos : electionTimeoutNanos / STARTUP_ROUND_DIVISOR;
+        dueNanos = nowNanos + minNanos + random.nextLong(minNanos);
     }
 
     /**
@@ -48,26 +48,26 @@
      * the whole system every voter is ready to ask at about the same moment, on a processor that is slow at first, and
      * those that ask at once split the votes.
      */
-    void giveWay(long nowNanos) {
-        if (!heard) {
-            dueNanos = nowNanos + electionNanos + random.nextLong(electionNanos);
+    void deferToCandidate(long nowNanos) {
+        if (!leaderContacted) {
+            dueNanos = nowNanos + electionTimeoutNanos + random.nextLong(electionTimeoutNanos);
         }
     }
 
     /** Returns true if a leader was heard of since the start. */
-    boolean hasHeardLeader() {
-        return heard;
+    boolean hasHadLeaderContact() {
+        return leaderContacted;
     }
 
-    void hearLeader(long nowNanos) {
-        heard = true;
-        heardNanos = nowNanos;
+    void recordLeaderContact(long nowNanos) {
+        leaderContacted = true;
+        lastContactNanos = nowNanos;
         restart(nowNanos);
     }
 
     /** Counts the leader as not heard of for long, whatever the steady clock says. */
-    void forgetLeader(long nowNanos) {
-        heardNanos = nowNanos - LONG_AGO_ELECTIONS * electionNanos;
+    void expireLeaderContact(long nowNanos) {
+        lastContactNanos = nowNanos - EXPIRED_CONTACT_TIMEOUTS * electionTimeoutNanos;
     }
 
     boolean isDue(long nowNanos) {
@@ -75,7 +75,7 @@
     }
 
     /** Returns true if a leader was heard of within a number of the shortest election times. */
-    boolean hasHeardWithin(int elections, long nowNanos) {
-        return heard && nowNanos - heardNanos < elections * electionNanos;
+    boolean hasLeaderContactWithin(int timeouts, long nowNanos) {
+        return leaderContacted && nowNanos - lastContactNanos < timeouts * electionTimeoutNanos;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
@@ -5,7 +5,7 @@
     long nextIndex;
     long matchIndex;
     long ackedRound;
-    long lastHeardNanos;
+    long lastContactNanos;
     long lastSentNanos;
     long snapshotSentNanos;
     boolean awaitingSnapshotReply;
@@ -17,7 +17,7 @@
 
     FollowerProgress(long nextIndex, long nowNanos) {
         this.nextIndex = nextIndex;
-        this.lastHeardNanos = nowNanos;
+        this.lastContactNanos = nowNanos;
         this.lastSentNanos = nowNanos;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
@@ -15,17 +15,17 @@
 /**
  * The followers of a leader: what each has, what to send to each, and what a quorum has.
  *
- * <p>Entries are sent ahead of their acknowledgement, at most {@value #MAX_UNACKNOWLEDGED} to a follower; a follower
- * that missed some refuses what follows and says where to begin again. Not safe for use by several threads.
+ * <p>Entries are sent ahead of their acknowledgement, at most {@value #MAX_UNACKNOWLEDGED_ENTRIES} to a follower; a
+ * follower that missed some refuses what follows and says where to begin again. Not safe for use by several threads.
  */
 final class FollowerTable {
-    private static final int MAX_ENTRIES_IN_MESSAGE = 512;
-    private static final int MAX_UNACKNOWLEDGED = 4_096;
+    private static final int MAX_ENTRIES_PER_MESSAGE = 512;
+    private static final int MAX_UNACKNOWLEDGED_ENTRIES = 4_096;
     private static final long SNAPSHOT_RESEND_NANOS = Duration.ofSeconds(2).toNanos();
     /** A learner asks again while it is not heard, so it may be dropped soon. */
-    private static final long LEARNER_SILENCE_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final long LEARNER_TIMEOUT_NANOS = Duration.ofSeconds(5).toNanos();
     /** Some heartbeats: who was heard within it is there. */
-    static final long HEARD_NANOS = Duration.ofMillis(400).toNanos();
+    static final long RECENT_CONTACT_NANOS = Duration.ofMillis(400).toNanos();
 
     private final String self;
     private final Map<String, FollowerProgress> followers = new TreeMap<>();
@@ -44,48 +44,48 @@
             ByteString snapshot,
             ImmutableSortedSet<String> snapshotVoters) {}
 
-    void reset(ImmutableSortedSet<String> present, long nextIndex, long nowNanos) {
+    void reset(ImmutableSortedSet<String> newVoters, long nextIndex, long nowNanos) {
         followers.clear();
-        setVoters(present, nextIndex, nowNanos);
+        setVoters(newVoters, nextIndex, nowNanos);
     }
 
     /** States who votes. Hosts that no longer do are followed on as learners until they fall silent. */
-    void setVoters(ImmutableSortedSet<String> present, long nextIndex, long nowNanos) {
-        voters = present;
+    void setVoters(ImmutableSortedSet<String> newVoters, long nextIndex, long nowNanos) {
+        voters = newVoters;
         for (String voter : voters) {
-            admit(voter, nextIndex, nowNanos);
+            addFollower(voter, nextIndex, nowNanos);
         }
     }
 
     /** Begins to send the log to a host, if it is not sent to it yet. */
-    void admit(String host, long nextIndex, long nowNanos) {
+    void addFollower(String host, long nextIndex, long nowNanos) {
         if (!host.equals(self)) {
             followers.computeIfAbsent(host, unused -> new FollowerProgress(nextIndex, nowNanos));
         }
     }
 
     /** Stops sending to hosts that do not vote and have been silent. */
-    void dropSilentLearners(long nowNanos) {
+    void removeSilentLearners(long nowNanos) {
         followers
                 .entrySet()
                 .removeIf(entry -> !voters.contains(entry.getKey())
-                        && nowNanos - entry.getValue().lastHeardNanos > LEARNER_SILENCE_NANOS);
+                        && nowNanos - entry.getValue().lastContactNanos > LEARNER_TIMEOUT_NANOS);
     }
 
     /** Returns the hosts that do not vote and have everything up to an index. */
-    ImmutableSortedSet<String> learnersThatHave(long index, long nowNanos) {
+    ImmutableSortedSet<String> caughtUpLearners(long index, long nowNanos) {
         return followers.entrySet().stream()
                 .filter(entry -> !voters.contains(entry.getKey()))
                 .filter(entry -> entry.getValue().matchIndex >= index)
-                .filter(entry -> nowNanos - entry.getValue().lastHeardNanos < HEARD_NANOS)
+                .filter(entry -> nowNanos - entry.getValue().lastContactNanos < RECENT_CONTACT_NANOS)
                 .map(Map.Entry::getKey)
                 .collect(ImmutableSortedSet.toImmutableSortedSet(String::compareTo));
     }
 
     /** Returns true if a host was heard of within the given time. */
-    boolean isHeardWithin(String host, long withinNanos, long nowNanos) {
+    boolean hasContactWithin(String host, long withinNanos, long nowNanos) {
         FollowerProgress follower = followers.get(host);
-        return host.equals(self) || (follower != null && nowNanos - follower.lastHeardNanos < withinNanos);
+        return host.equals(self) || (follower != null && nowNanos - follower.lastContactNanos < withinNanos);
     }
 
     void sendHeartbeats(LeaderView leader, long heartbeatNanos, long nowNanos, List<RaftAction> actions) {
@@ -96,24 +96,24 @@
         });
     }
 
-    void sendNew(LeaderView leader, boolean evenIfEmpty, long nowNanos, List<RaftAction> actions) {
+    void sendToAll(LeaderView leader, boolean evenIfEmpty, long nowNanos, List<RaftAction> actions) {
         followers.forEach((name, follower) -> send(name, follower, leader, evenIfEmpty, nowNanos, actions));
     }
 
     /** Sends what a follower still lacks. */
-    void sendRest(String name, LeaderView leader, long nowNanos, List<RaftAction> actions) {
+    void sendRemaining(String name, LeaderView leader, long nowNanos, List<RaftAction> actions) {
         FollowerProgress follower = followers.get(name);
         if (follower != null && follower.nextIndex <= leader.log().lastIndex()) {
             send(name, follower, leader, false, nowNanos, actions);
         }
     }
 
-    void acknowledge(RaftMessage reply, long nowNanos) {
+    void handleReply(RaftMessage reply, long nowNanos) {
         FollowerProgress follower = followers.get(reply.getFrom());
         if (follower == null) {
             return;
         }
-        follower.lastHeardNanos = nowNanos;
+        follower.lastContactNanos = nowNanos;
         follower.ackedRound = Math.max(follower.ackedRound, reply.getRound());
         if (reply.getKind() == RaftMessage.Kind.SNAPSHOT_REPLY) {
             follower.awaitingSnapshotReply = false;
@@ -123,14 +123,14 @@
             follower.nextIndex = Math.max(follower.nextIndex, follower.matchIndex + 1);
             follower.probing = false;
         } else {
-            beginAgain(follower, reply.getLastIndex() + 1);
+            rewind(follower, reply.getLastIndex() + 1);
         }
     }
 
     /**
      * Goes back to where a refusal says, one message at a time; refusals of messages sent before change nothing more.
      */
-    private static void beginAgain(FollowerProgress follower, long index) {
+    private static void rewind(FollowerProgress follower, long index) {
         long next = Math.max(follower.matchIndex + 1, Math.min(follower.nextIndex, index));
         if (!follower.probing || next < follower.nextIndex) {
             follower.nextIndex = next;
@@ -139,30 +139,30 @@
         }
     }
 
-    boolean hearsQuorum(long nowNanos, long silenceNanos) {
-        long heard = voters.stream()
-                .filter(voter -> isHeardWithin(voter, silenceNanos, nowNanos))
+    boolean hasQuorumContact(long nowNanos, long withinNanos) {
+        long reachable = voters.stream()
+                .filter(voter -> hasContactWithin(voter, withinNanos, nowNanos))
                 .count();
-        return heard > voters.size() / 2;
+        return reachable > voters.size() / 2;
     }
 
     /** Returns the highest index that a quorum has synced, given that of the leader. */
-    long quorumMatch(long own) {
-        return quorumOf(follower -> follower.matchIndex, own);
+    long quorumMatch(long ownIndex) {
+        return quorumOf(follower -> follower.matchIndex, ownIndex);
     }
 
     /** Returns the highest read round that a quorum has confirmed, given that of the leader. */
-    long quorumRound(long own) {
-        return quorumOf(follower -> follower.ackedRound, own);
+    long quorumRound(long ownRound) {
+        return quorumOf(follower -> follower.ackedRound, ownRound);
     }
 
-    private long quorumOf(ToLongFunction<FollowerProgress> value, long own) {
+    private long quorumOf(ToLongFunction<FollowerProgress> value, long ownValue) {
         long[] values = new long[voters.size()];
-        int next = 0;
+        int position = 0;
         for (String voter : voters) {
             FollowerProgress follower = followers.get(voter);
-            values[next] = voter.equals(self) ? own : follower == null ? 0 : value.applyAsLong(follower);
-            next++;
+            values[position] = voter.equals(self) ? ownValue : follower == null ? 0 : value.applyAsLong(follower);
+            position++;
         }
         Arrays.sort(values);
         return values[(voters.size() - 1) / 2];
@@ -186,9 +186,9 @@
         if (follower.probing && follower.probeSent && !evenIfEmpty) {
             return;
         }
-        long sendable = follower.matchIndex + MAX_UNACKNOWLEDGED - follower.nextIndex + 1;
-        int most = (int) Math.max(0, Math.min(MAX_ENTRIES_IN_MESSAGE, sendable));
-        ImmutableList<LogEntry> entries = log.from(follower.nextIndex, most);
+        long sendable = follower.matchIndex + MAX_UNACKNOWLEDGED_ENTRIES - follower.nextIndex + 1;
+        int maxEntries = (int) Math.max(0, Math.min(MAX_ENTRIES_PER_MESSAGE, sendable));
+        ImmutableList<LogEntry> entries = log.entriesFrom(follower.nextIndex, maxEntries);
         if (evenIfEmpty || !entries.isEmpty()) {
             sendEntries(to, follower, leader, follower.nextIndex - 1, entries, nowNanos, actions);
             if (follower.probing) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
@@ -58,15 +58,15 @@
         if (index == snapshotIndex) {
             return snapshotTerm;
         }
-        return holds(index) ? entryAt(index).getTerm() : -1;
+        return contains(index) ? entryAt(index).getTerm() : -1;
     }
 
-    boolean holds(long index) {
+    boolean contains(long index) {
         return index > snapshotIndex && index <= lastIndex();
     }
 
     LogEntry entryAt(long index) {
-        checkArgument(holds(index), "index %s is not held", index);
+        checkArgument(contains(index), "index %s is not held", index);
         return entries.get((int) (index - snapshotIndex - 1));
     }
 
@@ -78,15 +78,15 @@
     }
 
     void truncateFrom(long index) {
-        checkArgument(holds(index), "index %s is not held", index);
+        checkArgument(contains(index), "index %s is not held", index);
         entries.subList((int) (index - snapshotIndex - 1), entries.size()).clear();
         voters.truncateFrom(index);
     }
 
     /** Returns at most the given number of entries from an index on. */
-    ImmutableList<LogEntry> from(long index, int most) {
+    ImmutableList<LogEntry> entriesFrom(long index, int maxCount) {
         int start = (int) (index - snapshotIndex - 1);
-        int count = Math.min(most, entries.size() - start);
+        int count = Math.min(maxCount, entries.size() - start);
         return ImmutableList.copyOf(entries.subList(start, start + count));
     }
 
@@ -102,7 +102,7 @@
             if (termAt(entry.getIndex()) == entry.getTerm()) {
                 continue;
             }
-            if (holds(entry.getIndex())) {
+            if (contains(entry.getIndex())) {
                 checkArgument(entry.getIndex() > commitIndex, "a committed entry would be replaced");
                 truncateFrom(entry.getIndex());
                 truncatedFrom = Optional.of(entry.getIndex());
@@ -127,13 +127,13 @@
     }
 
     /** Replaces everything by a snapshot, keeping entries that follow it if they fit. */
-    void reset(long index, long term, ImmutableSortedSet<String> votersThere) {
+    void reset(long index, long term, ImmutableSortedSet<String> snapshotVoters) {
         if (termAt(index) == term) {
             compact(index);
             return;
         }
         entries.clear();
-        voters.reset(index, votersThere);
+        voters.reset(index, snapshotVoters);
         snapshotIndex = index;
         snapshotTerm = term;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftMessages.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftMessages.java
@@ -17,7 +17,7 @@
     }
 
     /** Asks every other voter for its vote, or whether it would grant it. */
-    void askForVotes(
+    void requestVotes(
             RaftMessage.Kind kind,
             ImmutableSortedSet<String> voters,
             long term,
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
@@ -31,18 +31,18 @@
  * <p>Not safe for use by several threads. An event costs time in proportion to the voters and the entries it moves.
  */
 public final class RaftNode {
-    private static final int MAX_UNCOMMITTED = 4_096;
+    private static final int MAX_UNCOMMITTED_ENTRIES = 4_096;
 
     private final String self;
     private final ElectionTimer timer;
-    private final long heartbeatNanos;
-    private final long electionNanos;
+    private final long heartbeatIntervalNanos;
+    private final long electionTimeoutNanos;
     private final Replica replica;
     private final RaftLog log;
     private final FollowerTable followers;
     private final ReadRounds reads = new ReadRounds();
     private final RaftMessages messages;
-    private final Ballot ballot = new Ballot();
+    private final VoteCount voteCount = new VoteCount();
     private final VoterPolicy policy;
     private long term;
     private String votedFor;
@@ -54,25 +54,25 @@
      * Creates a voter from what it has stored.
      *
      * @param self this host's name; it votes only while it is one of the voters
-     * @param firstVoters the voters that the system began with; empty for a host that came later
-     * @param lossesBorne how many voters may be lost at once
+     * @param initialVoters the voters that the system began with; empty for a host that came later
+     * @param tolerableFailures how many voters may be lost at once
      */
     public RaftNode(
             String self,
-            ImmutableSortedSet<String> firstVoters,
-            int lossesBorne,
+            ImmutableSortedSet<String> initialVoters,
+            int tolerableFailures,
             RaftTimings timings,
             StoredState stored,
             RandomGenerator random,
             long nowNanos) {
-        checkArgument(lossesBorne >= 0, "%s losses cannot be borne", lossesBorne);
+        checkArgument(tolerableFailures >= 0, "%s losses cannot be borne", tolerableFailures);
         this.self = self;
         this.messages = new RaftMessages(self);
-        this.policy = new VoterPolicy(lossesBorne);
+        this.policy = new VoterPolicy(tolerableFailures);
         this.timer = new ElectionTimer(timings.electionTimeout().toNanos(), random, nowNanos);
-        this.heartbeatNanos = timings.heartbeatInterval().toNanos();
-        this.electionNanos = timings.electionTimeout().toNanos();
-        this.replica = new Replica(stored, firstVoters);
+        this.heartbeatIntervalNanos = timings.heartbeatInterval().toNanos();
+        this.electionTimeoutNanos = timings.electionTimeout().toNanos();
+        this.replica = new Replica(stored, initialVoters);
         this.log = replica.log();
         this.term = stored.hardState().getTerm();
         this.votedFor = stored.hardState().getVotedFor();
@@ -83,12 +83,12 @@
     public List<RaftAction> tick(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (role == RaftRole.LEADER) {
-            if (!followers.hearsQuorum(nowNanos, 2 * electionNanos)) {
+            if (!followers.hasQuorumContact(nowNanos, 2 * electionTimeoutNanos)) {
                 becomeFollower(term, Optional.empty(), nowNanos, actions);
                 return actions;
             }
             changeVotersIfDue(nowNanos, actions);
-            followers.sendHeartbeats(view(), heartbeatNanos, nowNanos, actions);
+            followers.sendHeartbeats(leaderView(), heartbeatIntervalNanos, nowNanos, actions);
         } else if (isVoter() && timer.isDue(nowNanos)) {
             startPreVote(nowNanos, actions);
         }
@@ -101,7 +101,7 @@
      */
     public List<RaftAction> onResume(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
-        timer.forgetLeader(nowNanos);
+        timer.expireLeaderContact(nowNanos);
         becomeFollower(term, Optional.empty(), nowNanos, actions);
         return actions;
     }
@@ -112,20 +112,20 @@
         if (!message.getTo().equals(self)) {
             return actions;
         }
-        boolean asksOnly = message.getKind() == RaftMessage.Kind.PRE_VOTE
+        boolean keepsTerm = message.getKind() == RaftMessage.Kind.PRE_VOTE
                 || (message.getKind() == RaftMessage.Kind.PRE_VOTE_REPLY && message.getAccepted());
-        boolean disturbs = message.getKind() == RaftMessage.Kind.VOTE && hasLiveLeader(nowNanos);
-        if (message.getTerm() > term && !asksOnly && !disturbs) {
+        boolean isDisruptiveVote = message.getKind() == RaftMessage.Kind.VOTE && hasLiveLeader(nowNanos);
+        if (message.getTerm() > term && !keepsTerm && !isDisruptiveVote) {
             becomeFollower(message.getTerm(), Optional.empty(), nowNanos, actions);
         }
         switch (message.getKind()) {
-            case PRE_VOTE -> answerPreVote(message, nowNanos, actions);
-            case PRE_VOTE_REPLY -> countPreVote(message, nowNanos, actions);
-            case VOTE -> answerVote(message, nowNanos, actions);
-            case VOTE_REPLY -> countVote(message, nowNanos, actions);
-            case APPEND -> takeAppend(message, nowNanos, actions);
-            case APPEND_REPLY, SNAPSHOT_REPLY -> takeAppendReply(message, nowNanos, actions);
-            case SNAPSHOT -> takeSnapshot(message, nowNanos, actions);
+            case PRE_VOTE -> handlePreVote(message, nowNanos, actions);
+            case PRE_VOTE_REPLY -> handlePreVoteReply(message, nowNanos, actions);
+            case VOTE -> handleVote(message, nowNanos, actions);
+            case VOTE_REPLY -> handleVoteReply(message, nowNanos, actions);
+            case APPEND -> handleAppend(message, nowNanos, actions);
+            case APPEND_REPLY, SNAPSHOT_REPLY -> handleAppendReply(message, nowNanos, actions);
+            case SNAPSHOT -> handleSnapshot(message, nowNanos, actions);
             default -> {
                 // A kind of a newer program: not understood, so not answered.
             }
@@ -140,7 +140,7 @@
      * @return false if this voter is not the leader or has too much unacknowledged; the command was not taken
      */
     public boolean propose(long token, ByteString command) {
-        if (role != RaftRole.LEADER || replica.uncommittedCount() >= MAX_UNCOMMITTED) {
+        if (role != RaftRole.LEADER || replica.uncommittedCount() >= MAX_UNCOMMITTED_ENTRIES) {
             return false;
         }
         replica.appendCommand(command, term, token);
@@ -154,11 +154,11 @@
             return actions;
         }
         boolean newRound = reads.beginRound();
-        if (!replica.hasUnstored() && !newRound) {
+        if (!replica.hasUnpersisted() && !newRound) {
             return actions;
         }
         replica.persistOwnEntries(actions);
-        followers.sendNew(view(), newRound, nowNanos, actions);
+        followers.sendToAll(leaderView(), newRound, nowNanos, actions);
         advanceCommit(actions);
         return actions;
     }
@@ -190,7 +190,7 @@
         if (role == RaftRole.LEADER) {
             return replica.hasCommittedIn(term);
         }
-        return timer.hasHeardWithin(2, nowNanos) && replica.appliedIndex() >= leaderCommitIndex;
+        return timer.hasLeaderContactWithin(2, nowNanos) && replica.appliedIndex() >= leaderCommitIndex;
     }
 
     /** Returns the present role. */
@@ -231,86 +231,88 @@
     /** Takes the wish of a host to get the log, and to vote once it has it. A host that does not lead ignores it. */
     public void addLearner(String host, long nowNanos) {
         if (role == RaftRole.LEADER) {
-            followers.admit(host, log.lastIndex() + 1, nowNanos);
+            followers.addFollower(host, log.lastIndex() + 1, nowNanos);
         }
     }
 
     /** Makes the next single change of the voters, once the last one is agreed. */
     private void changeVotersIfDue(long nowNanos, List<RaftAction> actions) {
-        boolean settled = log.voters().lastChangeIndex() <= replica.commitIndex() && replica.hasCommittedIn(term);
+        boolean lastChangeCommitted =
+                log.voters().lastChangeIndex() <= replica.commitIndex() && replica.hasCommittedIn(term);
         ImmutableSortedSet<String> before = voters();
-        Optional<ImmutableSortedSet<String>> next =
-                settled ? policy.next(self, before, followers, replica.commitIndex(), nowNanos) : Optional.empty();
+        Optional<ImmutableSortedSet<String>> next = lastChangeCommitted
+                ? policy.next(self, before, followers, replica.commitIndex(), nowNanos)
+                : Optional.empty();
         if (next.isEmpty()) {
             return;
         }
         replica.append(LogEntry.newBuilder().addAllVoters(next.get()), term);
         followers.setVoters(next.get(), log.lastIndex(), nowNanos);
-        tellVoters(before, actions);
+        reportVoterChange(before, actions);
     }
 
-    private void tellVoters(ImmutableSortedSet<String> before, List<RaftAction> actions) {
+    private void reportVoterChange(ImmutableSortedSet<String> before, List<RaftAction> actions) {
         if (!before.equals(voters())) {
             actions.add(new RaftAction.VotersChanged(voters()));
         }
     }
 
     private void startPreVote(long nowNanos, List<RaftAction> actions) {
-        timer.awaitRound(nowNanos);
+        timer.restartForRound(nowNanos);
         changeRole(RaftRole.PRE_CANDIDATE, Optional.empty(), actions);
-        ballot.begin(self);
-        if (ballot.isWon(voters())) {
+        voteCount.reset(self);
+        if (voteCount.hasMajority(voters())) {
             startElection(nowNanos, actions);
             return;
         }
-        messages.askForVotes(RaftMessage.Kind.PRE_VOTE, voters(), term + 1, log, actions);
+        messages.requestVotes(RaftMessage.Kind.PRE_VOTE, voters(), term + 1, log, actions);
     }
 
     private void startElection(long nowNanos, List<RaftAction> actions) {
         term++;
         votedFor = self;
-        timer.awaitRound(nowNanos);
+        timer.restartForRound(nowNanos);
         changeRole(RaftRole.CANDIDATE, Optional.empty(), actions);
         actions.add(persistHardState());
-        ballot.begin(self);
-        if (ballot.isWon(voters())) {
+        voteCount.reset(self);
+        if (voteCount.hasMajority(voters())) {
             becomeLeader(nowNanos, actions);
             return;
         }
-        messages.askForVotes(RaftMessage.Kind.VOTE, voters(), term, log, actions);
+        messages.requestVotes(RaftMessage.Kind.VOTE, voters(), term, log, actions);
     }
 
-    private void answerPreVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handlePreVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         boolean granted = request.getTerm() > term
                 && !hasLiveLeader(nowNanos)
                 && log.isNotNewerThan(request.getLastTerm(), request.getLastIndex())
-                && !ElectionOrder.goesFirst(self, role, timer, log, request);
-        if (granted && !timer.hasHeardLeader()) {
-            timer.giveWay(nowNanos);
+                && !ElectionTieBreaker.hasPrecedence(self, role, timer, log, request);
+        if (granted && !timer.hasHadLeaderContact()) {
+            timer.deferToCandidate(nowNanos);
             changeRole(RaftRole.FOLLOWER, Optional.empty(), actions);
         }
         long replyTerm = granted ? request.getTerm() : term;
         actions.add(messages.voteReply(RaftMessage.Kind.PRE_VOTE_REPLY, request.getFrom(), replyTerm, granted));
     }
 
-    private void countPreVote(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handlePreVoteReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.PRE_CANDIDATE || !reply.getAccepted() || reply.getTerm() != term + 1) {
             return;
         }
-        ballot.grant(reply.getFrom());
-        if (ballot.isWon(voters())) {
+        voteCount.addVote(reply.getFrom());
+        if (voteCount.hasMajority(voters())) {
             startElection(nowNanos, actions);
         }
     }
 
-    private void answerVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() > term) {
             // The leader is alive: the candidate is not helped, and not made to raise its term either.
             return;
         }
-        boolean free = votedFor.isEmpty() || votedFor.equals(request.getFrom());
+        boolean mayVoteFor = votedFor.isEmpty() || votedFor.equals(request.getFrom());
         boolean granted = request.getTerm() == term
-                && free
+                && mayVoteFor
                 && role != RaftRole.LEADER
                 && log.isNotNewerThan(request.getLastTerm(), request.getLastIndex());
         if (granted) {
@@ -321,12 +323,12 @@
         actions.add(messages.voteReply(RaftMessage.Kind.VOTE_REPLY, request.getFrom(), term, granted));
     }
 
-    private void countVote(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handleVoteReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.CANDIDATE || !reply.getAccepted() || reply.getTerm() != term) {
             return;
         }
-        ballot.grant(reply.getFrom());
-        if (ballot.isWon(voters())) {
+        voteCount.addVote(reply.getFrom());
+        if (voteCount.hasMajority(voters())) {
             becomeLeader(nowNanos, actions);
         }
     }
@@ -340,7 +342,7 @@
 
     private void becomeFollower(long newTerm, Optional<String> newLeader, long nowNanos, List<RaftAction> actions) {
         if (role == RaftRole.LEADER) {
-            replica.loseProposals(actions);
+            replica.failProposals(actions);
             reads.failAll(actions);
             replica.persistOwnEntries(actions);
             timer.restart(nowNanos);
@@ -353,12 +355,12 @@
         changeRole(RaftRole.FOLLOWER, newLeader, actions);
     }
 
-    private void takeAppend(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleAppend(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() < term) {
             actions.add(messages.appendReply(request, term, false, log.lastIndex()));
             return;
         }
-        hearLeader(request.getFrom(), nowNanos, actions);
+        recordLeaderContact(request.getFrom(), nowNanos, actions);
         leaderCommitIndex = request.getCommitIndex();
         long previous = request.getLastIndex();
         if (previous < log.snapshotIndex()) {
@@ -371,35 +373,35 @@
         }
         ImmutableSortedSet<String> before = voters();
         replica.merge(request.getEntriesList(), actions);
-        tellVoters(before, actions);
+        reportVoterChange(before, actions);
         long match = previous + request.getEntriesCount();
         replica.commitTo(Math.min(request.getCommitIndex(), match), actions);
         actions.add(messages.appendReply(request, term, true, match));
     }
 
-    private void takeSnapshot(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleSnapshot(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() < term) {
             return;
         }
-        hearLeader(request.getFrom(), nowNanos, actions);
+        recordLeaderContact(request.getFrom(), nowNanos, actions);
         if (request.getLastIndex() > replica.commitIndex()) {
             ImmutableSortedSet<String> before = voters();
             replica.restore(request, hardState(), actions);
-            tellVoters(before, actions);
+            reportVoterChange(before, actions);
         }
         actions.add(messages.snapshotReply(request, term));
     }
 
-    private void takeAppendReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handleAppendReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.LEADER || reply.getTerm() != term) {
             return;
         }
-        followers.acknowledge(reply, nowNanos);
+        followers.handleReply(reply, nowNanos);
         advanceCommit(actions);
-        followers.sendRest(reply.getFrom(), view(), nowNanos, actions);
+        followers.sendRemaining(reply.getFrom(), leaderView(), nowNanos, actions);
     }
 
-    private FollowerTable.LeaderView view() {
+    private FollowerTable.LeaderView leaderView() {
         return new FollowerTable.LeaderView(
                 term,
                 replica.commitIndex(),
@@ -417,13 +419,13 @@
         reads.confirm(followers.quorumRound(reads.currentRound()), replica.appliedIndex(), actions);
     }
 
-    private void hearLeader(String from, long nowNanos, List<RaftAction> actions) {
-        timer.hearLeader(nowNanos);
+    private void recordLeaderContact(String from, long nowNanos, List<RaftAction> actions) {
+        timer.recordLeaderContact(nowNanos);
         changeRole(RaftRole.FOLLOWER, Optional.of(from), actions);
     }
 
     private boolean hasLiveLeader(long nowNanos) {
-        return role == RaftRole.LEADER || timer.hasHeardWithin(1, nowNanos);
+        return role == RaftRole.LEADER || timer.hasLeaderContactWithin(1, nowNanos);
     }
 
     private void changeRole(RaftRole newRole, Optional<String> newLeader, List<RaftAction> actions) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Replica.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Replica.java
@@ -28,10 +28,10 @@
     /**
      * Creates what a voter holds from what it has stored.
      *
-     * @param firstVoters the voters that the system began with
+     * @param initialVoters the voters that the system began with
      */
-    Replica(StoredState stored, ImmutableSortedSet<String> firstVoters) {
-        ImmutableSortedSet<String> voters = stored.snapshotVoters().isEmpty() ? firstVoters : stored.snapshotVoters();
+    Replica(StoredState stored, ImmutableSortedSet<String> initialVoters) {
+        ImmutableSortedSet<String> voters = stored.snapshotVoters().isEmpty() ? initialVoters : stored.snapshotVoters();
         this.log = new RaftLog(stored.snapshotIndex(), stored.snapshotTerm(), voters, stored.entries());
         this.snapshot = stored.snapshot();
         this.commitIndex = stored.snapshotIndex();
@@ -49,7 +49,7 @@
     }
 
     ImmutableSortedSet<String> voters() {
-        return log.voters().latest();
+        return log.voters().current();
     }
 
     long commitIndex() {
@@ -65,7 +65,7 @@
     }
 
     /** Returns true if entries were appended that were not handed to the disk yet. */
-    boolean hasUnstored() {
+    boolean hasUnpersisted() {
         return log.lastIndex() > persistedIndex;
     }
 
@@ -91,15 +91,15 @@
     }
 
     /** Gives back the tokens of what was proposed here and is not applied: its fate is not known here any more. */
-    void loseProposals(List<RaftAction> actions) {
+    void failProposals(List<RaftAction> actions) {
         tokensByIndex.values().forEach(token -> actions.add(new RaftAction.ProposalLost(token)));
         tokensByIndex.clear();
     }
 
     /** Hands the entries that this voter appended to the disk. */
     void persistOwnEntries(List<RaftAction> actions) {
-        if (hasUnstored()) {
-            ImmutableList<LogEntry> entries = log.from(persistedIndex + 1, Integer.MAX_VALUE);
+        if (hasUnpersisted()) {
+            ImmutableList<LogEntry> entries = log.entriesFrom(persistedIndex + 1, Integer.MAX_VALUE);
             actions.add(new RaftAction.Persist(Optional.empty(), Optional.empty(), entries));
             persistedIndex = log.lastIndex();
         }
@@ -147,7 +147,7 @@
     }
 
     private RaftAction saveSnapshot(HardState hardState) {
-        ImmutableList<LogEntry> suffix = log.from(log.snapshotIndex() + 1, Integer.MAX_VALUE);
+        ImmutableList<LogEntry> suffix = log.entriesFrom(log.snapshotIndex() + 1, Integer.MAX_VALUE);
         persistedIndex = log.lastIndex();
         return new RaftAction.SaveSnapshot(
                 log.snapshotIndex(),
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Ballot.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoteCount.java
@@ -5,20 +5,20 @@
 import java.util.Set;
 
 /** The votes granted to one candidate. Not safe for use by several threads. */
-final class Ballot {
+final class VoteCount {
     private final Set<String> granted = new HashSet<>();
 
-    void begin(String candidate) {
+    void reset(String candidate) {
         granted.clear();
         granted.add(candidate);
     }
 
-    void grant(String voter) {
+    void addVote(String voter) {
         granted.add(voter);
     }
 
     /** Returns true if a majority of the voters granted theirs; votes of others do not count. */
-    boolean isWon(ImmutableSortedSet<String> voters) {
+    boolean hasMajority(ImmutableSortedSet<String> voters) {
         long counted = granted.stream().filter(voters::contains).count();
         return counted > voters.size() / 2;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterHistory.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterHistory.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns the voters in force. */
-    ImmutableSortedSet<String> latest() {
+    ImmutableSortedSet<String> current() {
         return votersFromIndex.lastEntry().getValue();
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
@@ -9,12 +9,12 @@
  */
 public final class VoterName {
     /** Separates the address from the tag. */
-    public static final char TAG = '#';
+    public static final char TAG_SEPARATOR = '#';
 
     private VoterName() {}
 
     /** Returns a name that no voter at the address has had. */
     public static String generate(String address, RandomGenerator random) {
-        return address + TAG + Long.toHexString(random.nextLong());
+        return address + TAG_SEPARATOR + Long.toHexString(random.nextLong());
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
@@ -13,24 +13,25 @@
  */
 final class VoterPolicy {
     /** A voter that was silent for so long is replaced, if another host stands by that has caught up. */
-    private static final long SILENT_NANOS = Duration.ofMillis(1_500).toNanos();
+    private static final long SILENT_VOTER_TIMEOUT_NANOS =
+            Duration.ofMillis(1_500).toNanos();
 
-    private final int wantedVoters;
+    private final int targetVoterCount;
 
     /**
      * Creates a policy.
      *
-     * @param lossesBorne how many voters may be lost at once
+     * @param tolerableFailures how many voters may be lost at once
      */
-    VoterPolicy(int lossesBorne) {
-        this.wantedVoters = 2 * lossesBorne + 1;
+    VoterPolicy(int tolerableFailures) {
+        this.targetVoterCount = 2 * tolerableFailures + 1;
     }
 
     /**
      * Returns the voters after the next change, or nothing if none is due.
      *
      * @param self the leader, which is never removed
-     * @param isHeard tells of a member whether it was heard of in the last moment
+     * @param isReachable tells of a member whether it was heard of in the last moment
      * @param isSilent tells of a voter whether it was not heard of for long
      * @param caughtUp hosts that have the whole log and do not vote yet
      */
@@ -38,38 +39,38 @@
             String self,
             ImmutableSortedSet<String> voters,
             ImmutableSortedSet<String> caughtUp,
-            Predicate<String> isHeard,
+            Predicate<String> isReachable,
             Predicate<String> isSilent) {
         if (caughtUp.isEmpty()) {
             return Optional.empty();
         }
         Optional<String> replaced = voters.stream()
-                .filter(voter -> !voter.equals(self) && !isHeard.test(voter))
+                .filter(voter -> !voter.equals(self) && !isReachable.test(voter))
                 .filter(voter -> caughtUp.stream().anyMatch(host -> hasSameAddress(host, voter)))
                 .findFirst();
-        if (replaced.isEmpty() && voters.size() < wantedVoters) {
+        if (replaced.isEmpty() && voters.size() < targetVoterCount) {
             return Optional.of(with(voters, caughtUp.first()));
         }
         Optional<String> removed = replaced.or(() -> voters.stream()
                 .filter(voter -> !voter.equals(self) && isSilent.test(voter))
                 .findFirst());
-        return removed.map(voter -> without(voters, voter)).filter(rest -> canAgree(rest, isHeard));
+        return removed.map(voter -> without(voters, voter)).filter(rest -> hasQuorum(rest, isReachable));
     }
 
     /** Returns the voters after the next change of a leader, or nothing if none is due. */
     Optional<ImmutableSortedSet<String>> next(
             String self, ImmutableSortedSet<String> voters, FollowerTable followers, long commitIndex, long nowNanos) {
-        followers.dropSilentLearners(nowNanos);
+        followers.removeSilentLearners(nowNanos);
         return next(
                 self,
                 voters,
-                followers.learnersThatHave(commitIndex, nowNanos),
-                host -> followers.isHeardWithin(host, FollowerTable.HEARD_NANOS, nowNanos),
-                host -> !followers.isHeardWithin(host, SILENT_NANOS, nowNanos));
+                followers.caughtUpLearners(commitIndex, nowNanos),
+                host -> followers.hasContactWithin(host, FollowerTable.RECENT_CONTACT_NANOS, nowNanos),
+                host -> !followers.hasContactWithin(host, SILENT_VOTER_TIMEOUT_NANOS, nowNanos));
     }
 
-    private static boolean canAgree(ImmutableSortedSet<String> voters, Predicate<String> isHeard) {
-        return voters.stream().filter(isHeard).count() > voters.size() / 2;
+    private static boolean hasQuorum(ImmutableSortedSet<String> voters, Predicate<String> isReachable) {
+        return voters.stream().filter(isReachable).count() > voters.size() / 2;
     }
 
     private static boolean hasSameAddress(String left, String right) {
@@ -77,8 +78,8 @@
     }
 
     private static String addressOf(String voter) {
-        int tag = voter.indexOf(VoterName.TAG);
-        return tag < 0 ? voter : voter.substring(0, tag);
+        int tagPosition = voter.indexOf(VoterName.TAG_SEPARATOR);
+        return tagPosition < 0 ? voter : voter.substring(0, tagPosition);
     }
 
     private static ImmutableSortedSet<String> with(ImmutableSortedSet<String> voters, String added) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -38,46 +38,46 @@
 
     private static final Pattern UNQUOTED_WORD = Pattern.compile("Unrecognized token '[^']*'");
 
-    private final ValidationErrorCollector faults;
+    private final ValidationErrorCollector errors;
 
-    private DocumentParser(ValidationErrorCollector faults) {
-        this.faults = faults;
+    private DocumentParser(ValidationErrorCollector errors) {
+        this.errors = errors;
     }
 
     /**
      * Parses a whole document.
      *
      * @param text the document
-     * @param faults where duplicate names are reported
+     * @param errors where duplicate names are reported
      * @return the root node
-     * @throws SyntaxFault if the text is not one JSON document within the bounds
+     * @throws SyntaxException if the text is not one JSON document within the bounds
      */
-    static Node parse(String text, ValidationErrorCollector faults) throws SyntaxFault {
+    static Node parse(String text, ValidationErrorCollector errors) throws SyntaxException {
         checkArgument(text.length() <= MAX_LENGTH_CHARS, "document of %s characters is too long", text.length());
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
-                throw new SyntaxFault(new ValidationError(1, "", "the document is empty", "write one JSON object"));
+                throw new SyntaxException(new ValidationError(1, "", "the document is empty", "write one JSON object"));
             }
-            Node root = new DocumentParser(faults).parseValue(parser, "");
+            Node root = new DocumentParser(errors).parseValue(parser, "");
             if (parser.nextToken() != null) {
-                throw new SyntaxFault(new ValidationError(
+                throw new SyntaxException(new ValidationError(
                         lineOf(parser), "", "there is text after the end of the document", "keep one JSON object"));
             }
             return root;
         } catch (StreamConstraintsException tooLarge) {
-            throw new SyntaxFault(new ValidationError(
+            throw new SyntaxException(new ValidationError(
                     lineOf(tooLarge),
                     "",
                     "the document is nested too deep or has a text that is too long",
                     "keep to " + MAX_DEPTH + " levels and texts of " + MAX_TEXT_CHARS + " characters"));
         } catch (JsonParseException malformed) {
-            throw new SyntaxFault(new ValidationError(
+            throw new SyntaxException(new ValidationError(
                     lineOf(malformed),
                     "",
                     "not valid JSON: " + problem(malformed.getOriginalMessage()),
                     "correct the syntax there"));
         } catch (IOException impossible) {
-            throw new SyntaxFault(
+            throw new SyntaxException(
                     new ValidationError(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
         }
     }
@@ -112,7 +112,7 @@
             parser.nextToken();
             Node value = parseValue(parser, memberPath);
             if (members.putIfAbsent(name, new Node.Member(nameLine, value)) != null) {
-                faults.add(nameLine, memberPath, "the field is given twice", "keep one of them");
+                errors.add(nameLine, memberPath, "the field is given twice", "keep one of them");
             }
         }
         return new Node.ObjectNode(line, ImmutableMap.copyOf(members));
@@ -147,18 +147,18 @@
     }
 
     /** Thrown when the text is no JSON document at all; carries the one fault. */
-    static final class SyntaxFault extends Exception {
+    static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        private final transient ValidationError fault;
+        private final transient ValidationError error;
 
-        SyntaxFault(ValidationError fault) {
-            super(fault.toString());
-            this.fault = fault;
+        SyntaxException(ValidationError error) {
+            super(error.toString());
+            this.error = error;
         }
 
-        ValidationError fault() {
-            return fault;
+        ValidationError error() {
+            return error;
         }
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
@@ -26,7 +26,7 @@
     public static <T> Either<ImmutableList<ValidationError>, T> read(String text, Function<Fields, T> reader) {
         requireNonNull(text);
         requireNonNull(reader);
-        ValidationErrorCollector faults = new ValidationErrorCollector();
+        ValidationErrorCollector errors = new ValidationErrorCollector();
         if (text.length() > DocumentParser.MAX_LENGTH_CHARS) {
             return Either.left(ImmutableList.of(new ValidationError(
                     1,
@@ -36,23 +36,23 @@
         }
         Node root;
         try {
-            root = DocumentParser.parse(text, faults);
-        } catch (DocumentParser.SyntaxFault syntax) {
-            return Either.left(ImmutableList.of(syntax.fault()));
+            root = DocumentParser.parse(text, errors);
+        } catch (DocumentParser.SyntaxException syntax) {
+            return Either.left(ImmutableList.of(syntax.error()));
         }
-        Optional<T> value = readRoot(root, reader, faults);
-        if (value.isPresent() && faults.isEmpty()) {
+        Optional<T> value = readRoot(root, reader, errors);
+        if (value.isPresent() && errors.isEmpty()) {
             return Either.right(value.get());
         }
-        return Either.left(faults.sorted());
+        return Either.left(errors.sorted());
     }
 
-    private static <T> Optional<T> readRoot(Node root, Function<Fields, T> reader, ValidationErrorCollector faults) {
+    private static <T> Optional<T> readRoot(Node root, Function<Fields, T> reader, ValidationErrorCollector errors) {
         if (!(root instanceof ObjectNode object)) {
-            faults.add(root.line(), "", "found " + root.typeName(), "write one JSON object");
+            errors.add(root.line(), "", "found " + root.typeName(), "write one JSON object");
             return Optional.empty();
         }
-        Fields fields = new Fields(object, "", faults);
+        Fields fields = new Fields(object, "", errors);
         T value = reader.apply(fields);
         fields.finish();
         return Optional.ofNullable(value);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
@@ -28,14 +28,14 @@
 
     private final ObjectNode object;
     private final String path;
-    private final ValidationErrorCollector faults;
-    private final Set<String> known = new HashSet<>();
-    private boolean ignoresUnknown;
+    private final ValidationErrorCollector errors;
+    private final Set<String> requestedFields = new HashSet<>();
+    private boolean ignoresUnknownFields;
 
-    Fields(ObjectNode object, String path, ValidationErrorCollector faults) {
+    Fields(ObjectNode object, String path, ValidationErrorCollector errors) {
         this.object = object;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     /** Returns the line that the object starts on. */
@@ -56,7 +56,7 @@
 
     /** Reports a fault of a field that the reader itself found. */
     public void addError(String name, String problem, String remedy) {
-        faults.add(lineOf(name), pathOf(name), problem, remedy);
+        errors.add(lineOf(name), pathOf(name), problem, remedy);
     }
 
     /** Reads a required name: lower case letters, digits and hyphens, at most 63 characters. */
@@ -86,7 +86,7 @@
 
     /** Reads an optional text. */
     public Optional<String> optionalText(String field) {
-        known.add(field);
+        requestedFields.add(field);
         return has(field) ? Optional.of(text(field)) : Optional.empty();
     }
 
@@ -110,22 +110,22 @@
     }
 
     /** Reads a required whole number within bounds. */
-    public int integer(String field, int least, int most) {
+    public int integer(String field, int min, int max) {
         Optional<Node> value = required(field);
-        return value.isEmpty() ? least : (int) bounded(field, value.get(), least, most, "");
+        return value.isEmpty() ? min : (int) bounded(field, value.get(), min, max, "");
     }
 
     /** Reads an optional whole number within bounds. */
-    public int integer(String field, int least, int most, int fallback) {
-        known.add(field);
-        return has(field) ? integer(field, least, most) : fallback;
+    public int integer(String field, int min, int max, int fallback) {
+        requestedFields.add(field);
+        return has(field) ? integer(field, min, max) : fallback;
     }
 
     /** Reads a required number, whole or not, within bounds. */
-    public double decimal(String field, double least, double most) {
+    public double decimal(String field, double min, double max) {
         Optional<Node> value = required(field);
         if (value.isEmpty()) {
-            return least;
+            return min;
         }
         double number;
         if (value.get() instanceof IntegerNode integer) {
@@ -134,50 +134,50 @@
             number = decimal.value();
         } else {
             wrongType(field, value.get(), "a number");
-            return least;
+            return min;
         }
-        if (number < least || number > most) {
-            addError(field, number + " is out of bounds", "choose from " + least + " to " + most);
-            return least;
+        if (number < min || number > max) {
+            addError(field, number + " is out of bounds", "choose from " + min + " to " + max);
+            return min;
         }
         return number;
     }
 
     /** Reads an optional number, whole or not, within bounds. */
-    public double decimal(String field, double least, double most, double fallback) {
-        known.add(field);
-        return has(field) ? decimal(field, least, most) : fallback;
+    public double decimal(String field, double min, double max, double fallback) {
+        requestedFields.add(field);
+        return has(field) ? decimal(field, min, max) : fallback;
     }
 
     /** Reads a required whole number of 64 bits within bounds. */
-    public long longInteger(String field, long least, long most) {
+    public long longInteger(String field, long min, long max) {
         Optional<Node> value = required(field);
-        return value.isEmpty() ? least : bounded(field, value.get(), least, most, "");
+        return value.isEmpty() ? min : bounded(field, value.get(), min, max, "");
     }
 
     /** Accepts fields that nobody asks for, in this object: its writer may be newer than this program. */
     public void ignoreUnknownFields() {
-        ignoresUnknown = true;
+        ignoresUnknownFields = true;
     }
 
     /** Reads a required duration of whole milliseconds; the field's name must end in {@code Ms}. */
-    public Duration millis(String field, Duration least, Duration most) {
+    public Duration millis(String field, Duration min, Duration max) {
         Optional<Node> value = required(field);
         if (value.isEmpty()) {
-            return least;
+            return min;
         }
-        return Duration.ofMillis(bounded(field, value.get(), least.toMillis(), most.toMillis(), " milliseconds"));
+        return Duration.ofMillis(bounded(field, value.get(), min.toMillis(), max.toMillis(), " milliseconds"));
     }
 
     /** Reads an optional duration of whole milliseconds. */
-    public Duration millis(String field, Duration least, Duration most, Duration fallback) {
-        known.add(field);
-        return has(field) ? millis(field, least, most) : fallback;
+    public Duration millis(String field, Duration min, Duration max, Duration fallback) {
+        requestedFields.add(field);
+        return has(field) ? millis(field, min, max) : fallback;
     }
 
     /** Reads an optional truth value. */
     public boolean flag(String field, boolean fallback) {
-        known.add(field);
+        requestedFields.add(field);
         Member member = object.members().get(field);
         if (member == null) {
             return fallback;
@@ -194,14 +194,14 @@
         T[] constants = type.getEnumConstants();
         String value = text(field);
         for (T constant : constants) {
-            if (spell(constant).equals(value)) {
+            if (toExternalName(constant).equals(value)) {
                 return constant;
             }
         }
         if (!value.isEmpty()) {
             StringBuilder choices = new StringBuilder();
             for (T constant : constants) {
-                choices.append(choices.length() == 0 ? "" : ", ").append(spell(constant));
+                choices.append(choices.length() == 0 ? "" : ", ").append(toExternalName(constant));
             }
             addError(field, "\"" + value + "\" is not a choice here", "write one of: " + choices);
         }
@@ -219,14 +219,14 @@
 
     /** Reads an optional object. */
     public <T> Optional<T> optionalObject(String field, Function<Fields, T> reader) {
-        known.add(field);
+        requestedFields.add(field);
         return has(field) ? object(field, reader) : Optional.empty();
     }
 
     /** Reads an optional array of objects; a missing field is an empty array. */
-    public <T> ImmutableList<T> objects(String field, int most, Function<Fields, T> reader) {
+    public <T> ImmutableList<T> objects(String field, int max, Function<Fields, T> reader) {
         ImmutableList.Builder<T> results = ImmutableList.builder();
-        ImmutableList<Node> elements = elements(field, most);
+        ImmutableList<Node> elements = elements(field, max);
         for (int position = 0; position < elements.size(); position++) {
             readObject(elements.get(position), pathOf(field) + "[" + position + "]", reader)
                     .ifPresent(results::add);
@@ -235,13 +235,13 @@
     }
 
     /** Reads an optional array of texts; a missing field is an empty array. */
-    public ImmutableList<String> texts(String field, int most) {
+    public ImmutableList<String> texts(String field, int max) {
         ImmutableList.Builder<String> results = ImmutableList.builder();
-        for (Node element : elements(field, most)) {
+        for (Node element : elements(field, max)) {
             if (element instanceof TextNode text) {
                 results.add(text.value());
             } else {
-                faults.add(element.line(), pathOf(field), "an element is " + element.typeName(), "write texts only");
+                errors.add(element.line(), pathOf(field), "an element is " + element.typeName(), "write texts only");
             }
         }
         return results.build();
@@ -249,18 +249,18 @@
 
     /** Reports every field that was never asked for. Call it once all fields are read. */
     public void finish() {
-        if (ignoresUnknown) {
+        if (ignoresUnknownFields) {
             return;
         }
         object.members().forEach((name, member) -> {
-            if (!known.contains(name)) {
-                faults.add(member.line(), pathOf(name), "the field is unknown", remedyForUnknown(name));
+            if (!requestedFields.contains(name)) {
+                errors.add(member.line(), pathOf(name), "the field is unknown", remedyForUnknown(name));
             }
         });
     }
 
-    private ImmutableList<Node> elements(String field, int most) {
-        known.add(field);
+    private ImmutableList<Node> elements(String field, int max) {
+        requestedFields.add(field);
         Member member = object.members().get(field);
         if (member == null) {
             return ImmutableList.of();
@@ -269,8 +269,8 @@
             wrongType(field, member.value(), "an array");
             return ImmutableList.of();
         }
-        if (array.elements().size() > most) {
-            addError(field, "there are " + array.elements().size() + " elements", "keep to " + most);
+        if (array.elements().size() > max) {
+            addError(field, "there are " + array.elements().size() + " elements", "keep to " + max);
             return ImmutableList.of();
         }
         return array.elements();
@@ -278,17 +278,17 @@
 
     private <T> Optional<T> readObject(Node node, String nodePath, Function<Fields, T> reader) {
         if (!(node instanceof ObjectNode child)) {
-            faults.add(node.line(), nodePath, "found " + node.typeName(), "write an object");
+            errors.add(node.line(), nodePath, "found " + node.typeName(), "write an object");
             return Optional.empty();
         }
-        Fields fields = new Fields(child, nodePath, faults);
+        Fields fields = new Fields(child, nodePath, errors);
         T result = reader.apply(fields);
         fields.finish();
         return Optional.of(result);
     }
 
     private Optional<Node> required(String field) {
-        known.add(field);
+        requestedFields.add(field);
         Member member = object.members().get(field);
         if (member == null) {
             addError(field, "the field is missing", "add it");
@@ -297,15 +297,14 @@
         return Optional.of(member.value());
     }
 
-    private long bounded(String field, Node value, long least, long most, String unit) {
+    private long bounded(String field, Node value, long min, long max, String unit) {
         if (!(value instanceof IntegerNode integer)) {
             wrongType(field, value, "a whole number" + (unit.isEmpty() ? "" : " of" + unit));
-            return least;
+            return min;
         }
-        if (integer.value() < least || integer.value() > most) {
-            addError(
-                    field, integer.value() + unit + " is out of bounds", "choose from " + least + " to " + most + unit);
-            return least;
+        if (integer.value() < min || integer.value() > max) {
+            addError(field, integer.value() + unit + " is out of bounds", "choose from " + min + " to " + max + unit);
+            return min;
         }
         return integer.value();
     }
@@ -315,20 +314,20 @@
     }
 
     private String remedyForUnknown(String name) {
-        String close = "";
-        for (String candidate : known) {
+        String suggestion = "";
+        for (String candidate : requestedFields) {
             if (candidate.regionMatches(true, 0, name, 0, Math.min(4, name.length()))) {
-                close = candidate;
+                suggestion = candidate;
             }
         }
-        return close.isEmpty() ? "remove it" : "remove it, or did you mean " + close;
+        return suggestion.isEmpty() ? "remove it" : "remove it, or did you mean " + suggestion;
     }
 
     private String pathOf(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private static String spell(Enum<?> constant) {
+    private static String toExternalName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationError.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationError.java
@@ -22,7 +22,7 @@
 
     @Override
     public String toString() {
-        String place = field.isEmpty() ? "line " + line : "line " + line + ", field " + field;
-        return place + ": " + problem + ". Remedy: " + remedy + ".";
+        String location = field.isEmpty() ? "line " + line : "line " + line + ", field " + field;
+        return location + ": " + problem + ". Remedy: " + remedy + ".";
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationErrorCollector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationErrorCollector.java
@@ -11,22 +11,22 @@
  * <p>Not safe for use by several threads.
  */
 final class ValidationErrorCollector {
-    private static final int MAX_FAULTS = 200;
+    private static final int MAX_ERRORS = 200;
 
-    private final List<ValidationError> faults = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
     void add(int line, String field, String problem, String remedy) {
-        if (faults.size() < MAX_FAULTS) {
-            faults.add(new ValidationError(line, field, problem, remedy));
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(new ValidationError(line, field, problem, remedy));
         }
     }
 
     boolean isEmpty() {
-        return faults.isEmpty();
+        return errors.isEmpty();
     }
 
     /** Returns the faults in the order of their lines. */
     ImmutableList<ValidationError> sorted() {
-        return ImmutableList.sortedCopyOf(Comparator.comparingInt(ValidationError::line), faults);
+        return ImmutableList.sortedCopyOf(Comparator.comparingInt(ValidationError::line), errors);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/LeafReports.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/LeafReports.java
@@ -13,9 +13,9 @@
     private LeafReports() {}
 
     /** Returns true if a report changes what is known. */
-    static boolean isNews(LeafRecord known, LeafRecord report) {
-        boolean leaves = report.getPhase() == LeafRecord.Phase.GONE;
-        if (leaves && report.getIncarnation() == 0) {
+    static boolean isNewer(LeafRecord known, LeafRecord report) {
+        boolean isGone = report.getPhase() == LeafRecord.Phase.GONE;
+        if (isGone && report.getIncarnation() == 0) {
             // It does not say which life ends, so it is the one that is known.
             return known.getPhase() != LeafRecord.Phase.GONE;
         }
@@ -25,16 +25,16 @@
         if (known.getPhase() == LeafRecord.Phase.GONE) {
             return false;
         }
-        return leaves || isNewsOfSameLife(known, report);
+        return isGone || isNewerInSameIncarnation(known, report);
     }
 
-    private static boolean isNewsOfSameLife(LeafRecord known, LeafRecord report) {
-        boolean ofTheSameLeaf = report.getService().equals(known.getService())
+    private static boolean isNewerInSameIncarnation(LeafRecord known, LeafRecord report) {
+        boolean sameLeaf = report.getService().equals(known.getService())
                 && report.getAddress().equals(known.getAddress());
-        boolean turnedColdOrWarm = report.getColdMillis() > 0 != known.getColdMillis() > 0;
-        boolean saysOther =
-                report.getPhase() != known.getPhase() || report.getSlots() != known.getSlots() || turnedColdOrWarm;
-        return ofTheSameLeaf && saysOther && report.getSequence() > known.getSequence();
+        boolean becameColdOrWarm = report.getColdMillis() > 0 != known.getColdMillis() > 0;
+        boolean differs =
+                report.getPhase() != known.getPhase() || report.getSlots() != known.getSlots() || becameColdOrWarm;
+        return sameLeaf && differs && report.getSequence() > known.getSequence();
     }
 
     /** Returns what to remember of a leaf after a report that is news. */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
@@ -17,37 +17,37 @@
  */
 public final class MembershipMonitor {
     /** A leaf reports about every second and at times some seconds late; own calls notice a crash long before. */
-    static final Duration LEAF_SILENCE = Duration.ofSeconds(20);
+    static final Duration LEAF_TIMEOUT = Duration.ofSeconds(20);
     /** A host asks for changes at least once a second. */
-    static final Duration HOST_SILENCE = Duration.ofSeconds(6);
+    static final Duration HOST_TIMEOUT = Duration.ofSeconds(6);
 
-    private final Map<String, Long> leavesHeardNanos = new HashMap<>();
-    private final Map<String, Long> hostsHeardNanos = new HashMap<>();
-    private final Map<String, Integer> queriesAMinuteByHost = new HashMap<>();
-    private HeardMembers.Builder sinceReport = HeardMembers.newBuilder();
+    private final Map<String, Long> lastLeafContactNanos = new HashMap<>();
+    private final Map<String, Long> lastHostContactNanos = new HashMap<>();
+    private final Map<String, Integer> queriesPerMinuteByHost = new HashMap<>();
+    private HeardMembers.Builder pendingReport = HeardMembers.newBuilder();
 
     /** Notes that a leaf reported to this host. */
     public void recordLeafContact(String id, long nowNanos) {
-        leavesHeardNanos.put(id, nowNanos);
-        sinceReport.addLeafIds(id);
+        lastLeafContactNanos.put(id, nowNanos);
+        pendingReport.addLeafIds(id);
     }
 
     /**
      * Notes that a host asked this host for changes.
      *
-     * @param queriesAMinute the queries over shards that it takes from callers
+     * @param queriesPerMinute the queries over shards that it takes from callers
      */
-    public void recordHostContact(String name, int queriesAMinute, long nowNanos) {
-        noteHost(name, queriesAMinute, nowNanos);
-        sinceReport.addHostNames(name).addQueriesAMinute(queriesAMinute);
+    public void recordHostContact(String name, int queriesPerMinute, long nowNanos) {
+        updateHost(name, queriesPerMinute, nowNanos);
+        pendingReport.addHostNames(name).addQueriesAMinute(queriesPerMinute);
     }
 
     /** Takes what another control host has heard of. */
     public void merge(HeardMembers report, long nowNanos) {
-        report.getLeafIdsList().forEach(id -> leavesHeardNanos.put(id, nowNanos));
-        boolean rated = report.getQueriesAMinuteCount() == report.getHostNamesCount();
+        report.getLeafIdsList().forEach(id -> lastLeafContactNanos.put(id, nowNanos));
+        boolean hasRates = report.getQueriesAMinuteCount() == report.getHostNamesCount();
         for (int position = 0; position < report.getHostNamesCount(); position++) {
-            noteHost(report.getHostNames(position), rated ? report.getQueriesAMinute(position) : 0, nowNanos);
+            updateHost(report.getHostNames(position), hasRates ? report.getQueriesAMinute(position) : 0, nowNanos);
         }
     }
 
@@ -58,52 +58,52 @@
     public OptionalInt queriesPerMinute(ReplicatedTables tables) {
         int sum = 0;
         for (HostRecord host : tables.presentHosts()) {
-            Integer told = queriesAMinuteByHost.get(host.getName());
-            if (host.getEntry() && told == null) {
+            Integer reported = queriesPerMinuteByHost.get(host.getName());
+            if (host.getEntry() && reported == null) {
                 return OptionalInt.empty();
             }
-            sum += host.getEntry() && told != null ? told : 0;
+            sum += host.getEntry() && reported != null ? reported : 0;
         }
         return OptionalInt.of(sum);
     }
 
-    private void noteHost(String name, int queriesAMinute, long nowNanos) {
-        hostsHeardNanos.put(name, nowNanos);
-        queriesAMinuteByHost.put(name, queriesAMinute);
+    private void updateHost(String name, int queriesPerMinute, long nowNanos) {
+        lastHostContactNanos.put(name, nowNanos);
+        queriesPerMinuteByHost.put(name, queriesPerMinute);
     }
 
     /** Returns what was heard of since the last call, for the leader. */
     public HeardMembers takeReport() {
-        HeardMembers report = sinceReport.build();
-        sinceReport = HeardMembers.newBuilder();
+        HeardMembers report = pendingReport.build();
+        pendingReport = HeardMembers.newBuilder();
         return report;
     }
 
     /** Begins anew, as a host that begins to lead does: every member counts as heard of now. */
     public void reset(ReplicatedTables tables, long nowNanos) {
-        leavesHeardNanos.clear();
-        hostsHeardNanos.clear();
-        queriesAMinuteByHost.clear();
-        tables.presentLeaves().forEach(leaf -> leavesHeardNanos.put(leaf.getId(), nowNanos));
-        tables.presentHosts().forEach(host -> hostsHeardNanos.put(host.getName(), nowNanos));
+        lastLeafContactNanos.clear();
+        lastHostContactNanos.clear();
+        queriesPerMinuteByHost.clear();
+        tables.presentLeaves().forEach(leaf -> lastLeafContactNanos.put(leaf.getId(), nowNanos));
+        tables.presentHosts().forEach(host -> lastHostContactNanos.put(host.getName(), nowNanos));
     }
 
     /** Returns the members that nobody has heard of for too long. */
     public ForgetMembers silentMembers(ReplicatedTables tables, long nowNanos) {
         ForgetMembers.Builder silent = ForgetMembers.newBuilder();
         for (LeafRecord leaf : tables.presentLeaves()) {
-            long heardNanos = leavesHeardNanos.computeIfAbsent(leaf.getId(), unused -> nowNanos);
-            if (nowNanos - heardNanos > LEAF_SILENCE.toNanos()) {
+            long contactNanos = lastLeafContactNanos.computeIfAbsent(leaf.getId(), unused -> nowNanos);
+            if (nowNanos - contactNanos > LEAF_TIMEOUT.toNanos()) {
                 silent.addLeafIds(leaf.getId());
-                leavesHeardNanos.remove(leaf.getId());
+                lastLeafContactNanos.remove(leaf.getId());
             }
         }
         for (HostRecord host : tables.presentHosts()) {
-            long heardNanos = hostsHeardNanos.computeIfAbsent(host.getName(), unused -> nowNanos);
-            if (nowNanos - heardNanos > HOST_SILENCE.toNanos()) {
+            long contactNanos = lastHostContactNanos.computeIfAbsent(host.getName(), unused -> nowNanos);
+            if (nowNanos - contactNanos > HOST_TIMEOUT.toNanos()) {
                 silent.addHosts(host);
-                hostsHeardNanos.remove(host.getName());
-                queriesAMinuteByHost.remove(host.getName());
+                lastHostContactNanos.remove(host.getName());
+                queriesPerMinuteByHost.remove(host.getName());
             }
         }
         return silent.build();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/ReplicatedTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/ReplicatedTables.java
@@ -43,7 +43,7 @@
     private long configurationVersion;
     private ByteString configuration = ByteString.EMPTY;
     private long configurationRevision;
-    private long forgottenRevision;
+    private long evictedRevision;
     private boolean throughHolders;
     private final SortedSet<String> drainedZones = new TreeSet<>();
     private final HarmRecords harm = new HarmRecords();
@@ -63,7 +63,7 @@
     /** Takes the report of a leaf unless a newer one was taken. */
     public CommandResult applyReport(LeafRecord report) {
         LeafRecord known = leaves.get(report.getId());
-        if (known != null && !LeafReports.isNews(known, report)) {
+        if (known != null && !LeafReports.isNewer(known, report)) {
             return result(CommandResult.Kind.SUPERSEDED);
         }
         revision++;
@@ -72,14 +72,14 @@
                 .build();
         leaves.remove(report.getId());
         leaves.put(report.getId(), next);
-        forgetOldest();
+        evictOldestDeparted();
         return result(CommandResult.Kind.ACCEPTED);
     }
 
     /** Takes the report of a host if it tells of another start or a later phase than the one known. */
     public CommandResult applyReport(HostRecord report) {
         HostRecord known = hosts.get(report.getName());
-        if (known != null && !changes(known, report)) {
+        if (known != null && !isNewer(known, report)) {
             return result(CommandResult.Kind.SUPERSEDED);
         }
         revision++;
@@ -87,7 +87,7 @@
         hosts.put(
                 report.getName(),
                 report.toBuilder().setChangedRevision(revision).build());
-        forgetOldest();
+        evictOldestDeparted();
         return result(CommandResult.Kind.ACCEPTED);
     }
 
@@ -167,13 +167,13 @@
     /** Returns true if the report of a leaf says anything new. */
     public boolean wouldChange(LeafRecord report) {
         LeafRecord known = leaves.get(report.getId());
-        return known == null || LeafReports.isNews(known, report);
+        return known == null || LeafReports.isNewer(known, report);
     }
 
     /** Returns true if the report of a host says anything new. */
     public boolean wouldChange(HostRecord report) {
         HostRecord known = hosts.get(report.getName());
-        return known == null || changes(known, report);
+        return known == null || isNewer(known, report);
     }
 
     /** Returns the revision: how many changes were made so far. */
@@ -217,11 +217,11 @@
 
     /** Returns what changed since a revision, or everything if too much was forgotten since. */
     public TableDelta.Builder changesSince(long knownRevision) {
-        boolean whole = knownRevision < forgottenRevision || knownRevision > revision || knownRevision == 0;
-        long since = whole ? 0 : knownRevision;
+        boolean full = knownRevision < evictedRevision || knownRevision > revision || knownRevision == 0;
+        long since = full ? 0 : knownRevision;
         TableDelta.Builder delta = TableDelta.newBuilder()
                 .setRevision(revision)
-                .setWhole(whole)
+                .setWhole(full)
                 .setConfigurationVersion(configurationVersion)
                 .setThroughHolders(throughHolders)
                 .addAllDrainedZones(drainedZones)
@@ -231,13 +231,13 @@
         }
         for (LeafRecord leaf : leaves.values()) {
             boolean departed = leaf.getPhase() == LeafRecord.Phase.GONE;
-            if (leaf.getChangedRevision() > since && !(whole && departed)) {
+            if (leaf.getChangedRevision() > since && !(full && departed)) {
                 delta.addLeaves(leaf);
             }
         }
         for (HostRecord host : hosts.values()) {
             boolean departed = host.getPhase() == HostRecord.Phase.GONE;
-            if (host.getChangedRevision() > since && !(whole && departed)) {
+            if (host.getChangedRevision() > since && !(full && departed)) {
                 delta.addHosts(host);
             }
         }
@@ -251,7 +251,7 @@
                 .setConfigurationVersion(configurationVersion)
                 .setConfiguration(configuration)
                 .setConfigurationRevision(configurationRevision)
-                .setForgottenRevision(forgottenRevision)
+                .setForgottenRevision(evictedRevision)
                 .setThroughHolders(throughHolders)
                 .addAllDrainedZones(drainedZones)
                 .addAllLeaves(leaves.values())
@@ -270,7 +270,7 @@
         configurationVersion = snapshot.getConfigurationVersion();
         configuration = snapshot.getConfiguration();
         configurationRevision = snapshot.getConfigurationRevision();
-        forgottenRevision = snapshot.getForgottenRevision();
+        evictedRevision = snapshot.getForgottenRevision();
         throughHolders = snapshot.getThroughHolders();
         drainedZones.clear();
         drainedZones.addAll(snapshot.getDrainedZonesList());
@@ -279,7 +279,7 @@
         harm.restore(snapshot.getHarmList(), snapshot.getHarmClockMillis(), snapshot.getHarmNumber());
     }
 
-    private static boolean changes(HostRecord known, HostRecord report) {
+    private static boolean isNewer(HostRecord known, HostRecord report) {
         if (report.getIncarnation() != known.getIncarnation()) {
             return true;
         }
@@ -287,14 +287,13 @@
     }
 
     /** Keeps the memory of departed members bounded. */
-    private void forgetOldest() {
-        forgetOldestOf(leaves, leaf -> leaf.getPhase() == LeafRecord.Phase.GONE, LeafRecord::getChangedRevision);
-        forgetOldestOf(hosts, host -> host.getPhase() == HostRecord.Phase.GONE, HostRecord::getChangedRevision);
+    private void evictOldestDeparted() {
+        evictOldest(leaves, leaf -> leaf.getPhase() == LeafRecord.Phase.GONE, LeafRecord::getChangedRevision);
+        evictOldest(hosts, host -> host.getPhase() == HostRecord.Phase.GONE, HostRecord::getChangedRevision);
     }
 
     /** Forgets the departed that changed longest ago; the records are in the order of their last change. */
-    private <T> void forgetOldestOf(
-            Map<String, T> records, Predicate<T> isDeparted, ToLongFunction<T> changedRevision) {
+    private <T> void evictOldest(Map<String, T> records, Predicate<T> isDeparted, ToLongFunction<T> changedRevision) {
         if (records.size() <= MAX_DEPARTED) {
             return;
         }
@@ -304,7 +303,7 @@
             T record = oldestFirst.next();
             if (isDeparted.test(record)) {
                 oldestFirst.remove();
-                forgottenRevision = Math.max(forgottenRevision, changedRevision.applyAsLong(record));
+                evictedRevision = Math.max(evictedRevision, changedRevision.applyAsLong(record));
                 excess--;
             }
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/ShardAccessPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/ShardAccessPolicy.java
@@ -22,52 +22,56 @@
      * fleets. Between these nothing was measured; the two limits lie apart so that a rate between them keeps what is in
      * force.
      */
-    private static final double HOLD_BELOW = 2;
+    private static final double USE_HOLDERS_BELOW_QUERIES_PER_SECOND = 2;
 
-    private static final double CONNECT_ABOVE = 4;
+    private static final double CONNECT_DIRECTLY_ABOVE_QUERIES_PER_SECOND = 4;
     /** Fewer queries a minute in the whole fleet say nothing of its usual load. */
-    private static final int LEAST_QUERIES_A_MINUTE = 60;
+    private static final int MIN_QUERIES_PER_MINUTE = 60;
 
     /** For how long the rates must speak for a change. */
-    static final Duration CONFIRMED_AFTER = Duration.ofSeconds(4);
+    static final Duration CONFIRMATION_PERIOD = Duration.ofSeconds(4);
     /** Connections move with the decision, so it is not changed again sooner. */
-    static final Duration LEAST_KEPT = Duration.ofSeconds(15);
+    static final Duration MIN_TIME_BETWEEN_CHANGES = Duration.ofSeconds(15);
 
-    private Optional<Long> wantedSinceNanos = Optional.empty();
-    private Optional<Long> changedNanos = Optional.empty();
+    private Optional<Long> changeWantedSinceNanos = Optional.empty();
+    private Optional<Long> lastChangeNanos = Optional.empty();
 
     /**
      * Looks at the rates; call it about every second.
      *
      * @param throughHolders what is in force
      * @param entryHosts how many hosts take requests of callers
-     * @param queriesAMinute what they take together, if it is known
+     * @param queriesPerMinute what they take together, if it is known
      * @return what should be in force from now on, if that is something else
      */
-    public Optional<Boolean> decide(boolean throughHolders, int entryHosts, OptionalInt queriesAMinute, long nowNanos) {
-        if (!speaksForChange(throughHolders, entryHosts, queriesAMinute)) {
-            wantedSinceNanos = Optional.empty();
+    public Optional<Boolean> decide(
+            boolean throughHolders, int entryHosts, OptionalInt queriesPerMinute, long nowNanos) {
+        if (!favorsChange(throughHolders, entryHosts, queriesPerMinute)) {
+            changeWantedSinceNanos = Optional.empty();
             return Optional.empty();
         }
-        if (wantedSinceNanos.isEmpty()) {
-            wantedSinceNanos = Optional.of(nowNanos);
+        if (changeWantedSinceNanos.isEmpty()) {
+            changeWantedSinceNanos = Optional.of(nowNanos);
         }
-        boolean confirmed = nowNanos - wantedSinceNanos.get() >= CONFIRMED_AFTER.toNanos();
-        boolean kept = changedNanos.isEmpty() || nowNanos - changedNanos.get() >= LEAST_KEPT.toNanos();
-        if (!confirmed || !kept) {
+        boolean confirmed = nowNanos - changeWantedSinceNanos.get() >= CONFIRMATION_PERIOD.toNanos();
+        boolean mayChangeAgain =
+                lastChangeNanos.isEmpty() || nowNanos - lastChangeNanos.get() >= MIN_TIME_BETWEEN_CHANGES.toNanos();
+        if (!confirmed || !mayChangeAgain) {
             return Optional.empty();
         }
-        changedNanos = Optional.of(nowNanos);
-        wantedSinceNanos = Optional.empty();
+        lastChangeNanos = Optional.of(nowNanos);
+        changeWantedSinceNanos = Optional.empty();
         return Optional.of(!throughHolders);
     }
 
-    private static boolean speaksForChange(boolean throughHolders, int entryHosts, OptionalInt queriesAMinute) {
-        if (queriesAMinute.isEmpty() || queriesAMinute.getAsInt() < LEAST_QUERIES_A_MINUTE || entryHosts == 0) {
+    private static boolean favorsChange(boolean throughHolders, int entryHosts, OptionalInt queriesPerMinute) {
+        if (queriesPerMinute.isEmpty() || queriesPerMinute.getAsInt() < MIN_QUERIES_PER_MINUTE || entryHosts == 0) {
             return false;
         }
-        double aSecondAndHost =
-                queriesAMinute.getAsInt() / (double) Duration.ofMinutes(1).toSeconds() / entryHosts;
-        return throughHolders ? aSecondAndHost > CONNECT_ABOVE : aSecondAndHost < HOLD_BELOW;
+        double queriesPerSecondAndHost =
+                queriesPerMinute.getAsInt() / (double) Duration.ofMinutes(1).toSeconds() / entryHosts;
+        return throughHolders
+                ? queriesPerSecondAndHost > CONNECT_DIRECTLY_ABOVE_QUERIES_PER_SECOND
+                : queriesPerSecondAndHost < USE_HOLDERS_BELOW_QUERIES_PER_SECOND;
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
@@ -9,90 +9,90 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.bramblerack.process.agreement.AgreementWorld.Faults;
+import org.bramblerack.process.agreement.RaftSimulation.Faults;
 import org.junit.jupiter.api.Test;
 
 /** Random schedules from fixed seeds; a failing one is shrunk and printed. */
 final class AgreementScheduleTest {
-    private static final int LARGEST_STEP = AgreementWorld.KINDS * 1_000;
+    private static final int MAX_STEP = RaftSimulation.STEP_KINDS * 1_000;
 
     @Property(tries = 1_200, seed = "5")
     void threeVotersKeepTheirPromises(
-            @ForAll @Size(min = 100, max = 900) List<@IntRange(max = LARGEST_STEP) Integer> schedule) {
-        play(new AgreementWorld(3, Faults.NONE), schedule);
+            @ForAll @Size(min = 100, max = 900) List<@IntRange(max = MAX_STEP) Integer> schedule) {
+        run(new RaftSimulation(3, Faults.NONE), schedule);
     }
 
     @Property(tries = 600, seed = "6")
     void fiveVotersKeepTheirPromises(
-            @ForAll @Size(min = 200, max = 1_200) List<@IntRange(max = LARGEST_STEP) Integer> schedule) {
-        play(new AgreementWorld(5, Faults.NONE), schedule);
+            @ForAll @Size(min = 200, max = 1_200) List<@IntRange(max = MAX_STEP) Integer> schedule) {
+        run(new RaftSimulation(5, Faults.NONE), schedule);
     }
 
     @Test
-    void longSchedulesAgreeOnManyCommands() {
-        int agreed = 0;
+    void longSchedulesCommitManyCommands() {
+        int committed = 0;
         for (long seed = 1; seed <= 40; seed++) {
-            AgreementWorld world = new AgreementWorld(3, Faults.NONE);
+            RaftSimulation simulation = new RaftSimulation(3, Faults.NONE);
             SplittableRandom random = new SplittableRandom(seed);
             for (int step = 0; step < 6_000; step++) {
-                world.step(random.nextInt(LARGEST_STEP));
+                simulation.step(random.nextInt(MAX_STEP));
             }
-            world.settle();
-            agreed += world.agreedCount();
+            simulation.settle();
+            committed += simulation.committedCount();
         }
-        assertThat(agreed).isGreaterThan(1_000);
+        assertThat(committed).isGreaterThan(1_000);
     }
 
     /** A deliberate break: what is not synced is lost in a crash, and the checks must see it. */
     @Test
-    void aSkippedSyncIsCaught() {
+    void aSkippedSyncIsDetected() {
         assertThrows(AssertionError.class, () -> {
             for (long seed = 1; seed <= 40; seed++) {
-                AgreementWorld world = new AgreementWorld(3, Faults.SYNCS_SKIPPED);
+                RaftSimulation simulation = new RaftSimulation(3, Faults.SYNCS_SKIPPED);
                 SplittableRandom random = new SplittableRandom(seed);
                 for (int step = 0; step < 6_000; step++) {
-                    world.step(random.nextInt(LARGEST_STEP));
+                    simulation.step(random.nextInt(MAX_STEP));
                 }
-                world.settle();
+                simulation.settle();
             }
         });
     }
 
     @Test
     void losingOneDiskAtATimeLosesNoCommittedEntry() {
-        int agreed = 0;
-        int wipes = 0;
+        int committed = 0;
+        int diskLosses = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            AgreementWorld world = playRandomly(seed, Faults.DISKS_LOST);
-            agreed += world.agreedCount();
-            wipes += world.wipeCount();
+            RaftSimulation simulation = runRandomly(seed, Faults.DISKS_LOST);
+            committed += simulation.committedCount();
+            diskLosses += simulation.diskLossCount();
         }
-        assertThat(agreed).isGreaterThan(1_000);
-        assertThat(wipes).isGreaterThan(150);
+        assertThat(committed).isGreaterThan(1_000);
+        assertThat(diskLosses).isGreaterThan(150);
     }
 
     /** A deliberate break: a voter that lost its disk goes on voting, and the checks must see it. */
     @Test
-    void aWipedVoterUnderItsOldNameIsCaught() {
+    void aWipedVoterUnderItsOldNameIsDetected() {
         assertThrows(AssertionError.class, () -> {
             for (long seed = 1; seed <= 150; seed++) {
-                playRandomly(seed, Faults.DISKS_LOST_AND_NAMES_KEPT);
+                runRandomly(seed, Faults.DISKS_LOST_AND_NAMES_KEPT);
             }
         });
     }
 
-    private static AgreementWorld playRandomly(long seed, Faults faults) {
-        AgreementWorld world = new AgreementWorld(3, faults);
+    private static RaftSimulation runRandomly(long seed, Faults faults) {
+        RaftSimulation simulation = new RaftSimulation(3, faults);
         SplittableRandom random = new SplittableRandom(seed);
         for (int step = 0; step < 6_000; step++) {
-            world.step(random.nextInt(LARGEST_STEP));
+            simulation.step(random.nextInt(MAX_STEP));
         }
-        world.settle();
-        return world;
+        simulation.settle();
+        return simulation;
     }
 
-    private static void play(AgreementWorld world, List<Integer> schedule) {
-        schedule.forEach(world::step);
-        world.settle();
+    private static void run(RaftSimulation simulation, List<Integer> schedule) {
+        schedule.forEach(simulation::step);
+        simulation.settle();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ControlStateTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ControlStateTest.java
@@ -20,7 +20,7 @@
     private final ControlState state = new ControlState();
 
     @Test
-    void theLoserOfARaceIsToldWhatWon() {
+    void aConflictNamesTheChangeThatWon() {
         apply("p", "first", 0, "a");
         CommandResult loser = apply("p", "second", 0, "b");
         assertThat(loser.getKind()).isEqualTo(CommandResult.Kind.CONFLICT);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void onePartnersRevisionDoesNotDisturbTheOther() {
+    void aChangeOfOnePartnerDoesNotConflictWithAnother() {
         apply("p", "p1", 0, "a");
         assertThat(apply("q", "q1", 0, "b").getRevision()).isEqualTo(2);
         assertThat(apply("p", "p2", 1, "c").getRevision()).isEqualTo(3);
@@ -65,14 +65,14 @@
     }
 
     @Test
-    void anAttemptThatGaveUpBeforeItsClaimCameIsNeverGranted() {
+    void anAttemptAbandonedBeforeItsClaimIsNeverGranted() {
         outcome("r", "a1", OutcomeKind.NOT_RUN, 1);
         assertThat(claim("r", "a1", 1, 0).getKind()).isEqualTo(CommandResult.Kind.ALREADY);
         assertThat(claim("r", "a2", 1, 0).getKind()).isEqualTo(CommandResult.Kind.CLAIMED);
     }
 
     @Test
-    void anUnknownOutcomeBecomesRanOnEvidenceAndNothingElse() {
+    void anUnknownOutcomeCanOnlyBecomeRan() {
         claim("r", "a1", 1, 0);
         outcome("r", "a1", OutcomeKind.UNKNOWN, 1);
         assertThat(outcome("r", "a1", OutcomeKind.NOT_RUN, 1).getKind()).isEqualTo(CommandResult.Kind.ALREADY);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aClockThatGoesBackForgetsNothingTwice() {
+    void theClockOfTheClaimsNeverGoesBack() {
         claim("r", "a1", 5_000, 0);
         assertThat(claim("q", "a1", 1, 0).getClaim().getAtMillis()).isEqualTo(5_000);
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ElectionTimerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ElectionTimerTest.java
@@ -8,24 +8,24 @@
 
 /** After a start there is no leader to wait for; once one was heard of, it is given its time. */
 final class ElectionTimerTest {
-    private static final long ELECTION = Duration.ofMillis(400).toNanos();
+    private static final long ELECTION_TIMEOUT_NANOS = Duration.ofMillis(400).toNanos();
 
     @Test
-    void theFirstElectionComesEarly() {
+    void theFirstElectionTimeoutIsShorter() {
         for (int seed = 0; seed < 100; seed++) {
-            ElectionTimer timer = new ElectionTimer(ELECTION, new SplittableRandom(seed), 0);
-            assertThat(timer.isDue(ELECTION / 8)).isFalse();
-            assertThat(timer.isDue(ELECTION / 2)).isTrue();
+            ElectionTimer timer = new ElectionTimer(ELECTION_TIMEOUT_NANOS, new SplittableRandom(seed), 0);
+            assertThat(timer.isDue(ELECTION_TIMEOUT_NANOS / 8)).isFalse();
+            assertThat(timer.isDue(ELECTION_TIMEOUT_NANOS / 2)).isTrue();
         }
     }
 
     @Test
-    void aLeaderThatWasHeardOfIsGivenItsTime() {
+    void theFullElectionTimeoutAppliesAfterLeaderContact() {
         for (int seed = 0; seed < 100; seed++) {
-            ElectionTimer timer = new ElectionTimer(ELECTION, new SplittableRandom(seed), 0);
-            timer.hearLeader(0);
-            assertThat(timer.isDue(ELECTION - 1)).isFalse();
-            assertThat(timer.isDue(2 * ELECTION)).isTrue();
+            ElectionTimer timer = new ElectionTimer(ELECTION_TIMEOUT_NANOS, new SplittableRandom(seed), 0);
+            timer.recordLeaderContact(0);
+            assertThat(timer.isDue(ELECTION_TIMEOUT_NANOS - 1)).isFalse();
+            assertThat(timer.isDue(2 * ELECTION_TIMEOUT_NANOS)).isTrue();
         }
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/JointRestartTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/JointRestartTest.java
@@ -20,25 +20,25 @@
  */
 final class JointRestartTest {
     private static final ImmutableSortedSet<String> VOTERS = ImmutableSortedSet.of("a", "b", "c", "d", "e", "f");
-    private static final long MILLI = Duration.ofMillis(1).toNanos();
-    private static final long TICK = 15 * MILLI;
-    private static final long START_WITHIN = 400 * MILLI;
-    private static final long LEAST_DELAY = 20 * MILLI;
-    private static final long MOST_DELAY = 100 * MILLI;
-    private static final long LIMIT = 5_000 * MILLI;
+    private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
+    private static final long TICK_NANOS = 15 * MILLI_NANOS;
+    private static final long START_SPREAD_NANOS = 400 * MILLI_NANOS;
+    private static final long MIN_DELAY_NANOS = 20 * MILLI_NANOS;
+    private static final long MAX_DELAY_NANOS = 100 * MILLI_NANOS;
+    private static final long LIMIT_NANOS = 5_000 * MILLI_NANOS;
     private static final int SEEDS = 200;
 
     @Test
     void mostJointRestartsNeedOneElection() {
         List<Long> tookMillis = new ArrayList<>();
-        int firstTerm = 0;
+        int electedInFirstTerm = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            Outcome outcome = new World(seed).elect();
-            tookMillis.add(outcome.afterQuorumNanos() / MILLI);
-            firstTerm += outcome.term() == 1 ? 1 : 0;
+            Outcome outcome = new Cluster(seed).elect();
+            tookMillis.add(outcome.afterQuorumNanos() / MILLI_NANOS);
+            electedInFirstTerm += outcome.term() == 1 ? 1 : 0;
         }
         tookMillis.sort(Comparator.naturalOrder());
-        assertThat(firstTerm).isAtLeast(SEEDS * 95 / 100);
+        assertThat(electedInFirstTerm).isAtLeast(SEEDS * 95 / 100);
         assertThat(tookMillis.get(SEEDS / 2)).isAtMost(400);
         assertThat(tookMillis.get(SEEDS * 95 / 100)).isAtMost(800);
     }
@@ -53,24 +53,24 @@
     private record Delivery(long atNanos, long order, RaftMessage message) {}
 
     /** Voters, their messages on the way, and time. */
-    private static final class World {
+    private static final class Cluster {
         private final SplittableRandom random;
         private final Map<String, Long> startNanos = new TreeMap<>();
         private final Map<String, RaftNode> running = new TreeMap<>();
-        private final PriorityQueue<Delivery> onTheWay =
+        private final PriorityQueue<Delivery> inFlight =
                 new PriorityQueue<>(Comparator.comparingLong(Delivery::atNanos).thenComparingLong(Delivery::order));
         private long sent;
 
-        World(int seed) {
+        Cluster(int seed) {
             random = new SplittableRandom(seed);
-            VOTERS.forEach(voter -> startNanos.put(voter, random.nextLong(START_WITHIN)));
+            VOTERS.forEach(voter -> startNanos.put(voter, random.nextLong(START_SPREAD_NANOS)));
         }
 
         Outcome elect() {
             List<Long> starts = new ArrayList<>(startNanos.values());
             starts.sort(Comparator.naturalOrder());
             long quorumNanos = starts.get(VOTERS.size() / 2);
-            for (long nowNanos = 0; nowNanos < LIMIT; nowNanos += TICK) {
+            for (long nowNanos = 0; nowNanos < LIMIT_NANOS; nowNanos += TICK_NANOS) {
                 step(nowNanos);
                 for (RaftNode node : running.values()) {
                     if (node.role() == RaftRole.LEADER) {
@@ -78,7 +78,7 @@
                     }
                 }
             }
-            return new Outcome(Long.MAX_VALUE, LIMIT);
+            return new Outcome(Long.MAX_VALUE, LIMIT_NANOS);
         }
 
         private void step(long nowNanos) {
@@ -96,8 +96,8 @@
                                     nowNanos));
                 }
             });
-            while (!onTheWay.isEmpty() && onTheWay.peek().atNanos() <= nowNanos) {
-                RaftMessage message = onTheWay.remove().message();
+            while (!inFlight.isEmpty() && inFlight.peek().atNanos() <= nowNanos) {
+                RaftMessage message = inFlight.remove().message();
                 RaftNode to = running.get(message.getTo());
                 if (to != null) {
                     send(to.receive(message, nowNanos), nowNanos);
@@ -109,8 +109,8 @@
         private void send(List<RaftAction> actions, long nowNanos) {
             for (RaftAction action : actions) {
                 if (action instanceof RaftAction.Send send) {
-                    long delayNanos = LEAST_DELAY + random.nextLong(MOST_DELAY - LEAST_DELAY);
-                    onTheWay.add(new Delivery(nowNanos + delayNanos, sent++, send.message()));
+                    long delayNanos = MIN_DELAY_NANOS + random.nextLong(MAX_DELAY_NANOS - MIN_DELAY_NANOS);
+                    inFlight.add(new Delivery(nowNanos + delayNanos, sent++, send.message()));
                 }
             }
         }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
@@ -22,20 +22,20 @@
 /** Three voters step by step: cut off, returning, far behind. */
 final class RaftNodeTest {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
-    private static final long TICK = Duration.ofMillis(10).toNanos();
+    private static final long TICK_NANOS = Duration.ofMillis(10).toNanos();
     private static final ByteString COMMAND = ByteString.copyFromUtf8("command");
 
     private final ImmutableSortedSet<String> names = ImmutableSortedSet.of("a", "b", "c");
     private final Map<String, RaftNode> nodes = new HashMap<>();
-    private final Map<String, List<RaftAction>> done = new HashMap<>();
-    private final Set<String> cut = new HashSet<>();
+    private final Map<String, List<RaftAction>> performed = new HashMap<>();
+    private final Set<String> isolated = new HashSet<>();
     private final Deque<RaftMessage> messages = new ArrayDeque<>();
     private long nowNanos;
 
     @BeforeEach
     void elect() {
         names.forEach(name -> {
-            done.put(name, new ArrayList<>());
+            performed.put(name, new ArrayList<>());
             nodes.put(
                     name,
                     new RaftNode(name, names, 1, TIMINGS, StoredState.EMPTY, new SplittableRandom(name.hashCode()), 0));
@@ -52,26 +52,26 @@
     }
 
     @Test
-    void aVoterThatReturnsFromACutDoesNotDisturbTheLeader() {
+    void aRejoiningVoterDoesNotDisturbTheLeader() {
         String leader = leader();
         long term = node(leader).term();
-        cut.add(follower());
+        isolated.add(follower());
         run(500);
-        cut.clear();
+        isolated.clear();
         run(100);
         assertThat(node(leader).role()).isEqualTo(RaftRole.LEADER);
         names.forEach(name -> assertThat(node(name).term()).isEqualTo(term));
     }
 
     @Test
-    void aLeaderThatIsCutOffAcknowledgesNothingAndResigns() {
+    void anIsolatedLeaderFailsRequestsAndStepsDown() {
         String old = leader();
-        cut.add(old);
+        isolated.add(old);
         node(old).propose(7, COMMAND);
         node(old).read(8);
         run(100);
-        assertThat(done(old)).contains(new RaftAction.ProposalLost(7));
-        assertThat(done(old)).contains(new RaftAction.ReadFailed(8));
+        assertThat(performed(old)).contains(new RaftAction.ProposalLost(7));
+        assertThat(performed(old)).contains(new RaftAction.ReadFailed(8));
         assertThat(node(old).role()).isNotEqualTo(RaftRole.LEADER);
         assertThat(node(old).propose(9, COMMAND)).isFalse();
         assertThat(node(old).read(10)).isFalse();
@@ -80,23 +80,23 @@
 
     /** The steady clock of a suspended host stands still, so nothing else tells it that others went on without it. */
     @Test
-    void aVoterThatWasSuspendedClaimsNothingUntilItHearsALeader() {
+    void aResumedVoterIsNotUpToDateBeforeLeaderContact() {
         String old = leader();
-        cut.add(old);
+        isolated.add(old);
         run(100);
-        cut.remove(old);
+        isolated.remove(old);
         String follower = follower();
-        take(follower, node(follower).onResume(nowNanos));
+        perform(follower, node(follower).onResume(nowNanos));
         assertThat(node(follower).isUpToDate(nowNanos)).isFalse();
         run(20);
         assertThat(node(follower).isUpToDate(nowNanos)).isTrue();
     }
 
     @Test
-    void aLeaderThatWasSuspendedLeadsNoMore() {
+    void aResumedLeaderStepsDown() {
         String leader = leader();
         assertThat(node(leader).isUpToDate(nowNanos)).isTrue();
-        take(leader, node(leader).onResume(nowNanos));
+        perform(leader, node(leader).onResume(nowNanos));
         assertThat(node(leader).role()).isNotEqualTo(RaftRole.LEADER);
         assertThat(node(leader).isUpToDate(nowNanos)).isFalse();
         run(200);
@@ -104,34 +104,34 @@
     }
 
     @Test
-    void aReadWaitsForAQuorumThatConfirmsAfterItCame() {
+    void aReadWaitsForAQuorumToConfirmTheLeader() {
         String leader = leader();
         node(leader).read(5);
-        take(leader, node(leader).flush(nowNanos));
-        assertThat(done(leader)).doesNotContain(new RaftAction.ReadReady(5));
+        perform(leader, node(leader).flush(nowNanos));
+        assertThat(performed(leader)).doesNotContain(new RaftAction.ReadReady(5));
         run(5);
-        assertThat(done(leader)).contains(new RaftAction.ReadReady(5));
+        assertThat(performed(leader)).contains(new RaftAction.ReadReady(5));
     }
 
     @Test
-    void aVoterFarBehindCatchesUpByASnapshotAndTheEntriesAfterIt() {
-        String behind = follower();
-        cut.add(behind);
+    void aLaggingVoterCatchesUpFromASnapshotAndLaterEntries() {
+        String lagging = follower();
+        isolated.add(lagging);
         for (int number = 0; number < 50; number++) {
             node(leader()).propose(100 + number, COMMAND);
             run(2);
         }
-        take(leader(), node(leader()).compact(ByteString.copyFromUtf8("state")));
-        cut.clear();
+        perform(leader(), node(leader()).compact(ByteString.copyFromUtf8("state")));
+        isolated.clear();
         node(leader()).propose(200, ByteString.copyFromUtf8("after"));
         run(100);
-        assertThat(done(behind)).contains(new RaftAction.RestoreSnapshot(ByteString.copyFromUtf8("state")));
-        assertThat(applied(behind)).contains(ByteString.copyFromUtf8("after"));
-        assertThat(node(behind).appliedIndex()).isEqualTo(node(leader()).appliedIndex());
+        assertThat(performed(lagging)).contains(new RaftAction.RestoreSnapshot(ByteString.copyFromUtf8("state")));
+        assertThat(applied(lagging)).contains(ByteString.copyFromUtf8("after"));
+        assertThat(node(lagging).appliedIndex()).isEqualTo(node(leader()).appliedIndex());
     }
 
     @Test
-    void messagesOfStrangersAndToOthersChangeNothing() {
+    void messagesFromUnknownHostsOrToOthersAreIgnored() {
         RaftMessage stranger = RaftMessage.newBuilder()
                 .setKind(RaftMessage.Kind.VOTE)
                 .setFrom("stranger")
@@ -147,23 +147,23 @@
 
     private void run(int ticks) {
         for (int tick = 0; tick < ticks; tick++) {
-            nowNanos += TICK;
+            nowNanos += TICK_NANOS;
             names.forEach(name -> {
-                take(name, node(name).tick(nowNanos));
-                take(name, node(name).flush(nowNanos));
+                perform(name, node(name).tick(nowNanos));
+                perform(name, node(name).flush(nowNanos));
             });
             while (!messages.isEmpty()) {
                 RaftMessage message = messages.removeFirst();
-                if (cut.contains(message.getFrom()) == cut.contains(message.getTo())) {
-                    take(message.getTo(), node(message.getTo()).receive(message, nowNanos));
+                if (isolated.contains(message.getFrom()) == isolated.contains(message.getTo())) {
+                    perform(message.getTo(), node(message.getTo()).receive(message, nowNanos));
                 }
             }
         }
     }
 
-    private void take(String name, List<RaftAction> actions) {
+    private void perform(String name, List<RaftAction> actions) {
         for (RaftAction action : actions) {
-            done(name).add(action);
+            performed(name).add(action);
             if (action instanceof RaftAction.Send send) {
                 messages.addLast(send.message());
             }
@@ -171,7 +171,7 @@
     }
 
     private List<ByteString> applied(String name) {
-        return done(name).stream()
+        return performed(name).stream()
                 .filter(RaftAction.Apply.class::isInstance)
                 .map(action -> ((RaftAction.Apply) action).entry().getCommand())
                 .toList();
@@ -179,7 +179,7 @@
 
     private String leader() {
         return names.stream()
-                .filter(name -> !cut.contains(name) && node(name).role() == RaftRole.LEADER)
+                .filter(name -> !isolated.contains(name) && node(name).role() == RaftRole.LEADER)
                 .findFirst()
                 .orElseThrow();
     }
@@ -192,7 +192,7 @@
         return requireNonNull(nodes.get(name));
     }
 
-    private List<RaftAction> done(String name) {
-        return requireNonNull(done.get(name));
+    private List<RaftAction> performed(String name) {
+        return requireNonNull(performed.get(name));
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftSimulation.java
@@ -32,28 +32,28 @@
  * <p>If disks may be lost, one is at a time: a host comes back with an empty disk, and no other loses its own before
  * the first is a voter again. All other troubles go on meanwhile.
  */
-final class AgreementWorld {
+final class RaftSimulation {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
     private static final long TICK_NANOS = Duration.ofMillis(20).toNanos();
     /** How many kinds of steps there are; a step is a kind plus this many times a choice. */
-    static final int KINDS = 64;
+    static final int STEP_KINDS = 64;
 
     private static final int MAX_MESSAGES = 60;
-    private static final int REORDERED = 8;
-    private static final int CRASH_SPARSENESS = 40;
+    private static final int REORDER_WINDOW = 8;
+    private static final int CRASH_CHOICES = 40;
 
-    private final ImmutableSortedSet<String> firstNames;
+    private final ImmutableSortedSet<String> initialVoters;
     private final List<String> names;
     private final Map<String, Voter> voters = new TreeMap<>();
     private final List<RaftMessage> network = new ArrayList<>();
-    private final Set<String> cut = new HashSet<>();
+    private final Set<String> isolated = new HashSet<>();
     private final Map<Long, String> leaderOfTerm = new HashMap<>();
-    private final List<LogEntry> agreed = new ArrayList<>();
-    private final Set<Long> answered = new HashSet<>();
+    private final List<LogEntry> committed = new ArrayList<>();
+    private final Set<Long> acknowledgedTokens = new HashSet<>();
     private final Map<String, String> grantedAttempt = new HashMap<>();
     private final Faults faults;
     private long nextToken = 1;
-    private int wipes;
+    private int diskLosses;
 
     /** What goes wrong beyond crashes, cuts and lost messages, and what is broken on purpose. */
     enum Faults {
@@ -67,23 +67,23 @@
         DISKS_LOST_AND_NAMES_KEPT
     }
 
-    AgreementWorld(int size, Faults faults) {
+    RaftSimulation(int size, Faults faults) {
         ImmutableSortedSet.Builder<String> builder = ImmutableSortedSet.naturalOrder();
         for (int number = 0; number < size; number++) {
             builder.add("v" + number);
         }
-        this.firstNames = builder.build();
-        this.names = new ArrayList<>(firstNames);
+        this.initialVoters = builder.build();
+        this.names = new ArrayList<>(initialVoters);
         this.faults = faults;
         for (String name : names) {
-            voters.put(name, new Voter(name, firstNames));
+            voters.put(name, new Voter(name, initialVoters));
         }
     }
 
     /** Makes one step; the number decides which. */
     void step(int number) {
-        int kind = number % KINDS;
-        int choice = number / KINDS;
+        int kind = number % STEP_KINDS;
+        int choice = number / STEP_KINDS;
         Voter voter = voter(names.get(choice % names.size()));
         if (kind < 38) {
             deliver(choice, false, false);
@@ -94,7 +94,7 @@
         } else if (kind < 47) {
             voter.run(voter::tick);
         } else if (kind == 47) {
-            voter.crashAfterActions = choice % CRASH_SPARSENESS < 4 ? choice % CRASH_SPARSENESS : -1;
+            voter.crashAfterActions = choice % CRASH_CHOICES < 4 ? choice % CRASH_CHOICES : -1;
         } else if (kind < 52) {
             voter.restart();
         } else if (kind < 59) {
@@ -104,45 +104,45 @@
         } else if (kind == 60) {
             voter.run(voter::compact);
         } else if (kind == 61) {
-            cut.add(voter.name);
+            isolated.add(voter.name);
         } else if (kind == 62 && faults.name().startsWith("DISKS_LOST")) {
-            wipe(choice % names.size());
+            loseDisk(choice % names.size());
         } else {
-            cut.clear();
+            isolated.clear();
         }
     }
 
-    int wipeCount() {
-        return wipes;
+    int diskLossCount() {
+        return diskLosses;
     }
 
     /** Loses the disk of a host, unless another that lost its own is not a voter again. */
-    private void wipe(int position) {
-        if (!agreedVoters().equals(ImmutableSortedSet.copyOf(names))) {
+    private void loseDisk(int position) {
+        if (!committedVoters().equals(ImmutableSortedSet.copyOf(names))) {
             return;
         }
-        wipes++;
+        diskLosses++;
         String old = names.get(position);
         boolean keepsName = faults == Faults.DISKS_LOST_AND_NAMES_KEPT;
-        String name = keepsName ? old : "v" + position + VoterName.TAG + wipes;
+        String name = keepsName ? old : "v" + position + VoterName.TAG_SEPARATOR + diskLosses;
         voters.remove(old);
-        cut.remove(old);
+        isolated.remove(old);
         names.set(position, name);
-        voters.put(name, new Voter(name, keepsName ? firstNames : ImmutableSortedSet.of()));
+        voters.put(name, new Voter(name, keepsName ? initialVoters : ImmutableSortedSet.of()));
     }
 
-    private ImmutableSortedSet<String> agreedVoters() {
-        for (int position = agreed.size() - 1; position >= 0; position--) {
-            if (agreed.get(position).getVotersCount() > 0) {
-                return ImmutableSortedSet.copyOf(agreed.get(position).getVotersList());
+    private ImmutableSortedSet<String> committedVoters() {
+        for (int position = committed.size() - 1; position >= 0; position--) {
+            if (committed.get(position).getVotersCount() > 0) {
+                return ImmutableSortedSet.copyOf(committed.get(position).getVotersList());
             }
         }
-        return firstNames;
+        return initialVoters;
     }
 
     /** Heals everything and checks that the voters come to agree on all that was answered. */
     void settle() {
-        cut.clear();
+        isolated.clear();
         voters.values().forEach(voter -> {
             voter.crashAfterActions = -1;
             voter.restart();
@@ -160,10 +160,10 @@
         voters.values()
                 .forEach(voter -> assertWithMessage("applied by " + voter.name)
                         .that(voter.node.appliedIndex())
-                        .isAtLeast((long) agreed.size()));
+                        .isAtLeast((long) committed.size()));
         Set<Long> present = new HashSet<>();
-        agreed.forEach(entry -> present.add(TestCommand.tokenOf(entry)));
-        assertWithMessage("answered and lost").that(present).containsAtLeastElementsIn(answered);
+        committed.forEach(entry -> present.add(TestCommand.tokenOf(entry)));
+        assertWithMessage("answered and lost").that(present).containsAtLeastElementsIn(acknowledgedTokens);
         assertWithMessage("states differ")
                 .that(voters.values().stream()
                         .map(voter -> voter.state.toSnapshot())
@@ -172,17 +172,17 @@
                 .isEqualTo(1);
     }
 
-    int agreedCount() {
-        return agreed.size();
+    int committedCount() {
+        return committed.size();
     }
 
     private void deliver(int choice, boolean lose, boolean keep) {
         if (network.isEmpty()) {
             return;
         }
-        int position = choice % Math.min(REORDERED, network.size());
+        int position = choice % Math.min(REORDER_WINDOW, network.size());
         RaftMessage message = keep ? network.get(position) : network.remove(position);
-        boolean severed = cut.contains(message.getFrom()) != cut.contains(message.getTo());
+        boolean severed = isolated.contains(message.getFrom()) != isolated.contains(message.getTo());
         Voter target = voters.get(message.getTo());
         if (!lose && !severed && target != null && target.alive) {
             target.run(() -> target.perform(target.node.receive(message, target.nowNanos)));
@@ -200,18 +200,18 @@
 
     private final class Voter {
         private final String name;
-        private final ImmutableSortedSet<String> firstVoters;
+        private final ImmutableSortedSet<String> initialVoters;
         private final FakeDisk disk = new FakeDisk(faults == Faults.SYNCS_SKIPPED);
-        private final Map<Long, Integer> readsAsked = new HashMap<>();
+        private final Map<Long, Integer> pendingReads = new HashMap<>();
         private boolean alive = true;
         private long nowNanos;
         private int crashAfterActions = -1;
         private RaftNode node;
         private ControlState state;
 
-        Voter(String name, ImmutableSortedSet<String> firstVoters) {
+        Voter(String name, ImmutableSortedSet<String> initialVoters) {
             this.name = name;
-            this.firstVoters = firstVoters;
+            this.initialVoters = initialVoters;
             this.node = newNode(StoredState.EMPTY);
             this.state = new ControlState();
         }
@@ -231,14 +231,14 @@
         void tick() {
             nowNanos += TICK_NANOS;
             if (!node.isUpToDate(nowNanos)) {
-                askToJoin();
+                requestToJoin();
             }
             perform(node.tick(nowNanos));
         }
 
-        private void askToJoin() {
+        private void requestToJoin() {
             for (Voter other : voters.values()) {
-                boolean severed = cut.contains(name) != cut.contains(other.name);
+                boolean severed = isolated.contains(name) != isolated.contains(other.name);
                 if (other != this && other.alive && !severed) {
                     other.node.addLearner(name, other.nowNanos);
                 }
@@ -255,7 +255,7 @@
                 return;
             }
             StoredState stored = disk.crash();
-            readsAsked.clear();
+            pendingReads.clear();
             state = new ControlState();
             restore(stored.snapshot());
             node = newNode(stored);
@@ -270,7 +270,7 @@
         void read() {
             long token = nextToken++;
             if (node.read(token)) {
-                readsAsked.put(token, answered.size());
+                pendingReads.put(token, acknowledgedTokens.size());
             }
         }
 
@@ -316,13 +316,13 @@
         private void apply(RaftAction.Apply apply) {
             LogEntry entry = apply.entry();
             int position = (int) entry.getIndex() - 1;
-            if (position < agreed.size()) {
+            if (position < committed.size()) {
                 assertWithMessage("entry " + entry.getIndex() + " at " + name)
                         .that(entry)
-                        .isEqualTo(agreed.get(position));
+                        .isEqualTo(committed.get(position));
             } else {
-                assertWithMessage("gap at " + name).that(position).isEqualTo(agreed.size());
-                agreed.add(entry);
+                assertWithMessage("gap at " + name).that(position).isEqualTo(committed.size());
+                committed.add(entry);
             }
             if (entry.getCommand().isEmpty()) {
                 return;
@@ -336,7 +336,7 @@
                         .that(first == null || first.equals(result.getClaim().getAttempt()))
                         .isTrue();
             }
-            apply.token().ifPresent(answered::add);
+            apply.token().ifPresent(acknowledgedTokens::add);
         }
 
         private CommandResult applyCommand(LogEntry entry) {
@@ -348,10 +348,10 @@
         }
 
         private void checkRead(long token) {
-            Integer before = readsAsked.remove(token);
+            Integer before = pendingReads.remove(token);
             if (before != null) {
-                long commands = agreed.subList(0, (int) node.appliedIndex()).stream()
-                        .filter(entry -> answered.contains(TestCommand.tokenOf(entry)))
+                long commands = committed.subList(0, (int) node.appliedIndex()).stream()
+                        .filter(entry -> acknowledgedTokens.contains(TestCommand.tokenOf(entry)))
                         .count();
                 assertWithMessage("answers missing from a read").that(commands).isAtLeast((long) before);
             }
@@ -368,7 +368,8 @@
         }
 
         private RaftNode newNode(StoredState stored) {
-            return new RaftNode(name, firstVoters, 1, TIMINGS, stored, new SplittableRandom(name.hashCode()), nowNanos);
+            return new RaftNode(
+                    name, initialVoters, 1, TIMINGS, stored, new SplittableRandom(name.hashCode()), nowNanos);
         }
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
@@ -23,17 +23,17 @@
 final class VoterChangeTest {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
     private static final long TICK_NANOS = Duration.ofMillis(10).toNanos();
-    private static final ImmutableSortedSet<String> FIRST = ImmutableSortedSet.of("a", "b", "c");
+    private static final ImmutableSortedSet<String> INITIAL_VOTERS = ImmutableSortedSet.of("a", "b", "c");
 
     private final Map<String, RaftNode> nodes = new TreeMap<>();
     private final Map<String, FakeDisk> disks = new HashMap<>();
-    private final Set<String> dark = new HashSet<>();
+    private final Set<String> unreachable = new HashSet<>();
     private final Deque<RaftMessage> messages = new ArrayDeque<>();
     private long nowNanos;
 
     @BeforeEach
     void elect() {
-        FIRST.forEach(name -> start(name, FIRST));
+        INITIAL_VOTERS.forEach(name -> start(name, INITIAL_VOTERS));
         run(100);
     }
 
@@ -60,17 +60,17 @@
     }
 
     @Test
-    void aHostThatStandsByDoesNotReplaceALiveOne() {
+    void aSpareHostDoesNotReplaceALiveVoter() {
         start("d", ImmutableSortedSet.of());
         run(400);
-        assertThat(node(leader()).voters()).isEqualTo(FIRST);
+        assertThat(node(leader()).voters()).isEqualTo(INITIAL_VOTERS);
     }
 
     @Test
-    void nobodyIsRemovedWithoutASuccessor() {
-        dark.add(follower());
+    void noVoterIsRemovedWithoutAReplacement() {
+        unreachable.add(follower());
         run(400);
-        assertThat(node(leader()).voters()).isEqualTo(FIRST);
+        assertThat(node(leader()).voters()).isEqualTo(INITIAL_VOTERS);
     }
 
     /**
@@ -79,45 +79,45 @@
      */
     @Test
     void aMinorityThatMissedChangesAndAWipedVoterDoNotElect() {
-        String behind = follower();
-        dark.add(behind);
-        RaftNode old = node(leader());
-        String third = FIRST.stream()
-                .filter(name -> !name.equals(behind) && !name.equals(leader()))
+        String lagging = follower();
+        unreachable.add(lagging);
+        RaftNode oldLeader = node(leader());
+        String wiped = INITIAL_VOTERS.stream()
+                .filter(name -> !name.equals(lagging) && !name.equals(leader()))
                 .findFirst()
                 .orElseThrow();
-        assertThat(old.propose(1, ByteString.copyFromUtf8("agreed"))).isTrue();
+        assertThat(oldLeader.propose(1, ByteString.copyFromUtf8("agreed"))).isTrue();
         run(20);
         String leader = leader();
-        nodes.remove(third);
-        start(third + "#2", ImmutableSortedSet.of());
-        dark.add(leader);
-        dark.remove(behind);
+        nodes.remove(wiped);
+        start(wiped + "#2", ImmutableSortedSet.of());
+        unreachable.add(leader);
+        unreachable.remove(lagging);
         run(500);
-        assertThat(node(behind).role()).isNotEqualTo(RaftRole.LEADER);
-        assertThat(node(third + "#2").role()).isNotEqualTo(RaftRole.LEADER);
-        dark.clear();
+        assertThat(node(lagging).role()).isNotEqualTo(RaftRole.LEADER);
+        assertThat(node(wiped + "#2").role()).isNotEqualTo(RaftRole.LEADER);
+        unreachable.clear();
         run(500);
-        assertThat(node(behind).appliedIndex()).isEqualTo(node(leader()).appliedIndex());
-        assertThat(node(leader()).voters()).contains(third + "#2");
+        assertThat(node(lagging).appliedIndex()).isEqualTo(node(leader()).appliedIndex());
+        assertThat(node(leader()).voters()).contains(wiped + "#2");
     }
 
     @Test
-    void aVoterThatWasReplacedWhileItWasDarkStandsByWhenItReturns() {
-        String gone = follower();
-        dark.add(gone);
+    void aVoterReplacedWhileUnreachableRejoinsAsALearner() {
+        String replaced = follower();
+        unreachable.add(replaced);
         start("d", ImmutableSortedSet.of());
         run(400);
-        assertThat(node(leader()).voters()).doesNotContain(gone);
-        dark.clear();
+        assertThat(node(leader()).voters()).doesNotContain(replaced);
+        unreachable.clear();
         run(400);
         assertThat(node(leader()).voters()).hasSize(3);
-        assertThat(node(gone).voters()).isEqualTo(node(leader()).voters());
-        assertThat(node(gone).isUpToDate(nowNanos)).isTrue();
+        assertThat(node(replaced).voters()).isEqualTo(node(leader()).voters());
+        assertThat(node(replaced).isUpToDate(nowNanos)).isTrue();
     }
 
     @Test
-    void votersOutliveASnapshotAndARestart() {
+    void votersSurviveASnapshotAndARestart() {
         nodes.remove(follower());
         start("d", ImmutableSortedSet.of());
         run(400);
@@ -131,13 +131,13 @@
         assertThat(restarted.isVoter()).isTrue();
     }
 
-    private void start(String name, ImmutableSortedSet<String> firstVoters) {
+    private void start(String name, ImmutableSortedSet<String> initialVoters) {
         disks.put(name, new FakeDisk(false));
         nodes.put(
                 name,
                 new RaftNode(
                         name,
-                        firstVoters,
+                        initialVoters,
                         1,
                         TIMINGS,
                         StoredState.EMPTY,
@@ -149,9 +149,9 @@
         for (int tick = 0; tick < ticks; tick++) {
             nowNanos += TICK_NANOS;
             for (Map.Entry<String, RaftNode> entry : Map.copyOf(nodes).entrySet()) {
-                if (!entry.getValue().isUpToDate(nowNanos) && !dark.contains(entry.getKey())) {
+                if (!entry.getValue().isUpToDate(nowNanos) && !unreachable.contains(entry.getKey())) {
                     nodes.forEach((other, node) -> {
-                        if (!dark.contains(other)) {
+                        if (!unreachable.contains(other)) {
                             node.addLearner(entry.getKey(), nowNanos);
                         }
                     });
@@ -167,7 +167,7 @@
         while (!messages.isEmpty()) {
             RaftMessage message = messages.poll();
             RaftNode target = nodes.get(message.getTo());
-            boolean lost = dark.contains(message.getFrom()) || dark.contains(message.getTo());
+            boolean lost = unreachable.contains(message.getFrom()) || unreachable.contains(message.getTo());
             if (target != null && !lost) {
                 perform(message.getTo(), target.receive(message, nowNanos));
             }
@@ -195,7 +195,7 @@
 
     private String leader() {
         return nodes.entrySet().stream()
-                .filter(entry -> entry.getValue().role() == RaftRole.LEADER && !dark.contains(entry.getKey()))
+                .filter(entry -> entry.getValue().role() == RaftRole.LEADER && !unreachable.contains(entry.getKey()))
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElseThrow();
@@ -203,6 +203,9 @@
 
     private String follower() {
         String leader = leader();
-        return FIRST.stream().filter(name -> !name.equals(leader)).findFirst().orElseThrow();
+        return INITIAL_VOTERS.stream()
+                .filter(name -> !name.equals(leader))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/directory/ServiceDirectoryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/directory/ServiceDirectoryTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void changedLimitsAreInForceAndWhatWasLearnedIsKept() {
+    void changedLimitsApplyAndKnownVersionsAreKept() {
         report("h", false);
         assertThat(put(
                         6,
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void theFirstHolderThatSaysAnUpstreamIsLeavingIsBelieved() {
+    void aDrainReportedByOneHolderIsEnough() {
         report("h", true);
         report("i", false);
         assertThat(tables().upstreams().find(FIRST).orElseThrow().isDraining()).isTrue();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void whatIsNoLongerDeclaredIsForgotten() {
+    void undeclaredServicesAreRemoved() {
         report("h", false);
         assertThat(put(6, text.replace("\"name\": \"prices\"", "\"name\": \"costs\"")))
                 .isTrue();
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/MembershipMonitorTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/MembershipMonitorTest.java
@@ -11,7 +11,7 @@
     private final MembershipMonitor leader = new MembershipMonitor();
 
     @Test
-    void theRateOfAllHostsIsKnownOnceEachHasToldItsOwn() {
+    void theTotalRateIsKnownOnceEachHostHasReported() {
         tables.applyReport(host("one"));
         tables.applyReport(host("two"));
         leader.recordHostContact("one", 120, 0);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whoBeginsToLeadKnowsNoRateYet() {
+    void aNewLeaderHasNoRateYet() {
         tables.applyReport(host("one"));
         leader.recordHostContact("one", 120, 0);
         leader.reset(tables, 0);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/ReplicatedTablesTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/ReplicatedTablesTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLeafThatHasLeftStaysAway() {
+    void aLeafThatHasLeftStaysGone() {
         tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
         tables.applyReport(leaf("l", LeafRecord.Phase.GONE, 0));
         tables.applyReport(leaf("l", LeafRecord.Phase.READY, 9));
@@ -55,14 +55,14 @@
     }
 
     @Test
-    void aHeartbeatThatSaysNothingNewIsNoChange() {
+    void anUnchangedReportIsNoChange() {
         tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
         assertThat(tables.wouldChange(leaf("l", LeafRecord.Phase.READY, 2))).isFalse();
         assertThat(tables.wouldChange(leaf("l", LeafRecord.Phase.DRAINING, 2))).isTrue();
     }
 
     @Test
-    void onlyTheStartOfAHostThatWasSilentIsForgotten() {
+    void onlyTheSilentIncarnationOfAHostIsMarkedGone() {
         tables.applyReport(host("h", 1));
         HostRecord silent = tables.host("h").orElseThrow();
         tables.applyReport(host("h", 2));
@@ -78,7 +78,7 @@
 
     /** A follower that asks now and then, and starts anew at times, always has what the tables have. */
     @Test
-    void changesAddUpToTheWhole() {
+    void accumulatedDeltasMatchTheTables() {
         SplittableRandom random = new SplittableRandom(7);
         Map<String, LeafRecord> followed = new HashMap<>();
         long known = 0;
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aSnapshotBringsEverythingBack() {
+    void aSnapshotRestoresAllTables() {
         put(3, "three");
         tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
         tables.applyReport(leaf("m", LeafRecord.Phase.GONE, 1));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aChangeOfTheWayToShardsReachesHostsThatFollow() {
+    void aShardAccessChangeIsInTheNextDelta() {
         long before = tables.revision();
         tables.set(SetShardAccess.newBuilder().setThroughHolders(true).build());
         assertThat(tables.revision()).isGreaterThan(before);
@@ -131,7 +131,7 @@
 
     /** Orders are sent again when their acknowledgement is lost, and may cross with their opposite. */
     @Test
-    void aDrainedZoneStaysDrainedUntilItIsTakenBack() {
+    void aDrainedZoneStaysDrainedUntilTheDrainIsLifted() {
         long before = tables.revision();
         assertThat(drain("north-1", true).getKind()).isEqualTo(CommandResult.Kind.ACCEPTED);
         long drained = tables.revision();
