--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ClaimTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ClaimTable.java
@@ -20,14 +20,14 @@
  * The claims on once-only requests.
  *
  * <p>Invariants: a request is granted to one attempt at a time, and to another only after the first recorded that it
- * did not run. Only the attempt that holds a claim records its outcome. An outcome that is forgotten leaves the request
- * refused for good: by its issue time if the caller stated one, else by a digest that is kept. Time is that of the
- * commands and never goes back.
+ * did not run. Only the attempt that holds a claim records its outcome. After its outcome has been evicted, a request
+ * is still refused: by its issue time if the caller stated one, else by a stored digest. The clock is advanced by the
+ * times in the commands and never goes back.
  *
  * <p>Not safe for use by several threads. A command costs logarithmic time in the number of claims.
  */
 final class ClaimTable {
-    /** How many digests are kept; beyond it, requests without an issue time are refused. */
+    /** Once this many digests are stored, new requests without an issue time are refused. */
     static final int MAX_EXPIRED_DIGESTS = 500_000;
 
     private static final long MAX_CLOCK_SKEW_MILLIS = 5L * 60 * 1_000;
@@ -109,7 +109,7 @@
         return clockMillis;
     }
 
-    /** Returns the claims in the order of their expiry, which is the same on every voter. */
+    /** Returns the claims by expiry time, an order that is the same on every voter. */
     ImmutableList<Claim> claimsByExpiry() {
         ImmutableList.Builder<Claim> ordered = ImmutableList.builder();
         for (Expiry expiry : expiries) {
@@ -140,7 +140,7 @@
         return grant(key, request);
     }
 
-    /** An attempt gave up before its claim came: should the claim still come, it is not granted. */
+    /** Records an attempt that was abandoned before its claim arrived, so that a late claim is not granted. */
     private CommandResult abandonBeforeClaim(RecordOutcome outcome) {
         Claim abandoned = Claim.newBuilder()
                 .setService(outcome.getService())
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
@@ -19,12 +19,12 @@
 import org.bramblerack.wire.PartnerDeclaration;
 
 /**
- * The state that the replicated log builds: the partners' declarations, the claims on once-only requests and the tables
- * of the fleet.
+ * The replicated state machine: the partners' declarations, the claims on once-only requests and the tables of the
+ * fleet.
  *
- * <p>Invariants: the same commands in the same order give the same state and results on every voter, so nothing here
- * reads a clock or a setting. The revision only grows. A change identifier is accepted once, and its result is given
- * again when it is resent. Not safe for use by several threads.
+ * <p>Invariants: the same commands in the same order give the same state and results on every voter, so this class
+ * reads no clock and no settings. The revision only grows. A change identifier is accepted once; a resend returns the
+ * result of the first. Not safe for use by several threads.
  */
 public final class ControlState {
     private static final int MAX_CHANGE_RESULTS = 20_000;
@@ -56,44 +56,44 @@
         };
     }
 
-    /** Returns the tables of the fleet, to be read only. */
+    /** Returns the tables of the fleet. Callers must not modify them. */
     public ReplicatedTables tables() {
         return tables;
     }
 
-    /** Returns the revision: how many declarations were accepted so far. */
+    /** Returns the revision, which is the number of declarations accepted so far. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the declarations that were accepted after a revision. */
+    /** Returns the declarations accepted after the given revision. */
     public ImmutableList<PartnerDeclaration> declarationsAfter(long knownRevision) {
         return declarations.values().stream()
                 .filter(declaration -> declaration.getRevision() > knownRevision)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the claim on a once-only request, if it is kept. */
+    /** Returns the claim on a once-only request, unless there is none or it was evicted. */
     public Optional<Claim> claim(String service, String requestId) {
         return claims.find(service, requestId);
     }
 
-    /** Returns true if a once-only request was claimed but its outcome is no longer kept. */
+    /** Returns true if a once-only request was claimed and its outcome has been evicted since. */
     public boolean isExpired(String service, String requestId) {
         return claims.isExpired(service, requestId);
     }
 
-    /** Returns how many claims are kept. */
+    /** Returns the number of claims that have not been evicted. */
     public int claimCount() {
         return claims.size();
     }
 
-    /** Returns the last accepted changes, the newest last. */
+    /** Returns the most recently accepted changes, oldest first. */
     public ImmutableList<HistoryEntry> history() {
         return ImmutableList.copyOf(history);
     }
 
-    /** Returns everything, for a snapshot. */
+    /** Returns the whole state as a serialized {@link ControlSnapshot}. */
     public ByteString toSnapshot() {
         return ControlSnapshot.newBuilder()
                 .setRevision(revision)
@@ -108,7 +108,7 @@
                 .toByteString();
     }
 
-    /** Replaces everything by what a snapshot holds. */
+    /** Replaces the whole state by that of a snapshot. */
     public void restore(ControlSnapshot snapshot) {
         declarations.clear();
         results.clear();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Digests.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Digests.java
@@ -5,9 +5,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Digests that identify texts and requests in the agreed state. */
+/** Digests that identify texts and requests in the replicated state. */
 public final class Digests {
-    /** The length of a short digest in bytes. */
     static final int SHORT_BYTES = 16;
 
     private Digests() {}
@@ -24,7 +23,7 @@
                 Hashing.sha256().hashBytes(bytes.asReadOnlyByteBuffer()).asBytes());
     }
 
-    /** Returns the first bytes of the SHA-256 of the names of a once-only request. */
+    /** Returns the first {@value #SHORT_BYTES} bytes of the SHA-256 of a request's service and identifier. */
     static ByteString shortDigest(String service, String requestId) {
         byte[] full = Hashing.sha256()
                 .hashString(service + "\n" + requestId, StandardCharsets.UTF_8)
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTieBreaker.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTieBreaker.java
@@ -3,17 +3,17 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * Which of several voters that ask for votes at once goes first.
+ * Decides which of several simultaneous candidates gets the votes, to avoid split votes.
  *
- * <p>Only an order of convenience: a voter that does not keep to it delays an election, and elects nobody wrongly.
- * Stateless and safe for use by many threads.
+ * <p>This only speeds up elections; safety does not depend on it. Stateless and safe for use by many threads.
  */
 final class ElectionTieBreaker {
     private ElectionTieBreaker() {}
 
     /**
-     * Returns true if a voter has begun to ask for votes itself, right after its start, and comes before the sender of
-     * a request: of two with the same log it is the one with the lesser name, so that every voter helps the same one.
+     * Returns true if this voter is itself a candidate, has had no leader contact since its start, and has precedence
+     * over the sender of a vote request. Of two candidates with equal logs, the one with the lesser name has
+     * precedence.
      */
     static boolean hasPrecedence(String self, RaftRole role, ElectionTimer timer, RaftLog log, RaftMessage request) {
         boolean isCandidate = role == RaftRole.PRE_CANDIDATE || role == RaftRole.CANDIDATE;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTimer.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ElectionTimer.java
@@ -2,17 +2,20 @@
 
 import java.util.random.RandomGenerator;
 
-/** When a host last heard of a leader, and when it may ask for an election. Not safe for use by several threads. */
+/**
+ * Tracks the last contact with a leader and the time of the next election.
+ *
+ * <p>Until a first leader contact, election timeouts are shorter: after a restart of the whole cluster there is no
+ * leader to wait for. Not safe for use by several threads.
+ */
 final class ElectionTimer {
-    /** A quarter is still four round trips between the users' regions. */
     private static final int STARTUP_TIMEOUT_DIVISOR = 4;
-    /** Half is what a round takes between regions on processors that have just started. */
     private static final int STARTUP_ROUND_DIVISOR = 2;
 
     private final long electionTimeoutNanos;
     private final RandomGenerator random;
     private long dueNanos;
-    /** More elections than any question about the leader looks back. */
+    /** Larger than any number of timeouts passed to {@link #hasLeaderContactWithin}. */
     private static final long EXPIRED_CONTACT_TIMEOUTS = 100;
 
     private long lastContactNanos;
@@ -25,9 +28,8 @@
     }
 
     /**
-     * Puts the next election off by a random time, a shorter one until a leader was heard of since the start: the
-     * rounds that come before an election disturb no leader, and after a stop of the whole system there is none to wait
-     * for.
+     * Restarts the timer with a random timeout. The timeout is shorter until the first leader contact, which is safe
+     * because the pre-vote does not disturb a leader.
      */
     void restart(long nowNanos) {
         long minNanos = leaderContacted ? electionTimeoutNanos : electionTimeoutNanos / STARTUP_TIMEOUT_DIVISOR;
@@ -35,8 +37,8 @@
     }
 
     /**
-     * Gives this voter's own round its time, the shorter one as long as no leader was heard of: votes that come after
-     * the next round has begun count for nothing.
+     * Restarts the timer for a round of votes that this voter requests. Votes that arrive after the timeout are not
+     * counted, since the next round has started.
      */
     void restartForRound(long nowNanos) {
         long minNanos = leaderContacted ? electionTimeoutNanos : electionTimeoutNanos / STARTUP_ROUND_DIVISOR;
@@ -44,9 +46,8 @@
     }
 
     /**
-     * Gives another voter the time that its election takes, if no leader was heard of since the start: after a stop of
-     * the whole system every voter is ready to ask at about the same moment, on a processor that is slow at first, and
-     * those that ask at once split the votes.
+     * Waits a full timeout for the election of another candidate, unless there was a leader contact before. Avoids
+     * split votes when all voters start at about the same time.
      */
     void deferToCandidate(long nowNanos) {
         if (!leaderContacted) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Returns true if a leader was heard of since the start. */
+    /** Returns true if a leader has contacted this voter since its start. */
     boolean hasHadLeaderContact() {
         return leaderContacted;
     }
@@ -65,7 +66,7 @@
         restart(nowNanos);
     }
 
-    /** Counts the leader as not heard of for long, whatever the steady clock says. */
+    /** Marks the last leader contact as expired, for example after a suspension that the clock does not count. */
     void expireLeaderContact(long nowNanos) {
         lastContactNanos = nowNanos - EXPIRED_CONTACT_TIMEOUTS * electionTimeoutNanos;
     }
@@ -74,7 +75,7 @@
         return nowNanos - dueNanos >= 0;
     }
 
-    /** Returns true if a leader was heard of within a number of the shortest election times. */
+    /** Returns true if the last leader contact is less than the given number of election timeouts ago. */
     boolean hasLeaderContactWithin(int timeouts, long nowNanos) {
         return leaderContacted && nowNanos - lastContactNanos < timeouts * electionTimeoutNanos;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
@@ -1,6 +1,6 @@
 package org.bramblerack.process.agreement;
 
-/** What a leader knows of one follower. Guarded by the node that owns it. */
+/** The replication state of one follower, as known to the leader. Guarded by the node that owns it. */
 final class FollowerProgress {
     long nextIndex;
     long matchIndex;
@@ -10,7 +10,7 @@
     long snapshotSentNanos;
     boolean awaitingSnapshotReply;
 
-    /** True from a refusal until an acceptance: one message at a time is sent, so that refusals do not multiply. */
+    /** True from a rejected append until an accepted one; meanwhile only one append at a time is in flight. */
     boolean probing;
 
     boolean probeSent;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
@@ -13,18 +13,19 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * The followers of a leader: what each has, what to send to each, and what a quorum has.
+ * Tracks the replication progress of a leader's followers and creates the messages to them.
  *
- * <p>Entries are sent ahead of their acknowledgement, at most {@value #MAX_UNACKNOWLEDGED_ENTRIES} to a follower; a
- * follower that missed some refuses what follows and says where to begin again. Not safe for use by several threads.
+ * <p>Appends are pipelined, with at most {@value #MAX_UNACKNOWLEDGED_ENTRIES} unacknowledged entries for each follower.
+ * A follower that missed entries rejects the next append and returns the index to resume from. Not safe for use by
+ * several threads.
  */
 final class FollowerTable {
     private static final int MAX_ENTRIES_PER_MESSAGE = 512;
     private static final int MAX_UNACKNOWLEDGED_ENTRIES = 4_096;
     private static final long SNAPSHOT_RESEND_NANOS = Duration.ofSeconds(2).toNanos();
-    /** A learner asks again while it is not heard, so it may be dropped soon. */
+    /** A learner without contact for so long is removed; it requests to join again. */
     private static final long LEARNER_TIMEOUT_NANOS = Duration.ofSeconds(5).toNanos();
-    /** Some heartbeats: who was heard within it is there. */
+    /** A host with a contact within the last few heartbeats counts as reachable. */
     static final long RECENT_CONTACT_NANOS = Duration.ofMillis(400).toNanos();
 
     private final String self;
@@ -35,7 +36,7 @@
         this.self = self;
     }
 
-    /** What the followers are told of the leader. */
+    /** The leader's state that its messages to followers are made from. */
     record LeaderView(
             long term,
             long commitIndex,
@@ -49,7 +50,7 @@
         setVoters(newVoters, nextIndex, nowNanos);
     }
 
-    /** States who votes. Hosts that no longer do are followed on as learners until they fall silent. */
+    /** Sets the voters. A former voter stays as a learner until it is removed for silence. */
     void setVoters(ImmutableSortedSet<String> newVoters, long nextIndex, long nowNanos) {
         voters = newVoters;
         for (String voter : voters) {
@@ -57,14 +58,14 @@
         }
     }
 
-    /** Begins to send the log to a host, if it is not sent to it yet. */
+    /** Starts replication to a host, unless it has started already. */
     void addFollower(String host, long nextIndex, long nowNanos) {
         if (!host.equals(self)) {
             followers.computeIfAbsent(host, unused -> new FollowerProgress(nextIndex, nowNanos));
         }
     }
 
-    /** Stops sending to hosts that do not vote and have been silent. */
+    /** Stops replication to learners without contact for {@link #LEARNER_TIMEOUT_NANOS}. */
     void removeSilentLearners(long nowNanos) {
         followers
                 .entrySet()
@@ -72,7 +73,7 @@
                         && nowNanos - entry.getValue().lastContactNanos > LEARNER_TIMEOUT_NANOS);
     }
 
-    /** Returns the hosts that do not vote and have everything up to an index. */
+    /** Returns the reachable learners whose log contains everything up to an index. */
     ImmutableSortedSet<String> caughtUpLearners(long index, long nowNanos) {
         return followers.entrySet().stream()
                 .filter(entry -> !voters.contains(entry.getKey()))
@@ -82,7 +83,7 @@
                 .collect(ImmutableSortedSet.toImmutableSortedSet(String::compareTo));
     }
 
-    /** Returns true if a host was heard of within the given time. */
+    /** Returns true if a host is this one or replied within the given time. */
     boolean hasContactWithin(String host, long withinNanos, long nowNanos) {
         FollowerProgress follower = followers.get(host);
         return host.equals(self) || (follower != null && nowNanos - follower.lastContactNanos < withinNanos);
@@ -100,7 +101,7 @@
         followers.forEach((name, follower) -> send(name, follower, leader, evenIfEmpty, nowNanos, actions));
     }
 
-    /** Sends what a follower still lacks. */
+    /** Sends the entries that a follower does not have yet, if there are any. */
     void sendRemaining(String name, LeaderView leader, long nowNanos, List<RaftAction> actions) {
         FollowerProgress follower = followers.get(name);
         if (follower != null && follower.nextIndex <= leader.log().lastIndex()) {
@@ -128,7 +129,8 @@
     }
 
     /**
-     * Goes back to where a refusal says, one message at a time; refusals of messages sent before change nothing more.
+     * Moves a follower's next index back after a rejected append and starts probing. Rejections of appends that were
+     * sent before the first rejection arrived have no further effect.
      */
     private static void rewind(FollowerProgress follower, long index) {
         long next = Math.max(follower.matchIndex + 1, Math.min(follower.nextIndex, index));
@@ -146,12 +148,12 @@
         return reachable > voters.size() / 2;
     }
 
-    /** Returns the highest index that a quorum has synced, given that of the leader. */
+    /** Returns the highest index that a quorum has synced. */
     long quorumMatch(long ownIndex) {
         return quorumOf(follower -> follower.matchIndex, ownIndex);
     }
 
-    /** Returns the highest read round that a quorum has confirmed, given that of the leader. */
+    /** Returns the highest read round that a quorum has confirmed. */
     long quorumRound(long ownRound) {
         return quorumOf(follower -> follower.ackedRound, ownRound);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftAction.java
@@ -9,30 +9,30 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * What the log protocol wants done.
+ * An action that {@link RaftNode} requests from its caller.
  *
- * <p>The actions of one call are carried out in order, and nothing after a {@link Persist} or {@link SaveSnapshot} may
- * be done before it is synced. The persists of several calls may share one sync if everything after them waits for it.
+ * <p>The caller carries out the actions of one call in order and syncs a {@link Persist} or {@link SaveSnapshot} before
+ * it starts the next action. The persists of several calls may share one sync if all later actions wait for it.
  */
 public sealed interface RaftAction {
     /**
-     * Store durably.
+     * Stores state durably.
      *
      * @param hardState the term and vote, if they changed
-     * @param truncateFrom the first index of entries to drop, if any are to be dropped
-     * @param entries entries to append
+     * @param truncateFrom the first index of the entries to remove, if there are any
+     * @param entries the entries to append
      */
     record Persist(Optional<HardState> hardState, Optional<Long> truncateFrom, ImmutableList<LogEntry> entries)
             implements RaftAction {}
 
     /**
-     * Store a snapshot durably, then replace the stored log by what follows it.
+     * Stores a snapshot durably and replaces the stored log by the entries after it.
      *
      * @param index the last index that the snapshot covers
      * @param term the term of that index
      * @param state the state at that index
      * @param voters the voters at that index
-     * @param hardState the present term and vote
+     * @param hardState the current term and vote
      * @param suffix the entries after the index that remain
      */
     record SaveSnapshot(
@@ -44,27 +44,27 @@
             ImmutableList<LogEntry> suffix)
             implements RaftAction {}
 
-    /** Replace the state by that of a snapshot. */
+    /** Replaces the state machine's state by that of a snapshot. */
     record RestoreSnapshot(ByteString state) implements RaftAction {}
 
-    /** Send a message to another voter. It may be lost. */
+    /** Sends a message to another host; delivery is not guaranteed. */
     record Send(RaftMessage message) implements RaftAction {}
 
-    /** Apply a committed entry; the token is that of the proposal if this voter took it. */
+    /** Applies a committed entry; the token is present if this voter accepted the proposal. */
     record Apply(LogEntry entry, Optional<Long> token) implements RaftAction {}
 
-    /** A proposal was replaced or its fate is unknown here: it may still be committed by another leader. */
+    /** Fails a proposal whose outcome is unknown to this voter; another leader may still commit it. */
     record ProposalLost(long token) implements RaftAction {}
 
-    /** Answer a read from the state as applied so far: it is current. */
+    /** Answers a read from the applied state, which is current. */
     record ReadReady(long token) implements RaftAction {}
 
-    /** A read could not be confirmed. */
+    /** Fails a read, because this voter stopped leading before a quorum confirmed it. */
     record ReadFailed(long token) implements RaftAction {}
 
-    /** The voters changed. */
+    /** Reports that the set of voters changed. */
     record VotersChanged(ImmutableSortedSet<String> voters) implements RaftAction {}
 
-    /** The role, the term or the known leader changed. */
+    /** Reports that the role or the known leader changed. */
     record RoleChanged(RaftRole role, long term, Optional<String> leader) implements RaftAction {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
@@ -10,9 +10,9 @@
 import org.bramblerack.wire.LogEntry;
 
 /**
- * The entries that a voter holds after its snapshot.
+ * The log entries after the last snapshot, in memory.
  *
- * <p>Invariant: the indexes are consecutive from the snapshot's on and the terms never decrease. Not safe for use by
+ * <p>Invariant: indexes are consecutive, starting after the snapshot's, and terms never decrease. Not safe for use by
  * several threads.
  */
 final class RaftLog {
@@ -21,7 +21,7 @@
     private long snapshotTerm;
     private final VoterHistory voters;
 
-    /** Creates a log from what was stored; the voters are those at the snapshot's index. */
+    /** Creates a log from stored entries; the voters are those at the snapshot's index. */
     RaftLog(long snapshotIndex, long snapshotTerm, ImmutableSortedSet<String> voters, List<LogEntry> stored) {
         this.snapshotIndex = snapshotIndex;
         this.snapshotTerm = snapshotTerm;
@@ -29,7 +29,7 @@
         stored.forEach(this::append);
     }
 
-    /** Returns the voters in force, and since when they are. */
+    /** Returns the voters at each index since the snapshot. */
     VoterHistory voters() {
         return voters;
     }
@@ -48,12 +48,12 @@
                 : entries.get(entries.size() - 1).getTerm();
     }
 
-    /** Returns true if a log that ends with the given entry has all that this one can have committed. */
+    /** Returns true if a log that ends with the given term and index is at least as up to date as this one. */
     boolean isNotNewerThan(long otherLastTerm, long otherLastIndex) {
         return otherLastTerm > lastTerm() || (otherLastTerm == lastTerm() && otherLastIndex >= lastIndex());
     }
 
-    /** Returns the term of an index, or -1 if the index is not held. */
+    /** Returns the term of an entry after the snapshot or of the last one in it; -1 for other indexes. */
     long termAt(long index) {
         if (index == snapshotIndex) {
             return snapshotTerm;
@@ -83,7 +83,7 @@
         voters.truncateFrom(index);
     }
 
-    /** Returns at most the given number of entries from an index on. */
+    /** Returns at most the given number of entries, starting at an index. */
     ImmutableList<LogEntry> entriesFrom(long index, int maxCount) {
         int start = (int) (index - snapshotIndex - 1);
         int count = Math.min(maxCount, entries.size() - start);
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Takes entries of a leader: those that are held already are skipped, and what contradicts them is dropped.
+     * Merges the entries of a leader: skips entries that the log contains, and truncates the log at the first conflict.
      *
-     * @param commitIndex up to which nothing may be dropped
+     * @param commitIndex the index up to which entries must not be removed
      */
     Merge merge(List<LogEntry> received, long commitIndex) {
         ImmutableList.Builder<LogEntry> added = ImmutableList.builder();
@@ -103,7 +103,8 @@
                 continue;
             }
             if (contains(entry.getIndex())) {
-                checkArgument(entry.getIndex() > commitIndex, "a committed entry would be replaced");
+                checkArgument(
+                        entry.getIndex() > commitIndex, "an entry of the leader conflicts with a committed entry");
                 truncateFrom(entry.getIndex());
                 truncatedFrom = Optional.of(entry.getIndex());
             }
@@ -113,10 +114,10 @@
         return new Merge(truncatedFrom, added.build());
     }
 
-    /** What a merge changed: the first index that was dropped, if any was, and the entries that were added. */
+    /** The result of a merge: the index that the log was truncated from, if it was, and the added entries. */
     record Merge(Optional<Long> truncatedFrom, ImmutableList<LogEntry> added) {}
 
-    /** Drops the entries up to an index that a snapshot covers. */
+    /** Removes the entries up to an index that a snapshot covers. */
     void compact(long index) {
         long term = termAt(index);
         checkArgument(term >= 0, "index %s is not held", index);
@@ -126,7 +127,7 @@
         snapshotTerm = term;
     }
 
-    /** Replaces everything by a snapshot, keeping entries that follow it if they fit. */
+    /** Replaces the log by a snapshot; keeps the entries after it if the log has the snapshot's last entry. */
     void reset(long index, long term, ImmutableSortedSet<String> snapshotVoters) {
         if (termAt(index) == term) {
             compact(index);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftMessages.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftMessages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.bramblerack.wire.RaftMessage;
 
-/** Writes the messages of one host. Immutable and safe for use by many threads. */
+/** Creates the Raft messages that one host sends. Immutable and safe for use by many threads. */
 final class RaftMessages {
     private final String self;
 
@@ -16,7 +16,7 @@
         return RaftMessage.newBuilder().setKind(kind).setFrom(self).setTo(to).setTerm(term);
     }
 
-    /** Asks every other voter for its vote, or whether it would grant it. */
+    /** Requests the votes, or the pre-votes, of all other voters. */
     void requestVotes(
             RaftMessage.Kind kind,
             ImmutableSortedSet<String> voters,
@@ -33,12 +33,11 @@
         }
     }
 
-    /** Grants a vote, or does not. */
     RaftAction voteReply(RaftMessage.Kind kind, String to, long term, boolean granted) {
         return new RaftAction.Send(message(kind, to, term).setAccepted(granted).build());
     }
 
-    /** Says what of an append was taken: everything up to an index, or nothing after it. */
+    /** Replies to an append with the last matching index, or with the index to resume after if it was rejected. */
     RaftAction appendReply(RaftMessage request, long term, boolean accepted, long index) {
         return new RaftAction.Send(message(RaftMessage.Kind.APPEND_REPLY, request.getFrom(), term)
                 .setAccepted(accepted)
@@ -47,7 +46,6 @@
                 .build());
     }
 
-    /** Says that a snapshot was taken. */
     RaftAction snapshotReply(RaftMessage request, long term) {
         return new RaftAction.Send(message(RaftMessage.Kind.SNAPSHOT_REPLY, request.getFrom(), term)
                 .setAccepted(true)
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
@@ -14,21 +14,21 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * One voter of the replicated log.
- *
- * <p>The voters change by one at a time, by an entry of the log that is in force once it is appended (section 4.1 of
- * the dissertation). A host that is not a voter gets the log if it asks for it, and is made a voter when it has caught
- * up and {@link VoterPolicy} wants one.
+ * One Raft node: a voter or a learner of the replicated log.
  *
  * <p>The protocol is Raft as published by Ongaro and Ousterhout ("In Search of an Understandable Consensus Algorithm",
- * 2014), with the pre-vote, the check of the leader's quorum and the read rounds of Ongaro's dissertation (sections
- * 9.6, 6.2 and 6.4). Where it departs is listed in {@code docs/design/agreement.md}.
+ * 2014), with the pre-vote, the leader's quorum check and the read rounds of Ongaro's dissertation (sections 9.6, 6.2
+ * and 6.4). Differences are listed in {@code docs/design/agreement.md}.
+ *
+ * <p>Membership changes add or remove one voter at a time, by a log entry that takes effect when it is appended
+ * (section 4.1 of the dissertation). A host that is not a voter receives the log as a learner when it requests to join,
+ * and becomes a voter when it has caught up and {@link VoterPolicy} adds it.
  *
  * <p>Invariants: at most one leader in a term; a committed entry is in the log of every later leader; an entry is
- * applied once, in order, after a quorum of voters has synced it. No promise rests on a clock: time decides only when
- * to ask for an election and when a leader without a quorum resigns.
+ * applied once, in order, after a quorum of voters has synced it. Safety does not depend on clocks: time decides only
+ * when to start an election and when a leader without a quorum steps down.
  *
- * <p>Not safe for use by several threads. An event costs time in proportion to the voters and the entries it moves.
+ * <p>Not safe for use by several threads. A call takes time in proportion to the voters and the entries it handles.
  */
 public final class RaftNode {
     private static final int MAX_UNCOMMITTED_ENTRIES = 4_096;
@@ -51,11 +51,11 @@
     private long leaderCommitIndex;
 
     /**
-     * Creates a voter from what it has stored.
+     * Creates a node from stored state.
      *
      * @param self this host's name; it votes only while it is one of the voters
-     * @param initialVoters the voters that the system began with; empty for a host that came later
-     * @param tolerableFailures how many voters may be lost at once
+     * @param initialVoters the voters that the cluster started with; empty for a host that joins later
+     * @param tolerableFailures how many voters may fail at the same time
      */
     public RaftNode(
             String self,
@@ -65,7 +65,7 @@
             StoredState stored,
             RandomGenerator random,
             long nowNanos) {
-        checkArgument(tolerableFailures >= 0, "%s losses cannot be borne", tolerableFailures);
+        checkArgument(tolerableFailures >= 0, "tolerableFailures must not be negative: %s", tolerableFailures);
         this.self = self;
         this.messages = new RaftMessages(self);
         this.policy = new VoterPolicy(tolerableFailures);
@@ -79,7 +79,7 @@
         this.followers = new FollowerTable(self);
     }
 
-    /** Looks at the time: heartbeats, elections, resignation. Call it several times in a heartbeat. */
+    /** Sends heartbeats, starts elections and steps down as due. Call it several times per heartbeat interval. */
     public List<RaftAction> tick(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (role == RaftRole.LEADER) {
@@ -96,8 +96,9 @@
     }
 
     /**
-     * Notes that this host was suspended for longer than an election takes, which the steady clock does not show.
-     * Another voter may lead by now, so it leads no more and is in touch only once it has heard of a leader again.
+     * Handles the end of a suspension of this host that lasted longer than an election and that the monotonic clock did
+     * not count. Another voter may lead by now, so this one steps down and is not up to date until a leader contacts
+     * it.
      */
     public List<RaftAction> onResume(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
@@ -106,7 +107,7 @@
         return actions;
     }
 
-    /** Takes a message from another voter. */
+    /** Handles a message from another host. */
     public List<RaftAction> receive(RaftMessage message, long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (!message.getTo().equals(self)) {
@@ -127,17 +128,17 @@
             case APPEND_REPLY, SNAPSHOT_REPLY -> handleAppendReply(message, nowNanos, actions);
             case SNAPSHOT -> handleSnapshot(message, nowNanos, actions);
             default -> {
-                // A kind of a newer program: not understood, so not answered.
+                // A message kind of a newer release: ignored.
             }
         }
         return actions;
     }
 
     /**
-     * Takes a command for the log. It is appended, and sent with the next {@link #flush}.
+     * Appends a command to the log; the next {@link #flush} stores and sends it.
      *
-     * @param token given back when the command is applied or lost
-     * @return false if this voter is not the leader or has too much unacknowledged; the command was not taken
+     * @param token identifies the command in the {@link RaftAction} that applies or fails it
+     * @return false, and nothing is appended, if this voter is not the leader or has too many uncommitted entries
      */
     public boolean propose(long token, ByteString command) {
         if (role != RaftRole.LEADER || replica.uncommittedCount() >= MAX_UNCOMMITTED_ENTRIES) {
@@ -147,7 +148,7 @@
         return true;
     }
 
-    /** Stores and sends what was proposed since the last flush, and begins the rounds for new reads. */
+    /** Stores and sends the proposals since the last flush, and starts a read round if there are new reads. */
     public List<RaftAction> flush(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (role != RaftRole.LEADER) {
@@ -164,10 +165,10 @@
     }
 
     /**
-     * Takes a read. It is answered by {@link RaftAction.ReadReady} once a quorum has confirmed, after this call, that
-     * this voter leads.
+     * Requests a linearizable read. {@link RaftAction.ReadReady} follows once a quorum has confirmed, after this call,
+     * that this voter is the leader.
      *
-     * @return false if this voter is not a leader that has committed in its term
+     * @return false if this voter is not a leader that has committed an entry in its term
      */
     public boolean read(long token) {
         if (role != RaftRole.LEADER || !replica.hasCommittedIn(term)) {
@@ -183,8 +184,8 @@
     }
 
     /**
-     * Returns true if this voter leads, or has heard of late from a leader and has applied all that the leader then
-     * said was agreed.
+     * Returns true if this host leads and has committed an entry in its term, or if it had recent contact with a leader
+     * and has applied everything up to the leader's commit index.
      */
     public boolean isUpToDate(long nowNanos) {
         if (role == RaftRole.LEADER) {
@@ -193,49 +194,49 @@
         return timer.hasLeaderContactWithin(2, nowNanos) && replica.appliedIndex() >= leaderCommitIndex;
     }
 
-    /** Returns the present role. */
+    /** Returns the current role. */
     public RaftRole role() {
         return role;
     }
 
-    /** Returns the present term. */
+    /** Returns the current term. */
     public long term() {
         return term;
     }
 
-    /** Returns the leader of the present term, if one is known. */
+    /** Returns the leader of the current term, if it is known. */
     public Optional<String> leader() {
         return leader;
     }
 
-    /** Returns the index up to which entries were given out to be applied. */
+    /** Returns the index of the last entry for which a {@link RaftAction.Apply} was issued. */
     public long appliedIndex() {
         return replica.appliedIndex();
     }
 
-    /** Returns how many entries were applied since the snapshot. */
+    /** Returns the number of entries applied since the last snapshot. */
     public long appliedSinceSnapshot() {
         return replica.appliedIndex() - log.snapshotIndex();
     }
 
-    /** Returns true if this host votes. */
+    /** Returns true if this host is one of the current voters. */
     public boolean isVoter() {
         return voters().contains(self);
     }
 
-    /** Returns the voters in force. */
+    /** Returns the current voters. */
     public ImmutableSortedSet<String> voters() {
         return replica.voters();
     }
 
-    /** Takes the wish of a host to get the log, and to vote once it has it. A host that does not lead ignores it. */
+    /** Starts replication to a host that requests to join; no effect if this host is not the leader. */
     public void addLearner(String host, long nowNanos) {
         if (role == RaftRole.LEADER) {
             followers.addFollower(host, log.lastIndex() + 1, nowNanos);
         }
     }
 
-    /** Makes the next single change of the voters, once the last one is agreed. */
+    /** Makes the next single change of the voters, once the last one is committed. */
     private void changeVotersIfDue(long nowNanos, List<RaftAction> actions) {
         boolean lastChangeCommitted =
                 log.voters().lastChangeIndex() <= replica.commitIndex() && replica.hasCommittedIn(term);
@@ -307,7 +308,7 @@
 
     private void handleVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() > term) {
-            // The leader is alive: the candidate is not helped, and not made to raise its term either.
+            // A leader is active, so the candidate's term was not adopted and the request is ignored.
             return;
         }
         boolean mayVoteFor = votedFor.isEmpty() || votedFor.equals(request.getFrom());
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftRole.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftRole.java
@@ -1,13 +1,13 @@
 package org.bramblerack.process.agreement;
 
-/** What a voter presently is in the log protocol. */
+/** The role of a voter in the Raft protocol. */
 public enum RaftRole {
-    /** Follows a leader, or waits for one. */
+    /** Replicates the log of a leader, or waits for one. */
     FOLLOWER,
-    /** Asks whether an election could be won, without disturbing anyone. */
+    /** Runs a pre-vote, to find out whether it could win an election. */
     PRE_CANDIDATE,
-    /** Asks for votes. */
+    /** Requests votes in a new term. */
     CANDIDATE,
-    /** Appends to the log. */
+    /** Accepts proposals and replicates them. */
     LEADER
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ReadRounds.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ReadRounds.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Reads that wait for a quorum to confirm, after they came, that the leader still leads.
+ * Reads that wait for a quorum to confirm that this host is still the leader.
  *
- * <p>Reads that come between two flushes share a round. Not safe for use by several threads.
+ * <p>Reads that arrive between two flushes share a round of confirmations. Not safe for use by several threads.
  */
 final class ReadRounds {
     private final Deque<Read> waiting = new ArrayDeque<>();
@@ -19,7 +19,7 @@
         hasNewReads = true;
     }
 
-    /** Begins a round if reads came since the last one; returns true if it did. */
+    /** Starts a round if reads arrived since the last one; returns true if it did. */
     boolean beginRound() {
         if (!hasNewReads) {
             return false;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Replica.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/Replica.java
@@ -12,10 +12,10 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * What one voter holds of the replicated log: how far it is handed to the disk, agreed, and given out to be applied.
+ * One voter's copy of the replicated log, with its persisted, commit and applied indexes.
  *
- * <p>Invariants: none of the three goes back; what is given out is agreed, and is given out once and in order. Not safe
- * for use by several threads.
+ * <p>Invariants: the commit and the applied index never decrease; only committed entries are applied, each once and in
+ * order. Not safe for use by several threads.
  */
 final class Replica {
     private final RaftLog log;
@@ -26,9 +26,9 @@
     private long persistedIndex;
 
     /**
-     * Creates what a voter holds from what it has stored.
+     * Creates a replica from stored state.
      *
-     * @param initialVoters the voters that the system began with
+     * @param initialVoters the voters if the stored state has no snapshot with voters
      */
     Replica(StoredState stored, ImmutableSortedSet<String> initialVoters) {
         ImmutableSortedSet<String> voters = stored.snapshotVoters().isEmpty() ? initialVoters : stored.snapshotVoters();
@@ -39,7 +39,7 @@
         this.persistedIndex = log.lastIndex();
     }
 
-    /** Returns the entries since the snapshot, to be read. */
+    /** Returns the entries since the snapshot. Callers must not modify them. */
     RaftLog log() {
         return log;
     }
@@ -64,39 +64,39 @@
         return persistedIndex;
     }
 
-    /** Returns true if entries were appended that were not handed to the disk yet. */
+    /** Returns true if there are entries for which no {@link RaftAction.Persist} has been issued. */
     boolean hasUnpersisted() {
         return log.lastIndex() > persistedIndex;
     }
 
-    /** Returns how many entries are not known to be agreed. */
+    /** Returns the number of entries that are not known to be committed. */
     long uncommittedCount() {
         return log.lastIndex() - commitIndex;
     }
 
-    /** Returns true if the last entry that is known to be agreed is one of the given term. */
+    /** Returns true if the last entry that is known to be committed is of the given term. */
     boolean hasCommittedIn(long term) {
         return log.termAt(commitIndex) == term;
     }
 
-    /** Appends an entry of this voter, which leads in the given term. */
+    /** Appends an entry as the leader of the given term. */
     void append(LogEntry.Builder entry, long term) {
         log.append(entry.setTerm(term).setIndex(log.lastIndex() + 1).build());
     }
 
-    /** Appends a command; the token is given back when it is applied or lost. */
+    /** Appends a command; the token is part of the action that applies or fails it. */
     void appendCommand(ByteString command, long term, long token) {
         append(LogEntry.newBuilder().setCommand(command), term);
         tokensByIndex.put(log.lastIndex(), token);
     }
 
-    /** Gives back the tokens of what was proposed here and is not applied: its fate is not known here any more. */
+    /** Fails the proposals of this voter that are not applied yet, since their outcome is unknown from now on. */
     void failProposals(List<RaftAction> actions) {
         tokensByIndex.values().forEach(token -> actions.add(new RaftAction.ProposalLost(token)));
         tokensByIndex.clear();
     }
 
-    /** Hands the entries that this voter appended to the disk. */
+    /** Issues the action that stores the entries appended by this voter. */
     void persistOwnEntries(List<RaftAction> actions) {
         if (hasUnpersisted()) {
             ImmutableList<LogEntry> entries = log.entriesFrom(persistedIndex + 1, Integer.MAX_VALUE);
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Takes the entries of a leader in place of those that contradict them. */
+    /** Merges the entries of a leader and replaces those that conflict with them. */
     void merge(List<LogEntry> entries, List<RaftAction> actions) {
         RaftLog.Merge merge = log.merge(entries, commitIndex);
         if (!merge.added().isEmpty()) {
@@ -114,7 +114,7 @@
         persistedIndex = log.lastIndex();
     }
 
-    /** Notes that the log is agreed up to an index, and gives out what was not given out before. */
+    /** Advances the commit index and issues the actions that apply the newly committed entries. */
     void commitTo(long index, List<RaftAction> actions) {
         commitIndex = Math.max(commitIndex, index);
         while (appliedIndex < commitIndex) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Puts the snapshot of a leader, which is newer than what is agreed here, in place of everything. */
+    /** Replaces log and state by a leader's snapshot, which must be beyond the commit index. */
     void restore(RaftMessage message, HardState hardState, List<RaftAction> actions) {
         ImmutableSortedSet<String> snapshotVoters = ImmutableSortedSet.copyOf(message.getSnapshotVotersList());
         log.reset(message.getLastIndex(), message.getLastTerm(), snapshotVoters);
@@ -136,7 +136,7 @@
         actions.add(new RaftAction.RestoreSnapshot(snapshot));
     }
 
-    /** Puts a snapshot of the state in place of the entries that were given out, if there are any. */
+    /** Replaces the applied entries, if there are any, by a snapshot of the state. */
     List<RaftAction> compact(ByteString state, HardState hardState) {
         if (appliedIndex == log.snapshotIndex()) {
             return ImmutableList.of();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/StoredState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/StoredState.java
@@ -7,15 +7,15 @@
 import org.bramblerack.wire.LogEntry;
 
 /**
- * What a voter had stored durably when it stopped.
+ * The state that a voter reads from its disk when it starts.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param hardState the last term and vote
- * @param snapshotIndex the last index that the snapshot covers, 0 without one
+ * @param snapshotIndex the last index that the snapshot covers; 0 if there is no snapshot
  * @param snapshotTerm the term of that index
- * @param snapshot the state at that index, empty without one
- * @param snapshotVoters the voters at that index, empty if they are those that the system began with
+ * @param snapshot the state at that index; empty if there is no snapshot
+ * @param snapshotVoters the voters at that index; empty if they are the initial ones
  * @param entries the entries after the snapshot
  */
 public record StoredState(
@@ -25,7 +25,7 @@
         ByteString snapshot,
         ImmutableSortedSet<String> snapshotVoters,
         ImmutableList<LogEntry> entries) {
-    /** What a voter that never ran has stored. */
+    /** The state of a voter that has not run before. */
     public static final StoredState EMPTY = new StoredState(
             HardState.getDefaultInstance(), 0, 0, ByteString.EMPTY, ImmutableSortedSet.of(), ImmutableList.of());
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoteCount.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoteCount.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The votes granted to one candidate. Not safe for use by several threads. */
+/** Counts the votes granted to one candidate. Not safe for use by several threads. */
 final class VoteCount {
     private final Set<String> granted = new HashSet<>();
 
@@ -17,7 +17,7 @@
         granted.add(voter);
     }
 
-    /** Returns true if a majority of the voters granted theirs; votes of others do not count. */
+    /** Returns true if a majority of the voters granted their vote; votes of other hosts are not counted. */
     boolean hasMajority(ImmutableSortedSet<String> voters) {
         long counted = granted.stream().filter(voters::contains).count();
         return counted > voters.size() / 2;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
@@ -3,17 +3,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The names of voters: an address, and a tag that tells apart the voters that lived there.
+ * Names of voters: an address, followed by a tag that distinguishes successive voters at this address.
  *
- * <p>A host that lost its disk has lost its votes, so it comes back under another name. Stateless.
+ * <p>A host that lost its disk does not know how it voted, so it rejoins under a new name. Stateless.
  */
 public final class VoterName {
-    /** Separates the address from the tag. */
     public static final char TAG_SEPARATOR = '#';
 
     private VoterName() {}
 
-    /** Returns a name that no voter at the address has had. */
+    /** Returns a name with a random tag, so that no earlier voter at the address had it. */
     public static String generate(String address, RandomGenerator random) {
         return address + TAG_SEPARATOR + Long.toHexString(random.nextLong());
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
@@ -6,13 +6,13 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which single change of the voters comes next, so that there are enough of them and none is gone for long.
+ * Decides on the next single change of the voters: adds missing voters and replaces unreachable ones.
  *
- * <p>A voter is replaced only once its successor has caught up, and only if the voters that remain can agree without
- * it. Immutable and safe for use by many threads.
+ * <p>A voter is removed only if its replacement has caught up and the reachable remaining voters form a quorum.
+ * Immutable and safe for use by many threads.
  */
 final class VoterPolicy {
-    /** A voter that was silent for so long is replaced, if another host stands by that has caught up. */
+    /** A voter without contact for so long is replaced if a learner has caught up. */
     private static final long SILENT_VOTER_TIMEOUT_NANOS =
             Duration.ofMillis(1_500).toNanos();
 
@@ -21,7 +21,7 @@
     /**
      * Creates a policy.
      *
-     * @param tolerableFailures how many voters may be lost at once
+     * @param tolerableFailures how many voters may fail at the same time
      */
     VoterPolicy(int tolerableFailures) {
         this.targetVoterCount = 2 * tolerableFailures + 1;
@@ -31,9 +31,9 @@
      * Returns the voters after the next change, or nothing if none is due.
      *
      * @param self the leader, which is never removed
-     * @param isReachable tells of a member whether it was heard of in the last moment
-     * @param isSilent tells of a voter whether it was not heard of for long
-     * @param caughtUp hosts that have the whole log and do not vote yet
+     * @param caughtUp the learners that have the whole committed log
+     * @param isReachable whether a voter was in contact recently
+     * @param isSilent whether a voter has been without contact for so long that it is to be replaced
      */
     Optional<ImmutableSortedSet<String>> next(
             String self,
@@ -57,7 +57,7 @@
         return removed.map(voter -> without(voters, voter)).filter(rest -> hasQuorum(rest, isReachable));
     }
 
-    /** Returns the voters after the next change of a leader, or nothing if none is due. */
+    /** Returns the voters after the next change, or nothing if none is due; also removes silent learners. */
     Optional<ImmutableSortedSet<String>> next(
             String self, ImmutableSortedSet<String> voters, FollowerTable followers, long commitIndex, long nowNanos) {
         followers.removeSilentLearners(nowNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Agreement among the control hosts: the replicated log and the state that it builds.
+ * Consensus among the control hosts: the Raft protocol and the replicated state machine.
  *
- * <p>Nothing here does I/O. The log protocol returns what to store and what to send, in order.
+ * <p>This package does no I/O. {@link org.bramblerack.process.agreement.RaftNode} returns the actions to carry out, in
+ * order.
  */
 @NullMarked
 package org.bramblerack.process.agreement;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
@@ -24,13 +24,13 @@
 import org.bramblerack.version.UpstreamReport;
 
 /**
- * The services of the configuration in force, and what is known of their upstreams.
+ * The services of the configuration in force, with the state of their upstreams.
  *
- * <p>Invariants: the configuration in force is replaced only by one of a higher revision, whole. What is known of an
- * upstream outlives the change if it is still declared.
+ * <p>Invariants: the configuration in force is replaced as a whole, and only by one of a higher revision. The state of
+ * an upstream is kept while the upstream is declared.
  *
- * <p>Safe for use by many threads: a look-up reads one immutable map; a change takes this object's lock, which comes
- * before those of the tables.
+ * <p>Safe for use by many threads: a look-up reads one immutable map; a change takes this object's lock, which is
+ * acquired before those of the tables.
  */
 public final class ServiceDirectory {
     private final UpstreamTable upstreams;
@@ -43,7 +43,7 @@
      * Creates an empty directory.
      *
      * @param ownZone the availability zone of this host
-     * @param hostsOfZone the names of all hosts of an availability zone
+     * @param hostsOfZone returns the names of all hosts in an availability zone
      */
     public ServiceDirectory(String ownZone, Function<String, ImmutableList<String>> hostsOfZone) {
         this.upstreams = new UpstreamTable(ownZone);
@@ -73,31 +73,29 @@
         return true;
     }
 
-    /** Returns the configuration in force. */
     public Configuration configuration() {
         return view.configuration();
     }
 
-    /** Returns a service, if it is declared. */
+    /** Returns a service, or nothing if it is not declared. */
     public Optional<ServiceView> find(ServiceName name) {
         return Optional.ofNullable(view.services().get(name));
     }
 
-    /** Returns every service. */
     public ImmutableList<ServiceView> services() {
         return view.services().values().asList();
     }
 
-    /** Returns the holders of an upstream's connections, if it is declared. */
+    /** Returns the holders of an upstream's connections, or nothing if the upstream is not declared. */
     public Optional<HolderAssignment> assignment(UpstreamName name) {
         return find(name.service())
                 .flatMap(service -> Optional.ofNullable(service.assignments().get(name)));
     }
 
     /**
-     * Records what a holder reports of an upstream.
+     * Records a holder's report on an upstream. Reports on undeclared upstreams are ignored.
      *
-     * @param reachable true if the holder got the report from the upstream itself lately
+     * @param reachable true if the holder received the report from the upstream recently
      */
     public void recordReport(String holder, UpstreamName name, UpstreamReport report, boolean reachable) {
         Optional<ServiceView> service = find(name.service());
@@ -116,12 +114,12 @@
                 .setUsable(name, reachable && !evidence.get().isDraining());
     }
 
-    /** Records what the platform's list says of an upstream. */
+    /** Records whether the platform lists an upstream as leaving. */
     public void recordPlatformDrain(UpstreamName name, boolean leaving) {
         upstreams.find(name).ifPresent(evidence -> evidence.setDraining(DrainSource.PLATFORM, leaving));
     }
 
-    /** Returns the names of all declared upstreams whose address the function maps to true. */
+    /** Returns the declared upstreams of all services. */
     public ImmutableList<Upstream> upstreams() {
         return view.services().values().stream()
                 .flatMap(service -> service.service().upstreams().stream())
--- a/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceView.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceView.java
@@ -12,7 +12,7 @@
  * <p>Immutable; the tables are safe for use by many threads.
  *
  * @param service the declaration
- * @param tables the shared tables, which outlive a change of the declaration
+ * @param tables the shared tables, which are kept when the declaration changes
  * @param assignments the holders of each upstream's connections
  */
 public record ServiceView(
--- a/bramblerack-core/src/main/java/org/bramblerack/process/directory/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/directory/package-info.java
@@ -1,4 +1,4 @@
-/** The services of the present configuration, with the shared tables that outlive it. */
+/** The services of the configuration in force, with tables that are kept when the configuration changes. */
 @NullMarked
 package org.bramblerack.process.directory;
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -17,10 +17,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses JSON with comments into nodes that know their lines.
+ * Parses JSON with comments into nodes that record their line numbers.
  *
- * <p>Comments ({@code //}, {@code /* *}{@code /}) and trailing commas are accepted. A document is bounded in length and
- * depth, so that a hostile one costs bounded memory. Stateless and safe for use by many threads.
+ * <p>Comments ({@code //}, {@code /* *}{@code /}) and trailing commas are accepted. Length and nesting depth are
+ * limited, which bounds the memory that a malicious document can use. The static methods are safe for use by many
+ * threads.
  */
 final class DocumentParser {
     static final int MAX_LENGTH_CHARS = 8 * 1024 * 1024;
@@ -48,9 +49,9 @@
      * Parses a whole document.
      *
      * @param text the document
-     * @param errors where duplicate names are reported
+     * @param errors receives an error for each duplicate field name
      * @return the root node
-     * @throws SyntaxException if the text is not one JSON document within the bounds
+     * @throws SyntaxException if the text is not a single JSON document within the limits
      */
     static Node parse(String text, ValidationErrorCollector errors) throws SyntaxException {
         checkArgument(text.length() <= MAX_LENGTH_CHARS, "document of %s characters is too long", text.length());
@@ -138,7 +139,7 @@
                 : Math.max(1, failure.getLocation().getLineNr());
     }
 
-    /** Returns what is wrong, without the words of the document: one that lost its quotes may be a secret. */
+    /** Returns the parser's message without text from the document, since an unquoted token may be a secret. */
     private static String problem(String message) {
         int end = message.indexOf('\n');
         return UNQUOTED_WORD
@@ -146,7 +147,7 @@
                 .replaceFirst("a word without quotes");
     }
 
-    /** Thrown when the text is no JSON document at all; carries the one fault. */
+    /** Thrown if the text is not a JSON document. */
     static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
@@ -9,7 +9,7 @@
 import org.bramblerack.process.document.Node.ObjectNode;
 
 /**
- * Reads a JSON document with comments whole, or returns all of its faults.
+ * Reads a JSON document with comments and validates it, collecting all errors.
  *
  * <p>Stateless and safe for use by many threads.
  */
@@ -20,8 +20,8 @@
      * Reads a document.
      *
      * @param text the document
-     * @param reader reads the root object's fields; need not call {@link Fields#finish}
-     * @return the value read, or every fault found, in the order of lines, never empty
+     * @param reader reads the root object's fields; it need not call {@link Fields#finish}
+     * @return the value, or a non-empty list of errors in the order of their lines
      */
     public static <T> Either<ImmutableList<ValidationError>, T> read(String text, Function<Fields, T> reader) {
         requireNonNull(text);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
@@ -18,10 +18,10 @@
 import org.bramblerack.process.document.Node.TextNode;
 
 /**
- * The fields of one object of a document, read one by one and checked as they are read.
+ * Reads and validates the fields of one object of a document.
  *
- * <p>A read that fails reports a fault and returns a stand-in value, so that reading goes on and all faults are found
- * at once. {@link #finish} reports the fields that nobody asked for. Not safe for use by several threads.
+ * <p>A read that fails adds an error and returns a placeholder value, so that reading continues and all errors are
+ * reported together. {@link #finish} reports the fields that were not read. Not safe for use by several threads.
  */
 public final class Fields {
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
@@ -38,7 +38,7 @@
         this.errors = errors;
     }
 
-    /** Returns the line that the object starts on. */
+    /** Returns the line on which the object starts. */
     public int line() {
         return object.line();
     }
@@ -49,12 +49,11 @@
         return member == null ? object.line() : member.line();
     }
 
-    /** Returns true if the field is present. */
     public boolean has(String name) {
         return object.members().containsKey(name);
     }
 
-    /** Reports a fault of a field that the reader itself found. */
+    /** Adds an error for a field, for checks that the reader makes itself. */
     public void addError(String name, String problem, String remedy) {
         errors.add(lineOf(name), pathOf(name), problem, remedy);
     }
@@ -71,7 +70,7 @@
         return value;
     }
 
-    /** Reads a required text that is not empty. */
+    /** Reads a required string that is not blank. */
     public String text(String field) {
         Optional<Node> value = required(field);
         if (value.isEmpty()) {
@@ -84,13 +83,13 @@
         return "";
     }
 
-    /** Reads an optional text. */
+    /** Reads an optional string; if present, it must not be blank. */
     public Optional<String> optionalText(String field) {
         requestedFields.add(field);
         return has(field) ? Optional.of(text(field)) : Optional.empty();
     }
 
-    /** Reads an address of the form {@code 10.0.0.1:8080}: an IP number and a port. */
+    /** Reads a required address of the form {@code 10.0.0.1:8080}: an IP address and a port. */
     public HostAndPort address(String field) {
         HostAndPort fallback = HostAndPort.fromParts("127.0.0.1", 1);
         String value = text(field);
@@ -103,25 +102,25 @@
                 return address;
             }
         } catch (IllegalArgumentException malformed) {
-            // Reported below, together with addresses that lack a part.
+            // Reported below, like an address without a port.
         }
         addError(field, "\"" + value + "\" is not an address", "write an IP number and a port, such as 10.0.0.1:8080");
         return fallback;
     }
 
-    /** Reads a required whole number within bounds. */
+    /** Reads a required integer within bounds. */
     public int integer(String field, int min, int max) {
         Optional<Node> value = required(field);
         return value.isEmpty() ? min : (int) bounded(field, value.get(), min, max, "");
     }
 
-    /** Reads an optional whole number within bounds. */
+    /** Reads an optional integer within bounds. */
     public int integer(String field, int min, int max, int fallback) {
         requestedFields.add(field);
         return has(field) ? integer(field, min, max) : fallback;
     }
 
-    /** Reads a required number, whole or not, within bounds. */
+    /** Reads a required number within bounds. */
     public double decimal(String field, double min, double max) {
         Optional<Node> value = required(field);
         if (value.isEmpty()) {
@@ -143,24 +142,24 @@
         return number;
     }
 
-    /** Reads an optional number, whole or not, within bounds. */
+    /** Reads an optional number within bounds. */
     public double decimal(String field, double min, double max, double fallback) {
         requestedFields.add(field);
         return has(field) ? decimal(field, min, max) : fallback;
     }
 
-    /** Reads a required whole number of 64 bits within bounds. */
+    /** Reads a required 64-bit integer within bounds. */
     public long longInteger(String field, long min, long max) {
         Optional<Node> value = required(field);
         return value.isEmpty() ? min : bounded(field, value.get(), min, max, "");
     }
 
-    /** Accepts fields that nobody asks for, in this object: its writer may be newer than this program. */
+    /** Accepts unknown fields in this object, for documents that a newer release may have written. */
     public void ignoreUnknownFields() {
         ignoresUnknownFields = true;
     }
 
-    /** Reads a required duration of whole milliseconds; the field's name must end in {@code Ms}. */
+    /** Reads a required duration in whole milliseconds; by convention, the field's name ends in {@code Ms}. */
     public Duration millis(String field, Duration min, Duration max) {
         Optional<Node> value = required(field);
         if (value.isEmpty()) {
@@ -169,13 +168,13 @@
         return Duration.ofMillis(bounded(field, value.get(), min.toMillis(), max.toMillis(), " milliseconds"));
     }
 
-    /** Reads an optional duration of whole milliseconds. */
+    /** Reads an optional duration in whole milliseconds. */
     public Duration millis(String field, Duration min, Duration max, Duration fallback) {
         requestedFields.add(field);
         return has(field) ? millis(field, min, max) : fallback;
     }
 
-    /** Reads an optional truth value. */
+    /** Reads an optional boolean. */
     public boolean flag(String field, boolean fallback) {
         requestedFields.add(field);
         Member member = object.members().get(field);
@@ -189,7 +188,7 @@
         return fallback;
     }
 
-    /** Reads a required choice among the constants of an enumeration, written in lower case with hyphens. */
+    /** Reads a required enum constant, written in lower case with hyphens. */
     public <T extends Enum<T>> T choice(String field, Class<T> type) {
         T[] constants = type.getEnumConstants();
         String value = text(field);
@@ -234,7 +233,7 @@
         return results.build();
     }
 
-    /** Reads an optional array of texts; a missing field is an empty array. */
+    /** Reads an optional array of strings; a missing field is an empty array. */
     public ImmutableList<String> texts(String field, int max) {
         ImmutableList.Builder<String> results = ImmutableList.builder();
         for (Node element : elements(field, max)) {
@@ -247,7 +246,7 @@
         return results.build();
     }
 
-    /** Reports every field that was never asked for. Call it once all fields are read. */
+    /** Adds an error for each field that was not read. Call it after all fields have been read. */
     public void finish() {
         if (ignoresUnknownFields) {
             return;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Node.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/Node.java
@@ -4,18 +4,18 @@
 import com.google.common.collect.ImmutableMap;
 
 /**
- * A value of a JSON document together with the line it starts on.
+ * A value of a JSON document, with the line on which it starts.
  *
  * <p>Immutable and safe for use by many threads.
  */
 sealed interface Node {
-    /** Returns the line that the value starts on, counted from 1. */
+    /** Returns the line on which the value starts, counted from 1. */
     int line();
 
-    /** Returns the name of the value's type as a person would say it. */
+    /** Returns the name of the value's type with an article, for error messages. */
     String typeName();
 
-    /** An object; its members keep their order. */
+    /** A JSON object with its members in document order. */
     record ObjectNode(int line, ImmutableMap<String, Member> members) implements Node {
         @Override
         public String typeName() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** An array. */
+    /** A JSON array. */
     record ArrayNode(int line, ImmutableList<Node> elements) implements Node {
         @Override
         public String typeName() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** A text. */
+    /** A JSON string. */
     record TextNode(int line, String value) implements Node {
         @Override
         public String typeName() {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A whole number that fits 64 bits. */
+    /** An integer of at most 64 bits. */
     record IntegerNode(int line, long value) implements Node {
         @Override
         public String typeName() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** A truth value. */
+    /** A JSON boolean. */
     record BooleanNode(int line, boolean value) implements Node {
         @Override
         public String typeName() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** A number with a fraction. */
+    /** A number with a fraction or an exponent. */
     record DecimalNode(int line, double value) implements Node {
         @Override
         public String typeName() {
@@ -63,9 +63,9 @@
         }
     }
 
-    /** Anything that no document of the project uses: null, a number beyond 64 bits. */
+    /** A value that no field accepts: null or an integer of more than 64 bits. */
     record OtherNode(int line, String typeName) implements Node {}
 
-    /** A named value of an object, with the line of its name. */
+    /** The value of an object's member, with the line of the member's name. */
     record Member(int line, Node value) {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationError.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationError.java
@@ -3,17 +3,17 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One thing wrong with a document: where, what, and how to mend it.
+ * An error in a document: its location, the problem and the remedy.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param line the line, counted from 1
  * @param field the path of the field, such as {@code services[2].slots}; empty for the whole document
  * @param problem what is wrong
- * @param remedy what to do about it
+ * @param remedy how to correct it
  */
 public record ValidationError(int line, String field, String problem, String remedy) {
-    /** Refuses null parts. */
+    /** Rejects null components. */
     public ValidationError {
         requireNonNull(field);
         requireNonNull(problem);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationErrorCollector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationErrorCollector.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Gathers all faults of one document, up to a bound, so that an operator sees them at once.
+ * Collects the errors of one document, up to {@value #MAX_ERRORS}, so that they can be reported together.
  *
  * <p>Not safe for use by several threads.
  */
@@ -25,7 +25,7 @@
         return errors.isEmpty();
     }
 
-    /** Returns the faults in the order of their lines. */
+    /** Returns the errors in the order of their lines. */
     ImmutableList<ValidationError> sorted() {
         return ImmutableList.sortedCopyOf(Comparator.comparingInt(ValidationError::line), errors);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/package-info.java
@@ -1,4 +1,4 @@
-/** Reading of JSON documents with comments, strictly, with the place of every fault. */
+/** Strict reading of JSON documents with comments; errors carry the line and the field. */
 @NullMarked
 package org.bramblerack.process.document;
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/LeafReports.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/LeafReports.java
@@ -3,20 +3,20 @@
 import org.bramblerack.wire.LeafRecord;
 
 /**
- * Decides which reports of a leaf say anything new.
+ * Decides which reports on a leaf are newer than the known record, and merges them.
  *
- * <p>Reports come late and in any order, and not all of them are from the leaf that they name. A leaf that starts again
- * under its identifier has a greater incarnation, and counts its reports anew; one life of a leaf never changes its
- * service or address. Stateless and safe for use by many threads.
+ * <p>Reports may arrive late and in any order, and may come from another sender than the leaf that they name. A leaf
+ * that restarts under its identifier has a greater incarnation and restarts its sequence numbers. An incarnation never
+ * changes its service or address. Stateless and safe for use by many threads.
  */
 final class LeafReports {
     private LeafReports() {}
 
-    /** Returns true if a report changes what is known. */
+    /** Returns true if a report is newer than the known record and differs from it. */
     static boolean isNewer(LeafRecord known, LeafRecord report) {
         boolean isGone = report.getPhase() == LeafRecord.Phase.GONE;
         if (isGone && report.getIncarnation() == 0) {
-            // It does not say which life ends, so it is the one that is known.
+            // Without an incarnation, the report ends the known one.
             return known.getPhase() != LeafRecord.Phase.GONE;
         }
         if (report.getIncarnation() != known.getIncarnation()) {
@@ -37,7 +37,7 @@
         return sameLeaf && differs && report.getSequence() > known.getSequence();
     }
 
-    /** Returns what to remember of a leaf after a report that is news. */
+    /** Returns the record of a leaf after a newer report. */
     static LeafRecord.Builder merge(LeafRecord known, LeafRecord report) {
         if (report.getPhase() != LeafRecord.Phase.GONE) {
             return report.toBuilder();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
@@ -10,15 +10,15 @@
 import org.bramblerack.wire.LeafRecord;
 
 /**
- * Watches which members were heard of lately, so that the leader can forget those that nobody hears.
+ * Tracks the last contact with each leaf and host, so that the leader can remove silent ones.
  *
- * <p>Each control host notes the members that report to it and tells the leader; the leader gives every member a full
- * period of grace when it begins to lead. Not safe for use by several threads.
+ * <p>Each control host records the members that contact it and reports them to the leader. A new leader starts the
+ * timeouts of all members anew. Not safe for use by several threads.
  */
 public final class MembershipMonitor {
-    /** A leaf reports about every second and at times some seconds late; own calls notice a crash long before. */
+    /** Many times the report interval of about 1 s; calls to a crashed leaf fail long before. */
     static final Duration LEAF_TIMEOUT = Duration.ofSeconds(20);
-    /** A host asks for changes at least once a second. */
+    /** Several times the interval of at most 1 s at which a host requests changes. */
     static final Duration HOST_TIMEOUT = Duration.ofSeconds(6);
 
     private final Map<String, Long> lastLeafContactNanos = new HashMap<>();
@@ -26,23 +26,23 @@
     private final Map<String, Integer> queriesPerMinuteByHost = new HashMap<>();
     private HeardMembers.Builder pendingReport = HeardMembers.newBuilder();
 
-    /** Notes that a leaf reported to this host. */
+    /** Records that a leaf reported to this host. */
     public void recordLeafContact(String id, long nowNanos) {
         lastLeafContactNanos.put(id, nowNanos);
         pendingReport.addLeafIds(id);
     }
 
     /**
-     * Notes that a host asked this host for changes.
+     * Records that a host requested changes from this host.
      *
-     * @param queriesPerMinute the queries over shards that it takes from callers
+     * @param queriesPerMinute the sharded queries that the host receives from callers
      */
     public void recordHostContact(String name, int queriesPerMinute, long nowNanos) {
         updateHost(name, queriesPerMinute, nowNanos);
         pendingReport.addHostNames(name).addQueriesAMinute(queriesPerMinute);
     }
 
-    /** Takes what another control host has heard of. */
+    /** Merges the contacts that another control host reports. */
     public void merge(HeardMembers report, long nowNanos) {
         report.getLeafIdsList().forEach(id -> lastLeafContactNanos.put(id, nowNanos));
         boolean hasRates = report.getQueriesAMinuteCount() == report.getHostNamesCount();
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Returns the queries a minute that the entry hosts take together; empty as long as some have not told theirs, as
-     * just after this host began to lead.
+     * Returns the queries per minute that all entry hosts receive together, or empty if some hosts have not reported
+     * theirs since this host became the leader.
      */
     public OptionalInt queriesPerMinute(ReplicatedTables tables) {
         int sum = 0;
@@ -72,14 +72,14 @@
         queriesPerMinuteByHost.put(name, queriesPerMinute);
     }
 
-    /** Returns what was heard of since the last call, for the leader. */
+    /** Returns the contacts since the last call, to be reported to the leader. */
     public HeardMembers takeReport() {
         HeardMembers report = pendingReport.build();
         pendingReport = HeardMembers.newBuilder();
         return report;
     }
 
-    /** Begins anew, as a host that begins to lead does: every member counts as heard of now. */
+    /** Resets the monitor of a new leader: all present members count as contacted now. */
     public void reset(ReplicatedTables tables, long nowNanos) {
         lastLeafContactNanos.clear();
         lastHostContactNanos.clear();
@@ -88,7 +88,7 @@
         tables.presentHosts().forEach(host -> lastHostContactNanos.put(host.getName(), nowNanos));
     }
 
-    /** Returns the members that nobody has heard of for too long. */
+    /** Returns the members whose last contact is longer ago than their timeout, and stops tracking them. */
     public ForgetMembers silentMembers(ReplicatedTables tables, long nowNanos) {
         ForgetMembers.Builder silent = ForgetMembers.newBuilder();
         for (LeafRecord leaf : tables.presentLeaves()) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/ReplicatedTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/ReplicatedTables.java
@@ -25,16 +25,16 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * The part of the agreed state that every host follows: the routing configuration, the leafs, the hosts, and the
- * requests that end leafs.
+ * The part of the replicated state that all hosts follow: the routing configuration, the leaves, the hosts, and the
+ * requests under which leaves ended.
  *
- * <p>Invariants: the same commands in the same order give the same tables everywhere. Each change raises the revision
- * by one, so that a host that knows a revision can be sent what changed since. The configuration's version only grows.
- * A life of a leaf that has ended never comes back, and a late report never undoes a newer one. Not safe for use by
- * several threads.
+ * <p>Invariants: the same commands in the same order give the same tables on every voter. Each change raises the
+ * revision by one, so that a host that knows a revision can be sent the changes since. The configuration's version only
+ * grows. An incarnation of a leaf that has ended stays ended, and a late report never undoes a newer one. Not safe for
+ * use by several threads.
  */
 public final class ReplicatedTables {
-    /** How many departed leafs and hosts are remembered, so that their late reports change nothing. */
+    /** How many departed leaves, and as many hosts, are kept so that their late reports are recognized. */
     static final int MAX_DEPARTED = 4_096;
 
     private final Map<String, LeafRecord> leaves = new LinkedHashMap<>();
@@ -48,7 +48,7 @@
     private final SortedSet<String> drainedZones = new TreeSet<>();
     private final HarmRecords harm = new HarmRecords();
 
-    /** Takes a whole configuration if its version is above the one held. */
+    /** Replaces the configuration if the given one has a higher version. */
     public CommandResult putConfiguration(PutConfiguration change) {
         if (change.getVersion() <= configurationVersion) {
             return result(CommandResult.Kind.SUPERSEDED);
@@ -60,7 +60,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Takes the report of a leaf unless a newer one was taken. */
+    /** Applies the report of a leaf unless a newer one has been applied. */
     public CommandResult applyReport(LeafRecord report) {
         LeafRecord known = leaves.get(report.getId());
         if (known != null && !LeafReports.isNewer(known, report)) {
@@ -76,7 +76,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Takes the report of a host if it tells of another start or a later phase than the one known. */
+    /** Applies the report of a host if it names another incarnation or a later phase than the known one. */
     public CommandResult applyReport(HostRecord report) {
         HostRecord known = hosts.get(report.getName());
         if (known != null && !isNewer(known, report)) {
@@ -91,7 +91,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Marks members as gone that nobody has heard of; a host only if it was not started anew meanwhile. */
+    /** Marks silent members as gone; a host only if its incarnation is still the one in the command. */
     public CommandResult markGone(ForgetMembers change) {
         for (String id : change.getLeafIdsList()) {
             LeafRecord known = leaves.get(id);
@@ -108,7 +108,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Changes how hosts reach the leafs of shards. */
+    /** Sets whether hosts call the leaves of shards directly or through holders. */
     public CommandResult set(SetShardAccess change) {
         if (change.getThroughHolders() == throughHolders) {
             return result(CommandResult.Kind.SUPERSEDED);
@@ -118,7 +118,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Has the leafs of an availability zone get no work, or takes that back. */
+    /** Starts or ends the drain of an availability zone, whose leaves receive no requests meanwhile. */
     public CommandResult set(SetZoneDrain change) {
         boolean changes =
                 change.getDrained() ? drainedZones.add(change.getZone()) : drainedZones.remove(change.getZone());
@@ -129,7 +129,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Takes what a host saw of requests that end leafs. */
+    /** Applies a host's report on requests under which leaves ended. */
     public CommandResult applyReport(HarmReport report) {
         if (!harm.applyReport(report, revision + 1)) {
             return result(CommandResult.Kind.SUPERSEDED);
@@ -138,7 +138,7 @@
         return result(CommandResult.Kind.ACCEPTED);
     }
 
-    /** Has an arrival of a request that is on trial tried, unless another is; or takes that back. */
+    /** Grants a trial of a suspect request unless another one is under way, or ends a trial that was granted. */
     public CommandResult takeTrial(TakeTrial trial) {
         if (trial.getGivenBack()) {
             if (harm.endTrial(trial, revision + 1)) {
@@ -149,39 +149,39 @@
         return result(harm.tryStartTrial(trial) ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.CONFLICT);
     }
 
-    /** Returns what is held of requests that end leafs, to be read only. */
+    /** Returns the records of requests under which leaves ended. Callers must not modify them. */
     public HarmRecords harm() {
         return harm;
     }
 
-    /** Returns the availability zones whose leafs get no work. */
+    /** Returns the drained availability zones, whose leaves receive no requests. */
     public ImmutableSortedSet<String> drainedZones() {
         return ImmutableSortedSet.copyOf(drainedZones);
     }
 
-    /** Returns true if only a few hosts connect to a leaf of a shard, and the others ask through them. */
+    /** Returns true if only a few hosts, the holders, connect to a leaf of a shard and forward the others' calls. */
     public boolean throughHolders() {
         return throughHolders;
     }
 
-    /** Returns true if the report of a leaf says anything new. */
+    /** Returns true if applying the report of a leaf would change the tables. */
     public boolean wouldChange(LeafRecord report) {
         LeafRecord known = leaves.get(report.getId());
         return known == null || LeafReports.isNewer(known, report);
     }
 
-    /** Returns true if the report of a host says anything new. */
+    /** Returns true if applying the report of a host would change the tables. */
     public boolean wouldChange(HostRecord report) {
         HostRecord known = hosts.get(report.getName());
         return known == null || isNewer(known, report);
     }
 
-    /** Returns the revision: how many changes were made so far. */
+    /** Returns the revision, which is the number of changes made so far. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the version of the configuration in force, 0 if there is none. */
+    /** Returns the version of the configuration in force, or 0 if there is none. */
     public long configurationVersion() {
         return configurationVersion;
     }
@@ -191,17 +191,17 @@
         return configuration;
     }
 
-    /** Returns a leaf, present or departed, if it is remembered. */
+    /** Returns a leaf, present or departed, or nothing if it is unknown or was evicted. */
     public Optional<LeafRecord> leaf(String id) {
         return Optional.ofNullable(leaves.get(id));
     }
 
-    /** Returns a host, present or departed, if it is remembered. */
+    /** Returns a host, present or departed, or nothing if it is unknown or was evicted. */
     public Optional<HostRecord> host(String name) {
         return Optional.ofNullable(hosts.get(name));
     }
 
-    /** Returns the leafs that have not left. */
+    /** Returns the leaves that have not left. */
     public ImmutableList<LeafRecord> presentLeaves() {
         return leaves.values().stream()
                 .filter(leaf -> leaf.getPhase() != LeafRecord.Phase.GONE)
@@ -215,7 +215,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns what changed since a revision, or everything if too much was forgotten since. */
+    /** Returns the changes since a revision, or the whole tables if some of these changes were evicted. */
     public TableDelta.Builder changesSince(long knownRevision) {
         boolean full = knownRevision < evictedRevision || knownRevision > revision || knownRevision == 0;
         long since = full ? 0 : knownRevision;
@@ -244,7 +244,7 @@
         return delta;
     }
 
-    /** Returns everything, for a snapshot. */
+    /** Returns the whole tables for a snapshot. */
     public MemberTables toSnapshot() {
         return MemberTables.newBuilder()
                 .setRevision(revision)
@@ -262,7 +262,7 @@
                 .build();
     }
 
-    /** Replaces everything by what a snapshot holds. */
+    /** Replaces the whole tables by those of a snapshot. */
     public void restore(MemberTables snapshot) {
         leaves.clear();
         hosts.clear();
@@ -286,13 +286,13 @@
         return known.getPhase().getNumber() < report.getPhase().getNumber();
     }
 
-    /** Keeps the memory of departed members bounded. */
+    /** Evicts departed members beyond {@link #MAX_DEPARTED}. */
     private void evictOldestDeparted() {
         evictOldest(leaves, leaf -> leaf.getPhase() == LeafRecord.Phase.GONE, LeafRecord::getChangedRevision);
         evictOldest(hosts, host -> host.getPhase() == HostRecord.Phase.GONE, HostRecord::getChangedRevision);
     }
 
-    /** Forgets the departed that changed longest ago; the records are in the order of their last change. */
+    /** Evicts the departed members that changed longest ago; records are in the order of their last change. */
     private <T> void evictOldest(Map<String, T> records, Predicate<T> isDeparted, ToLongFunction<T> changedRevision) {
         if (records.size() <= MAX_DEPARTED) {
             return;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/ShardAccessPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/ShardAccessPolicy.java
@@ -5,44 +5,39 @@
 import java.util.OptionalInt;
 
 /**
- * Decides, at the leader, whether hosts connect to the leafs of shards themselves or ask through a few that do.
+ * Decides, at the leader, whether hosts connect to the leaves of shards directly or call them through a few holders.
  *
- * <p>A query asks every shard, so the queries that one host takes say how often it calls a leaf. A host that calls each
- * leaf every few seconds finds its connections closed and knows nothing of how the leaf does; then a few holders, which
- * make the calls of all, serve better. Where each host calls every leaf many times a second, it knows as much by
- * itself, and a holder would only be a queue on the way.
+ * <p>A query calls every shard, so a host's query rate is the rate at which it calls each shard. At low rates, a host's
+ * connections are closed for idleness and it has no recent measurements of the leaves; holders, which make the calls of
+ * all hosts, have both. At high rates, direct calls have both as well, and a holder only adds a hop and a queue.
  *
- * <p>Invariant: the decision changes only after the rates have spoken for it without a break, so that a moment without
- * callers, or a fleet that is half down, moves nothing. Not safe for use by several threads.
+ * <p>Invariant: the decision changes only after the rates have favored the change continuously for
+ * {@link #CONFIRMATION_PERIOD}, so that a short drop in load or a partial outage has no effect. Not safe for use by
+ * several threads.
  */
 public final class ShardAccessPolicy {
-    /**
-     * Queries a second for each host. Holders raised the share of what queries earned by 0.1 at 0.4 queries a second
-     * and host (18 hosts, 60 shards of 2) and cost 0.06 to 0.45 at 8 (8 hosts, 20 shards of 2), as measured on whole
-     * fleets. Between these nothing was measured; the two limits lie apart so that a rate between them keeps what is in
-     * force.
-     */
+    /** Per host. Lower than the threshold below, so that a rate between the two changes nothing (hysteresis). */
     private static final double USE_HOLDERS_BELOW_QUERIES_PER_SECOND = 2;
 
     private static final double CONNECT_DIRECTLY_ABOVE_QUERIES_PER_SECOND = 4;
-    /** Fewer queries a minute in the whole fleet say nothing of its usual load. */
+    /** Below this rate of the whole fleet, the load is too low to decide. */
     private static final int MIN_QUERIES_PER_MINUTE = 60;
 
-    /** For how long the rates must speak for a change. */
+    /** How long the rates must favor a change before it is made. */
     static final Duration CONFIRMATION_PERIOD = Duration.ofSeconds(4);
-    /** Connections move with the decision, so it is not changed again sooner. */
+    /** Each change opens and closes many connections. */
     static final Duration MIN_TIME_BETWEEN_CHANGES = Duration.ofSeconds(15);
 
     private Optional<Long> changeWantedSinceNanos = Optional.empty();
     private Optional<Long> lastChangeNanos = Optional.empty();
 
     /**
-     * Looks at the rates; call it about every second.
+     * Evaluates the rates; call it about once a second.
      *
-     * @param throughHolders what is in force
-     * @param entryHosts how many hosts take requests of callers
-     * @param queriesPerMinute what they take together, if it is known
-     * @return what should be in force from now on, if that is something else
+     * @param throughHolders the access mode in force: true for holders, false for direct connections
+     * @param entryHosts the number of hosts that receive requests from callers
+     * @param queriesPerMinute the queries that they receive together; empty if not all hosts have reported
+     * @return the access mode to change to, or nothing if it stays
      */
     public Optional<Boolean> decide(
             boolean throughHolders, int entryHosts, OptionalInt queriesPerMinute, long nowNanos) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/package-info.java
@@ -1,4 +1,4 @@
-/** The agreed tables of the fleet: the routing configuration in force, the leafs and the hosts. */
+/** The replicated tables of the fleet: the routing configuration in force, the leaves and the hosts. */
 @NullMarked
 package org.bramblerack.process.members;
 
