--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
@@ -12,7 +12,7 @@
 import org.bramblerack.process.agreement.RaftSimulation.Faults;
 import org.junit.jupiter.api.Test;
 
-/** Random schedules from fixed seeds; a failing one is shrunk and printed. */
+/** Checks the Raft invariants under random schedules of faults, from fixed seeds. */
 final class AgreementScheduleTest {
     private static final int MAX_STEP = RaftSimulation.STEP_KINDS * 1_000;
 
@@ -43,7 +43,7 @@
         assertThat(committed).isGreaterThan(1_000);
     }
 
-    /** A deliberate break: what is not synced is lost in a crash, and the checks must see it. */
+    /** Skips syncs on purpose: the simulation's checks must detect the data lost in crashes. */
     @Test
     void aSkippedSyncIsDetected() {
         assertThrows(AssertionError.class, () -> {
@@ -71,7 +71,7 @@
         assertThat(diskLosses).isGreaterThan(150);
     }
 
-    /** A deliberate break: a voter that lost its disk goes on voting, and the checks must see it. */
+    /** Lets a voter that lost its disk vote again on purpose: the simulation's checks must detect it. */
     @Test
     void aWipedVoterUnderItsOldNameIsDetected() {
         assertThrows(AssertionError.class, () -> {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ElectionTimerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ElectionTimerTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** After a start there is no leader to wait for; once one was heard of, it is given its time. */
+/** Checks that the election timeout is shorter until the first leader contact. */
 final class ElectionTimerTest {
     private static final long ELECTION_TIMEOUT_NANOS = Duration.ofMillis(400).toNanos();
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/FakeDisk.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/FakeDisk.java
@@ -8,7 +8,7 @@
 import org.bramblerack.wire.HardState;
 import org.bramblerack.wire.LogEntry;
 
-/** The disk of one voter: what is synced outlives a crash, what is only written does not. */
+/** The in-memory disk of one voter: a crash loses what was written and not synced. */
 final class FakeDisk {
     private final boolean skipsSyncs;
     private State synced = new State(
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/JointRestartTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/JointRestartTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Six voters in three regions that lose power together and come back within 0.4 s of one another, on processors that
- * have just started: a message takes 20 to 100 ms until it is answered, as logs of such starts show.
+ * Restarts six voters within 0.4 s of one another, with message delays of 20 to 100 ms, and checks that split votes
+ * seldom delay the first leader.
  */
 final class JointRestartTest {
     private static final ImmutableSortedSet<String> VOTERS = ImmutableSortedSet.of("a", "b", "c", "d", "e", "f");
@@ -44,15 +44,15 @@
     }
 
     /**
-     * How an election ended.
+     * The result of an election.
      *
-     * @param afterQuorumNanos from the moment at which enough voters ran
+     * @param afterQuorumNanos the time from the start of a quorum of voters to the election of the leader
      */
     private record Outcome(long term, long afterQuorumNanos) {}
 
     private record Delivery(long atNanos, long order, RaftMessage message) {}
 
-    /** Voters, their messages on the way, and time. */
+    /** Voters that start at random times, and a network with random delays. */
     private static final class Cluster {
         private final SplittableRandom random;
         private final Map<String, Long> startNanos = new TreeMap<>();
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three voters step by step: cut off, returning, far behind. */
+/** Checks three voters while hosts are isolated, suspended or lagging. */
 final class RaftNodeTest {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
     private static final long TICK_NANOS = Duration.ofMillis(10).toNanos();
@@ -78,7 +78,7 @@
         assertThat(leader()).isNotEqualTo(old);
     }
 
-    /** The steady clock of a suspended host stands still, so nothing else tells it that others went on without it. */
+    /** The monotonic clock of a suspended host does not advance, so the host must not rely on it. */
     @Test
     void aResumedVoterIsNotUpToDateBeforeLeaderContact() {
         String old = leader();
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftSimulation.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftSimulation.java
@@ -22,20 +22,20 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * Voters, disks, clocks and a network, moved step by step by numbers, and checked after every step.
+ * A simulated cluster with voters, disks, clocks and a network, driven by a schedule of numbers.
  *
- * <p>Every number is one step: deliver, lose, double or hold back a message, let one clock run, crash between any two
- * actions, restart, cut, heal, propose, read, compact. The checks: one leader in a term; every voter applies the same
- * commands in the same order; what was answered as agreed is never lost; a read shows everything answered before it was
- * asked for; a once-only request is granted to one attempt.
+ * <p>Each number is one step: deliver, lose, duplicate or reorder a message, advance one clock, crash between any two
+ * actions, restart, isolate, heal, propose, read, compact. The checks: one leader in a term; all voters apply the same
+ * commands in the same order; an acknowledged command is never lost; a read reflects all commands acknowledged before
+ * it started; a once-only request is granted to one attempt.
  *
- * <p>If disks may be lost, one is at a time: a host comes back with an empty disk, and no other loses its own before
- * the first is a voter again. All other troubles go on meanwhile.
+ * <p>If disks may be lost, only one is at a time: a host restarts with an empty disk, and no other disk is lost until
+ * that host is a voter again. All other faults continue meanwhile.
  */
 final class RaftSimulation {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
     private static final long TICK_NANOS = Duration.ofMillis(20).toNanos();
-    /** How many kinds of steps there are; a step is a kind plus this many times a choice. */
+    /** A step's number is its kind plus this constant times its choice. */
     static final int STEP_KINDS = 64;
 
     private static final int MAX_MESSAGES = 60;
@@ -55,15 +55,15 @@
     private long nextToken = 1;
     private int diskLosses;
 
-    /** What goes wrong beyond crashes, cuts and lost messages, and what is broken on purpose. */
+    /** Faults in addition to crashes, isolated hosts and lost messages. */
     enum Faults {
-        /** Nothing more. */
+        /** No additional faults. */
         NONE,
-        /** Broken on purpose: nothing is synced. */
+        /** Violates Raft's assumptions: disks ignore syncs. */
         SYNCS_SKIPPED,
-        /** Disks are lost, one at a time. */
+        /** Hosts lose their disks, one at a time, and rejoin under new names. */
         DISKS_LOST,
-        /** Broken on purpose: a host that lost its disk votes on under its old name. */
+        /** Violates Raft's assumptions: a host that lost its disk keeps voting under its old name. */
         DISKS_LOST_AND_NAMES_KEPT
     }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Makes one step; the number decides which. */
+    /** Runs the step that the number encodes. */
     void step(int number) {
         int kind = number % STEP_KINDS;
         int choice = number / STEP_KINDS;
@@ -116,7 +116,7 @@
         return diskLosses;
     }
 
-    /** Loses the disk of a host, unless another that lost its own is not a voter again. */
+    /** Replaces a host's disk by an empty one, unless an earlier such host is not a voter yet. */
     private void loseDisk(int position) {
         if (!committedVoters().equals(ImmutableSortedSet.copyOf(names))) {
             return;
@@ -140,7 +140,7 @@
         return initialVoters;
     }
 
-    /** Heals everything and checks that the voters come to agree on all that was answered. */
+    /** Heals all faults and checks that the voters converge and that no acknowledged command is lost. */
     void settle() {
         isolated.clear();
         voters.values().forEach(voter -> {
@@ -156,15 +156,15 @@
         long leaders = voters.values().stream()
                 .filter(voter -> voter.node.role() == RaftRole.LEADER)
                 .count();
-        assertWithMessage("leaders once healed").that(leaders).isEqualTo(1);
+        assertWithMessage("leaders after healing").that(leaders).isEqualTo(1);
         voters.values()
                 .forEach(voter -> assertWithMessage("applied by " + voter.name)
                         .that(voter.node.appliedIndex())
                         .isAtLeast((long) committed.size()));
         Set<Long> present = new HashSet<>();
         committed.forEach(entry -> present.add(TestCommand.tokenOf(entry)));
-        assertWithMessage("answered and lost").that(present).containsAtLeastElementsIn(acknowledgedTokens);
-        assertWithMessage("states differ")
+        assertWithMessage("acknowledged commands").that(present).containsAtLeastElementsIn(acknowledgedTokens);
+        assertWithMessage("distinct states")
                 .that(voters.values().stream()
                         .map(voter -> voter.state.toSnapshot())
                         .distinct()
@@ -193,7 +193,7 @@
         return requireNonNull(voters.get(name));
     }
 
-    /** Thrown inside a voter to stop it between two of its actions. */
+    /** Thrown to crash a voter between two of its actions. */
     private static final class Crash extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -321,7 +321,7 @@
                         .that(entry)
                         .isEqualTo(committed.get(position));
             } else {
-                assertWithMessage("gap at " + name).that(position).isEqualTo(committed.size());
+                assertWithMessage("next index at " + name).that(position).isEqualTo(committed.size());
                 committed.add(entry);
             }
             if (entry.getCommand().isEmpty()) {
@@ -332,7 +332,7 @@
                 String request = result.getClaim().getRequestId();
                 String first =
                         grantedAttempt.putIfAbsent(request, result.getClaim().getAttempt());
-                assertWithMessage("attempts granted " + request)
+                assertWithMessage("only one attempt granted for " + request)
                         .that(first == null || first.equals(result.getClaim().getAttempt()))
                         .isTrue();
             }
@@ -353,7 +353,9 @@
                 long commands = committed.subList(0, (int) node.appliedIndex()).stream()
                         .filter(entry -> acknowledgedTokens.contains(TestCommand.tokenOf(entry)))
                         .count();
-                assertWithMessage("answers missing from a read").that(commands).isAtLeast((long) before);
+                assertWithMessage("acknowledged commands visible to a read")
+                        .that(commands)
+                        .isAtLeast((long) before);
             }
         }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/TestCommand.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/TestCommand.java
@@ -6,13 +6,13 @@
 import org.bramblerack.wire.Command;
 import org.bramblerack.wire.LogEntry;
 
-/** Commands that carry a token, so that each is known again among the agreed ones. */
+/** Commands that carry a token, by which they are identified among the committed entries. */
 final class TestCommand {
     private static final int CLAIMED_REQUESTS = 3;
 
     private TestCommand() {}
 
-    /** Returns a change or a claim, by the choice. */
+    /** Returns a declaration change for an even choice, a claim for an odd one. */
     static Command of(int choice, long token, long revision) {
         return choice % 2 == 0
                 ? Command.newBuilder()
@@ -32,7 +32,7 @@
                         .build();
     }
 
-    /** Returns the token of an entry, 0 if it carries none. */
+    /** Returns the token of an entry, or 0 if it has none. */
     static long tokenOf(LogEntry entry) {
         try {
             Command command = Command.parseFrom(entry.getCommand());
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Changes of the voters, one trouble at a time. */
+/** Checks membership changes, with one fault at a time. */
 final class VoterChangeTest {
     private static final RaftTimings TIMINGS = new RaftTimings(Duration.ofMillis(50), Duration.ofMillis(200));
     private static final long TICK_NANOS = Duration.ofMillis(10).toNanos();
@@ -74,8 +74,8 @@
     }
 
     /**
-     * One voter missed the changes, another lost its disk, and the third is dark: the two that are left have not what
-     * was agreed, and must not elect.
+     * One voter missed the changes, another lost its disk, and the third is unreachable: neither of the first two has
+     * all committed entries, so they must not elect a leader.
      */
     @Test
     void aMinorityThatMissedChangesAndAWipedVoterDoNotElect() {
@@ -86,7 +86,7 @@
                 .filter(name -> !name.equals(lagging) && !name.equals(leader()))
                 .findFirst()
                 .orElseThrow();
-        assertThat(oldLeader.propose(1, ByteString.copyFromUtf8("agreed"))).isTrue();
+        assertThat(oldLeader.propose(1, ByteString.copyFromUtf8("committed"))).isTrue();
         run(20);
         String leader = leader();
         nodes.remove(wiped);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/LeafReportsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/LeafReportsTest.java
@@ -5,7 +5,7 @@
 import org.bramblerack.wire.LeafRecord;
 import org.junit.jupiter.api.Test;
 
-/** Which of the reports that arrive under one identifier count. */
+/** Checks which of several reports on one leaf are applied. */
 final class LeafReportsTest {
     private static final LeafRecord FIRST_INCARNATION = LeafRecord.newBuilder()
             .setId("l")
@@ -54,7 +54,7 @@
         assertThat(LeafReports.isNewer(ended, SECOND_INCARNATION)).isFalse();
     }
 
-    /** A record that another writer put under the identifier must not take the leaf away. */
+    /** A report that another sender makes under the leaf's identifier must not replace its record. */
     @Test
     void anIncarnationNeverChangesItsServiceOrAddress() {
         LeafRecord later = FIRST_INCARNATION.toBuilder().setSequence(41).build();
@@ -68,7 +68,7 @@
                 .isTrue();
     }
 
-    /** A leaf may turn cold at any time of its life; it says so with each report, but only a change is news. */
+    /** Each report of a cold leaf has its remaining cold time; only a change between cold and warm is applied. */
     @Test
     void becomingColdOrWarmIsNewer() {
         LeafRecord cold = FIRST_INCARNATION.toBuilder()
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/ReplicatedTablesTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/ReplicatedTablesTest.java
@@ -76,7 +76,7 @@
         assertThat(tables.presentHosts()).hasSize(1);
     }
 
-    /** A follower that asks now and then, and starts anew at times, always has what the tables have. */
+    /** A follower that polls at random times, and sometimes restarts empty, must match the tables after each poll. */
     @Test
     void accumulatedDeltasMatchTheTables() {
         SplittableRandom random = new SplittableRandom(7);
@@ -129,7 +129,7 @@
         assertThat(tables.revision()).isEqualTo(changed);
     }
 
-    /** Orders are sent again when their acknowledgement is lost, and may cross with their opposite. */
+    /** Drain commands are resent when their acknowledgement is lost, so repeated ones must have no effect. */
     @Test
     void aDrainedZoneStaysDrainedUntilTheDrainIsLifted() {
         long before = tables.revision();
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/ShardAccessPolicyTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/ShardAccessPolicyTest.java
@@ -7,10 +7,7 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-/**
- * Loads of two kinds of fleet: 18 hosts that take 8 queries a second together, and 8 hosts that take 63, as the users'
- * smallest and busiest fleets do.
- */
+/** Checks when shard access changes, with loads of a small and of a busy fleet. */
 final class ShardAccessPolicyTest {
     private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
     private static final int LOW_QUERIES_PER_MINUTE = 8 * 60;
