--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerTable.java
@@ -16,8 +16,8 @@
  * Tracks the replication progress of a leader's followers and creates the messages to them.
  *
  * <p>Appends are pipelined, with at most {@value #MAX_UNACKNOWLEDGED_ENTRIES} unacknowledged entries for each follower.
- * A follower that missed entries rejects the next append and returns the index to resume from. Not safe for use by
- * several threads.
+ * A follower that missed entries rejects the next append and names the last index it has. Not safe for use by several
+ * threads.
  */
 final class FollowerTable {
     private static final int MAX_ENTRIES_PER_MESSAGE = 512;
@@ -89,9 +89,9 @@
         return host.equals(self) || (follower != null && nowNanos - follower.lastContactNanos < withinNanos);
     }
 
-    void sendHeartbeats(LeaderView leader, long heartbeatNanos, long nowNanos, List<RaftAction> actions) {
+    void sendHeartbeats(LeaderView leader, long heartbeatIntervalNanos, long nowNanos, List<RaftAction> actions) {
         followers.forEach((name, follower) -> {
-            if (nowNanos - follower.lastSentNanos >= heartbeatNanos) {
+            if (nowNanos - follower.lastSentNanos >= heartbeatIntervalNanos) {
                 send(name, follower, leader, true, nowNanos, actions);
             }
         });
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftLog.java
@@ -66,19 +66,24 @@
     }
 
     LogEntry entryAt(long index) {
-        checkArgument(contains(index), "index %s is not held", index);
+        checkArgument(contains(index), "index %s is not in the log", index);
         return entries.get((int) (index - snapshotIndex - 1));
     }
 
     void append(LogEntry entry) {
-        checkArgument(entry.getIndex() == lastIndex() + 1, "index %s after %s", entry.getIndex(), lastIndex());
-        checkArgument(entry.getTerm() >= lastTerm(), "term %s after %s", entry.getTerm(), lastTerm());
+        checkArgument(
+                entry.getIndex() == lastIndex() + 1,
+                "index %s does not follow the last index %s",
+                entry.getIndex(),
+                lastIndex());
+        checkArgument(
+                entry.getTerm() >= lastTerm(), "term %s is lower than the last term %s", entry.getTerm(), lastTerm());
         entries.add(entry);
         voters.append(entry);
     }
 
     void truncateFrom(long index) {
-        checkArgument(contains(index), "index %s is not held", index);
+        checkArgument(contains(index), "index %s is not in the log", index);
         entries.subList((int) (index - snapshotIndex - 1), entries.size()).clear();
         voters.truncateFrom(index);
     }
@@ -120,7 +125,7 @@
     /** Removes the entries up to an index that a snapshot covers. */
     void compact(long index) {
         long term = termAt(index);
-        checkArgument(term >= 0, "index %s is not held", index);
+        checkArgument(term >= 0, "index %s is not in the log", index);
         entries.subList(0, (int) (index - snapshotIndex)).clear();
         voters.compact(index);
         snapshotIndex = index;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
@@ -8,7 +8,7 @@
 /**
  * Decides on the next single change of the voters: adds missing voters and replaces unreachable ones.
  *
- * <p>A voter is removed only if its replacement has caught up and the reachable remaining voters form a quorum.
+ * <p>A voter is removed only if its replacement has caught up and a quorum of the remaining voters is reachable.
  * Immutable and safe for use by many threads.
  */
 final class VoterPolicy {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -20,8 +20,7 @@
  * Parses JSON with comments into nodes that record their line numbers.
  *
  * <p>Comments ({@code //}, {@code /* *}{@code /}) and trailing commas are accepted. Length and nesting depth are
- * limited, which bounds the memory that a malicious document can use. The static methods are safe for use by many
- * threads.
+ * limited, which bounds the memory that a malicious document can use. {@link #parse} is safe for use by many threads.
  */
 final class DocumentParser {
     static final int MAX_LENGTH_CHARS = 8 * 1024 * 1024;
@@ -62,7 +61,10 @@
             Node root = new DocumentParser(errors).parseValue(parser, "");
             if (parser.nextToken() != null) {
                 throw new SyntaxException(new ValidationError(
-                        lineOf(parser), "", "there is text after the end of the document", "keep one JSON object"));
+                        lineOf(parser),
+                        "",
+                        "there is text after the end of the document",
+                        "keep only one JSON object"));
             }
             return root;
         } catch (StreamConstraintsException tooLarge) {
@@ -70,13 +72,13 @@
                     lineOf(tooLarge),
                     "",
                     "the document is nested too deep or has a text that is too long",
-                    "keep to " + MAX_DEPTH + " levels and texts of " + MAX_TEXT_CHARS + " characters"));
+                    "use at most " + MAX_DEPTH + " levels and " + MAX_TEXT_CHARS + " characters a text"));
         } catch (JsonParseException malformed) {
             throw new SyntaxException(new ValidationError(
                     lineOf(malformed),
                     "",
                     "not valid JSON: " + problem(malformed.getOriginalMessage()),
-                    "correct the syntax there"));
+                    "correct the syntax near this line"));
         } catch (IOException impossible) {
             throw new SyntaxException(
                     new ValidationError(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
@@ -32,7 +32,7 @@
                     1,
                     "",
                     "the document has " + text.length() + " characters",
-                    "keep to " + DocumentParser.MAX_LENGTH_CHARS)));
+                    "shorten it to at most " + DocumentParser.MAX_LENGTH_CHARS + " characters")));
         }
         Node root;
         try {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Returns the queries per minute that all entry hosts receive together, or empty if some hosts have not reported
-     * theirs since this host became the leader.
+     * Returns the queries per minute that all entry hosts receive together, or empty if an entry host has not reported
+     * its rate since this host became the leader.
      */
     public OptionalInt queriesPerMinute(ReplicatedTables tables) {
         int sum = 0;
