--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
@@ -19,7 +19,7 @@
     private boolean begun;
     private long lastRunNanos;
     private long lastLateNanos;
-    private double averageNanos;
+    private double averageLagNanos;
 
     private EventLoopLag(long periodNanos) {
         this.periodNanos = periodNanos;
@@ -54,7 +54,7 @@
         lastLateNanos = begun ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
         if (begun) {
             double sinceNanos = Math.max(0, nowNanos - lastRunNanos);
-            averageNanos += sinceNanos / (sinceNanos + AVERAGED_NANOS) * (lastLateNanos - averageNanos);
+            averageLagNanos += sinceNanos / (sinceNanos + AVERAGED_NANOS) * (lastLateNanos - averageLagNanos);
         }
         lastRunNanos = nowNanos;
         begun = true;
@@ -69,8 +69,8 @@
      * Returns how far behind the host has been of late on average: at the moment at which it answers it has often just
      * caught up, and one pause for collecting garbage is no slow host.
      */
-    public long averageNanos() {
-        return (long) averageNanos;
+    public long averageLagNanos() {
+        return (long) averageLagNanos;
     }
 
     /** Returns how long what is read now may have waited here. */
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
@@ -20,7 +20,7 @@
     private static final int SCHEDULES = 10_000;
     private static final int STEPS = 400;
     private static final double MADE_FOR = 8;
-    private static final double BOUND = new ColdRequestLimit(1.5, 5).mostPerSecond(MADE_FOR);
+    private static final double BOUND = new ColdRequestLimit(1.5, 5).maxPerSecond(MADE_FOR);
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
     @Test
