--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
@@ -19,16 +19,16 @@
 import org.bramblerack.wire.PartnerDeclaration;
 
 /**
- * The state that the replicated log builds: the partners' declarations, the claims on once-only requests and the tables
- * of the fleet.
+ * The replicated state machine: the partners' declarations, the claims on once-only requests and the tables of the
+ * fleet.
  *
- * <p>Invariants: the same commands in the same order give the same state and results on every voter, so nothing here
- * reads a clock or a setting. The revision only grows. A change identifier is accepted once, and its result is given
- * again when it is resent. Not safe for use by several threads.
+ * <p>Invariants: the same commands in the same order give the same state and results on every voter, so this class
+ * reads no clock and no settings. The revision only grows. A change identifier is accepted once; a resend returns the
+ * result of the first. Not safe for use by several threads.
  */
 public final class ControlState {
-    private static final int MAX_RESULTS = 20_000;
-    private static final int MAX_HISTORY = 2_000;
+    private static final int MAX_CHANGE_RESULTS = 20_000;
+    private static final int MAX_HISTORY_ENTRIES = 2_000;
 
     private final Map<String, PartnerDeclaration> declarations = new TreeMap<>();
     private final LinkedHashMap<ChangeKey, ChangeResult> results = new LinkedHashMap<>();
@@ -56,59 +56,59 @@
         };
     }
 
-    /** Returns the tables of the fleet, to be read only. */
+    /** Returns the tables of the fleet. Callers must not modify them. */
     public ReplicatedTables tables() {
         return tables;
     }
 
-    /** Returns the revision: how many declarations were accepted so far. */
+    /** Returns the revision, which is the number of declarations accepted so far. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the declarations that were accepted after a revision. */
+    /** Returns the declarations accepted after the given revision. */
     public ImmutableList<PartnerDeclaration> declarationsAfter(long knownRevision) {
         return declarations.values().stream()
                 .filter(declaration -> declaration.getRevision() > knownRevision)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the claim on a once-only request, if it is kept. */
+    /** Returns the claim on a once-only request, unless there is none or it was evicted. */
     public Optional<Claim> claim(String service, String requestId) {
         return claims.find(service, requestId);
     }
 
-    /** Returns true if a once-only request was claimed but its outcome is no longer kept. */
+    /** Returns true if a once-only request was claimed and its outcome has been evicted since. */
     public boolean isExpired(String service, String requestId) {
-        return claims.isForgotten(service, requestId);
+        return claims.isExpired(service, requestId);
     }
 
-    /** Returns how many claims are kept. */
+    /** Returns the number of claims that have not been evicted. */
     public int claimCount() {
         return claims.size();
     }
 
-    /** Returns the last accepted changes, the newest last. */
+    /** Returns the most recently accepted changes, oldest first. */
     public ImmutableList<HistoryEntry> history() {
         return ImmutableList.copyOf(history);
     }
 
-    /** Returns everything, for a snapshot. */
+    /** Returns the whole state as a serialized {@link ControlSnapshot}. */
     public ByteString toSnapshot() {
         return ControlSnapshot.newBuilder()
                 .setRevision(revision)
                 .addAllDeclarations(declarations.values())
                 .addAllHistory(history)
                 .addAllResults(results.values())
-                .addAllClaims(claims.all())
+                .addAllClaims(claims.claimsByExpiry())
                 .setClockMillis(claims.clockMillis())
-                .setForgotten(claims.forgotten())
+                .setForgotten(claims.expiredDigests())
                 .setTables(tables.toSnapshot())
                 .build()
                 .toByteString();
     }
 
-    /** Replaces everything by what a snapshot holds. */
+    /** Replaces the whole state by that of a snapshot. */
     public void restore(ControlSnapshot snapshot) {
         declarations.clear();
         results.clear();
@@ -116,7 +116,8 @@
         revision = snapshot.getRevision();
         snapshot.getDeclarationsList().forEach(declaration -> declarations.put(declaration.getPartner(), declaration));
         snapshot.getResultsList()
-                .forEach(result -> results.put(new ChangeKey(result.getPartner(), result.getChangeId()), result));
+                .forEach(changeResult -> results.put(
+                        new ChangeKey(changeResult.getPartner(), changeResult.getChangeId()), changeResult));
         history.addAll(snapshot.getHistoryList());
         claims = ClaimTable.restore(snapshot);
         tables.restore(snapshot.getTables());
@@ -127,9 +128,9 @@
         ByteString digest = Digests.of(change.getText());
         ChangeResult earlier = results.get(key);
         if (earlier != null) {
-            boolean same = earlier.getTextDigest().equals(digest);
+            boolean sameText = earlier.getTextDigest().equals(digest);
             return CommandResult.newBuilder()
-                    .setKind(same ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.MISMATCH)
+                    .setKind(sameText ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.MISMATCH)
                     .setRevision(earlier.getRevision())
                     .build();
         }
@@ -139,7 +140,7 @@
             return CommandResult.newBuilder()
                     .setKind(CommandResult.Kind.CONFLICT)
                     .setRevision(current.getRevision())
-                    .setWinnerChangeId(changeAt(current.getRevision()))
+                    .setWinnerChangeId(changeIdAt(current.getRevision()))
                     .build();
         }
         accept(change, key, digest);
@@ -166,7 +167,7 @@
                         .setRevision(revision)
                         .setTextDigest(digest)
                         .build());
-        if (results.size() > MAX_RESULTS) {
+        if (results.size() > MAX_CHANGE_RESULTS) {
             results.remove(results.keySet().iterator().next());
         }
         history.add(HistoryEntry.newBuilder()
@@ -175,12 +176,12 @@
                 .setChangeId(change.getChangeId())
                 .setAcceptedAtMillis(change.getAtMillis())
                 .build());
-        if (history.size() > MAX_HISTORY) {
+        if (history.size() > MAX_HISTORY_ENTRIES) {
             history.remove(0);
         }
     }
 
-    private String changeAt(long acceptedRevision) {
+    private String changeIdAt(long acceptedRevision) {
         for (int position = history.size() - 1; position >= 0; position--) {
             if (history.get(position).getRevision() == acceptedRevision) {
                 return history.get(position).getChangeId();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterPolicy.java
@@ -6,70 +6,71 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which single change of the voters comes next, so that there are enough of them and none is gone for long.
+ * Decides on the next single change of the voters: adds missing voters and replaces unreachable ones.
  *
- * <p>A voter is replaced only once its successor has caught up, and only if the voters that remain can agree without
- * it. Immutable and safe for use by many threads.
+ * <p>A voter is removed only if its replacement has caught up and a quorum of the remaining voters is reachable.
+ * Immutable and safe for use by many threads.
  */
 final class VoterPolicy {
-    /** A voter that was silent for so long is replaced, if another host stands by that has caught up. */
-    private static final long SILENT_NANOS = Duration.ofMillis(1_500).toNanos();
+    /** A voter without contact for so long is replaced if a learner has caught up. */
+    private static final long SILENT_VOTER_TIMEOUT_NANOS =
+            Duration.ofMillis(1_500).toNanos();
 
-    private final int wantedVoters;
+    private final int targetVoterCount;
 
     /**
      * Creates a policy.
      *
-     * @param lossesBorne how many voters may be lost at once
+     * @param tolerableFailures how many voters may fail at the same time
      */
-    VoterPolicy(int lossesBorne) {
-        this.wantedVoters = 2 * lossesBorne + 1;
+    VoterPolicy(int tolerableFailures) {
+        this.targetVoterCount = 2 * tolerableFailures + 1;
     }
 
     /**
      * Returns the voters after the next change, or nothing if none is due.
      *
      * @param self the leader, which is never removed
-     * @param isHeard tells of a member whether it was heard of in the last moment
-     * @param isSilent tells of a voter whether it was not heard of for long
-     * @param caughtUp hosts that have the whole log and do not vote yet
+     * @param caughtUp the learners that have the whole committed log
+     * @param isReachable whether a voter was in contact recently
+     * @param isSilent whether a voter has been without contact for so long that it is to be replaced
      */
     Optional<ImmutableSortedSet<String>> next(
             String self,
             ImmutableSortedSet<String> voters,
             ImmutableSortedSet<String> caughtUp,
-            Predicate<String> isHeard,
+            Predicate<String> isReachable,
             Predicate<String> isSilent) {
         if (caughtUp.isEmpty()) {
             return Optional.empty();
         }
         Optional<String> replaced = voters.stream()
-                .filter(voter -> !voter.equals(self) && !isHeard.test(voter))
+                .filter(voter -> !voter.equals(self) && !isReachable.test(voter))
                 .filter(voter -> caughtUp.stream().anyMatch(host -> hasSameAddress(host, voter)))
                 .findFirst();
-        if (replaced.isEmpty() && voters.size() < wantedVoters) {
+        if (replaced.isEmpty() && voters.size() < targetVoterCount) {
             return Optional.of(with(voters, caughtUp.first()));
         }
         Optional<String> removed = replaced.or(() -> voters.stream()
                 .filter(voter -> !voter.equals(self) && isSilent.test(voter))
                 .findFirst());
-        return removed.map(voter -> without(voters, voter)).filter(rest -> canAgree(rest, isHeard));
+        return removed.map(voter -> without(voters, voter)).filter(rest -> hasQuorum(rest, isReachable));
     }
 
-    /** Returns the voters after the next change of a leader, or nothing if none is due. */
+    /** Returns the voters after the next change, or nothing if none is due; also removes silent learners. */
     Optional<ImmutableSortedSet<String>> next(
             String self, ImmutableSortedSet<String> voters, FollowerTable followers, long commitIndex, long nowNanos) {
-        followers.dropSilentLearners(nowNanos);
+        followers.removeSilentLearners(nowNanos);
         return next(
                 self,
                 voters,
-                followers.learnersThatHave(commitIndex, nowNanos),
-                host -> followers.isHeardWithin(host, FollowerTable.HEARD_NANOS, nowNanos),
-                host -> !followers.isHeardWithin(host, SILENT_NANOS, nowNanos));
+                followers.caughtUpLearners(commitIndex, nowNanos),
+                host -> followers.hasContactWithin(host, FollowerTable.RECENT_CONTACT_NANOS, nowNanos),
+                host -> !followers.hasContactWithin(host, SILENT_VOTER_TIMEOUT_NANOS, nowNanos));
     }
 
-    private static boolean canAgree(ImmutableSortedSet<String> voters, Predicate<String> isHeard) {
-        return voters.stream().filter(isHeard).count() > voters.size() / 2;
+    private static boolean hasQuorum(ImmutableSortedSet<String> voters, Predicate<String> isReachable) {
+        return voters.stream().filter(isReachable).count() > voters.size() / 2;
     }
 
     private static boolean hasSameAddress(String left, String right) {
@@ -77,8 +78,8 @@
     }
 
     private static String addressOf(String voter) {
-        int tag = voter.indexOf(VoterName.TAG);
-        return tag < 0 ? voter : voter.substring(0, tag);
+        int tagPosition = voter.indexOf(VoterName.TAG_SEPARATOR);
+        return tagPosition < 0 ? voter : voter.substring(0, tagPosition);
     }
 
     private static ImmutableSortedSet<String> with(ImmutableSortedSet<String> voters, String added) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -17,10 +17,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses JSON with comments into nodes that know their lines.
+ * Parses JSON with comments into nodes that record their line numbers.
  *
- * <p>Comments ({@code //}, {@code /* *}{@code /}) and trailing commas are accepted. A document is bounded in length and
- * depth, so that a hostile one costs bounded memory. Stateless and safe for use by many threads.
+ * <p>Comments ({@code //}, {@code /* *}{@code /}) and trailing commas are accepted. Length and nesting depth are
+ * limited, which bounds the memory that a malicious document can use. {@link #parse} is safe for use by many threads.
  */
 final class DocumentParser {
     static final int MAX_LENGTH_CHARS = 8 * 1024 * 1024;
@@ -38,46 +38,49 @@
 
     private static final Pattern UNQUOTED_WORD = Pattern.compile("Unrecognized token '[^']*'");
 
-    private final ValidationErrorCollector faults;
+    private final ValidationErrorCollector errors;
 
-    private DocumentParser(ValidationErrorCollector faults) {
-        this.faults = faults;
+    private DocumentParser(ValidationErrorCollector errors) {
+        this.errors = errors;
     }
 
     /**
      * Parses a whole document.
      *
      * @param text the document
-     * @param faults where duplicate names are reported
+     * @param errors receives an error for each duplicate field name
      * @return the root node
-     * @throws SyntaxFault if the text is not one JSON document within the bounds
+     * @throws SyntaxException if the text is not a single JSON document within the limits
      */
-    static Node parse(String text, ValidationErrorCollector faults) throws SyntaxFault {
+    static Node parse(String text, ValidationErrorCollector errors) throws SyntaxException {
         checkArgument(text.length() <= MAX_LENGTH_CHARS, "document of %s characters is too long", text.length());
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
-                throw new SyntaxFault(new ValidationError(1, "", "the document is empty", "write one JSON object"));
+                throw new SyntaxException(new ValidationError(1, "", "the document is empty", "write one JSON object"));
             }
-            Node root = new DocumentParser(faults).parseValue(parser, "");
+            Node root = new DocumentParser(errors).parseValue(parser, "");
             if (parser.nextToken() != null) {
-                throw new SyntaxFault(new ValidationError(
-                        lineOf(parser), "", "there is text after the end of the document", "keep one JSON object"));
+                throw new SyntaxException(new ValidationError(
+                        lineOf(parser),
+                        "",
+                        "there is text after the end of the document",
+                        "keep only one JSON object"));
             }
             return root;
         } catch (StreamConstraintsException tooLarge) {
-            throw new SyntaxFault(new ValidationError(
+            throw new SyntaxException(new ValidationError(
                     lineOf(tooLarge),
                     "",
                     "the document is nested too deep or has a text that is too long",
-                    "keep to " + MAX_DEPTH + " levels and texts of " + MAX_TEXT_CHARS + " characters"));
+                    "use at most " + MAX_DEPTH + " levels and " + MAX_TEXT_CHARS + " characters a text"));
         } catch (JsonParseException malformed) {
-            throw new SyntaxFault(new ValidationError(
+            throw new SyntaxException(new ValidationError(
                     lineOf(malformed),
                     "",
                     "not valid JSON: " + problem(malformed.getOriginalMessage()),
-                    "correct the syntax there"));
+                    "correct the syntax near this line"));
         } catch (IOException impossible) {
-            throw new SyntaxFault(
+            throw new SyntaxException(
                     new ValidationError(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
         }
     }
@@ -112,7 +115,7 @@
             parser.nextToken();
             Node value = parseValue(parser, memberPath);
             if (members.putIfAbsent(name, new Node.Member(nameLine, value)) != null) {
-                faults.add(nameLine, memberPath, "the field is given twice", "keep one of them");
+                errors.add(nameLine, memberPath, "the field is given twice", "keep one of them");
             }
         }
         return new Node.ObjectNode(line, ImmutableMap.copyOf(members));
@@ -138,7 +141,7 @@
                 : Math.max(1, failure.getLocation().getLineNr());
     }
 
-    /** Returns what is wrong, without the words of the document: one that lost its quotes may be a secret. */
+    /** Returns the parser's message without text from the document, since an unquoted token may be a secret. */
     private static String problem(String message) {
         int end = message.indexOf('\n');
         return UNQUOTED_WORD
@@ -146,19 +149,19 @@
                 .replaceFirst("a word without quotes");
     }
 
-    /** Thrown when the text is no JSON document at all; carries the one fault. */
-    static final class SyntaxFault extends Exception {
+    /** Thrown if the text is not a JSON document. */
+    static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        private final transient ValidationError fault;
+        private final transient ValidationError error;
 
-        SyntaxFault(ValidationError fault) {
-            super(fault.toString());
-            this.fault = fault;
+        SyntaxException(ValidationError error) {
+            super(error.toString());
+            this.error = error;
         }
 
-        ValidationError fault() {
-            return fault;
+        ValidationError error() {
+            return error;
         }
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
@@ -10,100 +10,100 @@
 import org.bramblerack.wire.LeafRecord;
 
 /**
- * Watches which members were heard of lately, so that the leader can forget those that nobody hears.
+ * Tracks the last contact with each leaf and host, so that the leader can remove silent ones.
  *
- * <p>Each control host notes the members that report to it and tells the leader; the leader gives every member a full
- * period of grace when it begins to lead. Not safe for use by several threads.
+ * <p>Each control host records the members that contact it and reports them to the leader. A new leader starts the
+ * timeouts of all members anew. Not safe for use by several threads.
  */
 public final class MembershipMonitor {
-    /** A leaf reports about every second and at times some seconds late; own calls notice a crash long before. */
-    static final Duration LEAF_SILENCE = Duration.ofSeconds(20);
-    /** A host asks for changes at least once a second. */
-    static final Duration HOST_SILENCE = Duration.ofSeconds(6);
+    /** Many times the report interval of about 1 s; calls to a crashed leaf fail long before. */
+    static final Duration LEAF_TIMEOUT = Duration.ofSeconds(20);
+    /** Several times the interval of at most 1 s at which a host requests changes. */
+    static final Duration HOST_TIMEOUT = Duration.ofSeconds(6);
 
-    private final Map<String, Long> leavesHeardNanos = new HashMap<>();
-    private final Map<String, Long> hostsHeardNanos = new HashMap<>();
-    private final Map<String, Integer> queriesAMinuteByHost = new HashMap<>();
-    private HeardMembers.Builder sinceReport = HeardMembers.newBuilder();
+    private final Map<String, Long> lastLeafContactNanos = new HashMap<>();
+    private final Map<String, Long> lastHostContactNanos = new HashMap<>();
+    private final Map<String, Integer> queriesPerMinuteByHost = new HashMap<>();
+    private HeardMembers.Builder pendingReport = HeardMembers.newBuilder();
 
-    /** Notes that a leaf reported to this host. */
+    /** Records that a leaf reported to this host. */
     public void recordLeafContact(String id, long nowNanos) {
-        leavesHeardNanos.put(id, nowNanos);
-        sinceReport.addLeafIds(id);
+        lastLeafContactNanos.put(id, nowNanos);
+        pendingReport.addLeafIds(id);
     }
 
     /**
-     * Notes that a host asked this host for changes.
+     * Records that a host requested changes from this host.
      *
-     * @param queriesAMinute the queries over shards that it takes from callers
+     * @param queriesPerMinute the sharded queries that the host receives from callers
      */
-    public void recordHostContact(String name, int queriesAMinute, long nowNanos) {
-        noteHost(name, queriesAMinute, nowNanos);
-        sinceReport.addHostNames(name).addQueriesAMinute(queriesAMinute);
+    public void recordHostContact(String name, int queriesPerMinute, long nowNanos) {
+        updateHost(name, queriesPerMinute, nowNanos);
+        pendingReport.addHostNames(name).addQueriesAMinute(queriesPerMinute);
     }
 
-    /** Takes what another control host has heard of. */
+    /** Merges the contacts that another control host reports. */
     public void merge(HeardMembers report, long nowNanos) {
-        report.getLeafIdsList().forEach(id -> leavesHeardNanos.put(id, nowNanos));
-        boolean rated = report.getQueriesAMinuteCount() == report.getHostNamesCount();
+        report.getLeafIdsList().forEach(id -> lastLeafContactNanos.put(id, nowNanos));
+        boolean hasRates = report.getQueriesAMinuteCount() == report.getHostNamesCount();
         for (int position = 0; position < report.getHostNamesCount(); position++) {
-            noteHost(report.getHostNames(position), rated ? report.getQueriesAMinute(position) : 0, nowNanos);
+            updateHost(report.getHostNames(position), hasRates ? report.getQueriesAMinute(position) : 0, nowNanos);
         }
     }
 
     /**
-     * Returns the queries a minute that the entry hosts take together; empty as long as some have not told theirs, as
-     * just after this host began to lead.
+     * Returns the queries per minute that all entry hosts receive together, or empty if an entry host has not reported
+     * its rate since this host became the leader.
      */
     public OptionalInt queriesPerMinute(ReplicatedTables tables) {
         int sum = 0;
         for (HostRecord host : tables.presentHosts()) {
-            Integer told = queriesAMinuteByHost.get(host.getName());
-            if (host.getEntry() && told == null) {
+            Integer reported = queriesPerMinuteByHost.get(host.getName());
+            if (host.getEntry() && reported == null) {
                 return OptionalInt.empty();
             }
-            sum += host.getEntry() && told != null ? told : 0;
+            sum += host.getEntry() && reported != null ? reported : 0;
         }
         return OptionalInt.of(sum);
     }
 
-    private void noteHost(String name, int queriesAMinute, long nowNanos) {
-        hostsHeardNanos.put(name, nowNanos);
-        queriesAMinuteByHost.put(name, queriesAMinute);
+    private void updateHost(String name, int queriesPerMinute, long nowNanos) {
+        lastHostContactNanos.put(name, nowNanos);
+        queriesPerMinuteByHost.put(name, queriesPerMinute);
     }
 
-    /** Returns what was heard of since the last call, for the leader. */
+    /** Returns the contacts since the last call, to be reported to the leader. */
     public HeardMembers takeReport() {
-        HeardMembers report = sinceReport.build();
-        sinceReport = HeardMembers.newBuilder();
+        HeardMembers report = pendingReport.build();
+        pendingReport = HeardMembers.newBuilder();
         return report;
     }
 
-    /** Begins anew, as a host that begins to lead does: every member counts as heard of now. */
+    /** Resets the monitor of a new leader: all present members count as contacted now. */
     public void reset(ReplicatedTables tables, long nowNanos) {
-        leavesHeardNanos.clear();
-        hostsHeardNanos.clear();
-        queriesAMinuteByHost.clear();
-        tables.presentLeaves().forEach(leaf -> leavesHeardNanos.put(leaf.getId(), nowNanos));
-        tables.presentHosts().forEach(host -> hostsHeardNanos.put(host.getName(), nowNanos));
+        lastLeafContactNanos.clear();
+        lastHostContactNanos.clear();
+        queriesPerMinuteByHost.clear();
+        tables.presentLeaves().forEach(leaf -> lastLeafContactNanos.put(leaf.getId(), nowNanos));
+        tables.presentHosts().forEach(host -> lastHostContactNanos.put(host.getName(), nowNanos));
     }
 
-    /** Returns the members that nobody has heard of for too long. */
+    /** Returns the members whose last contact is longer ago than their timeout, and stops tracking them. */
     public ForgetMembers silentMembers(ReplicatedTables tables, long nowNanos) {
         ForgetMembers.Builder silent = ForgetMembers.newBuilder();
         for (LeafRecord leaf : tables.presentLeaves()) {
-            long heardNanos = leavesHeardNanos.computeIfAbsent(leaf.getId(), unused -> nowNanos);
-            if (nowNanos - heardNanos > LEAF_SILENCE.toNanos()) {
+            long contactNanos = lastLeafContactNanos.computeIfAbsent(leaf.getId(), unused -> nowNanos);
+            if (nowNanos - contactNanos > LEAF_TIMEOUT.toNanos()) {
                 silent.addLeafIds(leaf.getId());
-                leavesHeardNanos.remove(leaf.getId());
+                lastLeafContactNanos.remove(leaf.getId());
             }
         }
         for (HostRecord host : tables.presentHosts()) {
-            long heardNanos = hostsHeardNanos.computeIfAbsent(host.getName(), unused -> nowNanos);
-            if (nowNanos - heardNanos > HOST_SILENCE.toNanos()) {
+            long contactNanos = lastHostContactNanos.computeIfAbsent(host.getName(), unused -> nowNanos);
+            if (nowNanos - contactNanos > HOST_TIMEOUT.toNanos()) {
                 silent.addHosts(host);
-                hostsHeardNanos.remove(host.getName());
-                queriesAMinuteByHost.remove(host.getName());
+                lastHostContactNanos.remove(host.getName());
+                queriesPerMinuteByHost.remove(host.getName());
             }
         }
         return silent.build();
