--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
@@ -24,24 +24,24 @@
  * How any host reaches the control hosts: it finds the leader and offers it commands and reads.
  *
  * <p>A command is offered again until it is decided or the time is up; that is safe, because commands carry
- * identifiers. If no leader was heard of for {@link #LEADERLESS} a command is refused at once. Safe for use by many
- * threads.
+ * identifiers. If no leader was heard of for {@link #LEADER_CONTACT_TIMEOUT} a command is refused at once. Safe for use
+ * by many threads.
  */
 public final class ControlClient {
     /** How long after a leader was last heard of commands are still tried. */
-    public static final Duration LEADERLESS = Duration.ofMillis(1_500);
+    public static final Duration LEADER_CONTACT_TIMEOUT = Duration.ofMillis(1_500);
 
-    private static final Duration AGAIN = Duration.ofMillis(40);
-    private static final Duration LONGEST_TRY = Duration.ofMillis(800);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(40);
+    private static final Duration MAX_ATTEMPT_TIMEOUT = Duration.ofMillis(800);
 
     private final String self;
-    private final ImmutableList<String> firstVoters;
+    private final ImmutableList<String> initialVoters;
     private final Optional<ControlNode> local;
     private final PeerNetwork network;
     private final MonotonicClock clock;
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextVoterIndex = new AtomicInteger();
     private volatile Optional<String> leader = Optional.empty();
-    private volatile long leaderHeardNanos;
+    private volatile long lastLeaderContactNanos;
 
     /** Creates a client; the local role is given if this host has it. */
     public ControlClient(
@@ -51,31 +51,32 @@
             PeerNetwork network,
             MonotonicClock clock) {
         this.self = self;
-        this.firstVoters = voters.asList();
+        this.initialVoters = voters.asList();
         this.local = local;
         this.network = network;
         this.clock = clock;
-        this.leaderHeardNanos = clock.nowNanos();
+        this.lastLeaderContactNanos = clock.nowNanos();
     }
 
     /** Returns true if a leader was heard of lately. */
-    public boolean hearsLeader() {
-        return localLeader().isPresent() || clock.nowNanos() - leaderHeardNanos < LEADERLESS.toNanos();
+    public boolean hasLeaderContact() {
+        return localLeader().isPresent()
+                || clock.nowNanos() - lastLeaderContactNanos < LEADER_CONTACT_TIMEOUT.toNanos();
     }
 
     /** Offers a command until it is decided or the time is up. */
     public Uni<ProposalResult> propose(Command command, Duration timeout) {
-        if (!hearsLeader()) {
-            return Uni.createFrom().item(new ProposalResult.NotTaken("no leader is known"));
+        if (!hasLeaderContact()) {
+            return Uni.createFrom().item(new ProposalResult.Rejected("no leader is known"));
         }
-        long giveUpNanos = clock.nowNanos() + timeout.toNanos();
-        return offer(command, giveUpNanos, false);
+        long deadlineNanos = clock.nowNanos() + timeout.toNanos();
+        return proposeUntil(command, deadlineNanos, false);
     }
 
     /** Reads the agreed state from the leader; a result that is not current tells nothing but a hint of the leader. */
     public Uni<ControlReadResult> read(ControlRead request, Duration timeout) {
-        long giveUpNanos = clock.nowNanos() + timeout.toNanos();
-        return readOnce(request, giveUpNanos);
+        long deadlineNanos = clock.nowNanos() + timeout.toNanos();
+        return readUntil(request, deadlineNanos);
     }
 
     /** Asks a control host, the leader if it is known, for changes of the configuration. */
@@ -85,71 +86,71 @@
                 ? local.get().pull(pull)
                 : network.request(target, Envelope.newBuilder().setConfigurationPull(pull), timeout)
                         .map(Envelope::getConfigurationDelta);
-        return reply.invoke(delta -> learn(target, delta.getLeader(), delta.getConfirmed()))
+        return reply.invoke(delta -> updateLeader(target, delta.getLeader(), delta.getConfirmed()))
                 .onFailure()
-                .invoke(() -> forget(target));
+                .invoke(() -> clearLeader(target));
     }
 
-    private Uni<ProposalResult> offer(Command command, long giveUpNanos, boolean mayBeTaken) {
-        long leftNanos = giveUpNanos - clock.nowNanos();
-        if (leftNanos <= 0 || !hearsLeader()) {
+    private Uni<ProposalResult> proposeUntil(Command command, long deadlineNanos, boolean mayBeApplied) {
+        long remainingNanos = deadlineNanos - clock.nowNanos();
+        if (remainingNanos <= 0 || !hasLeaderContact()) {
             String reason = "no decision in time";
             return Uni.createFrom()
-                    .item(mayBeTaken ? new ProposalResult.Undecided(reason) : new ProposalResult.NotTaken(reason));
+                    .item(mayBeApplied ? new ProposalResult.Undecided(reason) : new ProposalResult.Rejected(reason));
         }
         String target = target();
-        Duration wait = Duration.ofNanos(Math.min(leftNanos, LONGEST_TRY.toNanos()));
-        return offerTo(target, command, wait).chain(result -> {
+        Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
+        return proposeTo(target, command, attemptTimeout).chain(result -> {
             if (result instanceof ProposalResult.Applied) {
-                learn(target, target, true);
+                updateLeader(target, target, true);
                 return Uni.createFrom().item(result);
             }
-            boolean taken = mayBeTaken || result instanceof ProposalResult.Undecided;
+            boolean mayBeAppliedNow = mayBeApplied || result instanceof ProposalResult.Undecided;
             return Uni.createFrom()
                     .item(result)
                     .onItem()
                     .delayIt()
-                    .by(AGAIN)
-                    .chain(unused -> offer(command, giveUpNanos, taken));
+                    .by(RETRY_DELAY)
+                    .chain(unused -> proposeUntil(command, deadlineNanos, mayBeAppliedNow));
         });
     }
 
-    private Uni<ProposalResult> offerTo(String target, Command command, Duration wait) {
+    private Uni<ProposalResult> proposeTo(String target, Command command, Duration attemptTimeout) {
         if (local.isPresent() && target.equals(self)) {
             ControlNode node = local.get();
             return node.propose(command).invoke(result -> {
-                if (result instanceof ProposalResult.NotTaken) {
-                    learn(target, node.leader().orElse(""), false);
+                if (result instanceof ProposalResult.Rejected) {
+                    updateLeader(target, node.leader().orElse(""), false);
                 }
             });
         }
         Envelope.Builder message =
                 Envelope.newBuilder().setPropose(Propose.newBuilder().setCommand(command.toByteString()));
-        return network.request(target, message, wait)
+        return network.request(target, message, attemptTimeout)
                 .map(reply -> toResult(target, reply.getProposeResult()))
                 .onFailure()
                 .recoverWithItem(failure -> {
-                    forget(target);
+                    clearLeader(target);
                     boolean notSent = failure instanceof PeerFailure peerFailure
                             && peerFailure.kind() == PeerFailure.Kind.NOT_SENT;
                     return notSent
-                            ? new ProposalResult.NotTaken(String.valueOf(failure.getMessage()))
+                            ? new ProposalResult.Rejected(String.valueOf(failure.getMessage()))
                             : new ProposalResult.Undecided(String.valueOf(failure.getMessage()));
                 });
     }
 
     private ProposalResult toResult(String target, ProposeResult reply) {
         return switch (reply.getStatus()) {
-            case APPLIED -> parse(reply);
+            case APPLIED -> parseApplied(reply);
             case LOST -> new ProposalResult.Undecided("the leader changed");
             default -> {
-                learn(target, reply.getLeader(), false);
-                yield new ProposalResult.NotTaken("not the leader, or it takes no commands now");
+                updateLeader(target, reply.getLeader(), false);
+                yield new ProposalResult.Rejected("not the leader, or it takes no commands now");
             }
         };
     }
 
-    private static ProposalResult parse(ProposeResult reply) {
+    private static ProposalResult parseApplied(ProposeResult reply) {
         try {
             return new ProposalResult.Applied(CommandResult.parseFrom(reply.getResult()));
         } catch (InvalidProtocolBufferException malformed) {
@@ -157,24 +158,24 @@
         }
     }
 
-    private Uni<ControlReadResult> readOnce(ControlRead request, long giveUpNanos) {
-        long leftNanos = giveUpNanos - clock.nowNanos();
-        if (leftNanos <= 0) {
+    private Uni<ControlReadResult> readUntil(ControlRead request, long deadlineNanos) {
+        long remainingNanos = deadlineNanos - clock.nowNanos();
+        if (remainingNanos <= 0) {
             return Uni.createFrom().item(ControlReadResult.getDefaultInstance());
         }
         String target = target();
-        Duration wait = Duration.ofNanos(Math.min(leftNanos, LONGEST_TRY.toNanos()));
+        Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
         Uni<ControlReadResult> reply = local.isPresent() && target.equals(self)
                 ? local.get().read(request)
-                : network.request(target, Envelope.newBuilder().setControlRead(request), wait)
+                : network.request(target, Envelope.newBuilder().setControlRead(request), attemptTimeout)
                         .map(Envelope::getControlReadResult);
         return reply.onFailure()
                 .recoverWithItem(failure -> {
-                    forget(target);
+                    clearLeader(target);
                     return ControlReadResult.getDefaultInstance();
                 })
                 .chain(result -> {
-                    learn(target, result.getLeader(), result.getCurrent());
+                    updateLeader(target, result.getLeader(), result.getCurrent());
                     if (result.getCurrent()) {
                         return Uni.createFrom().item(result);
                     }
@@ -182,8 +183,8 @@
                             .item(result)
                             .onItem()
                             .delayIt()
-                            .by(AGAIN)
-                            .chain(unused -> readOnce(request, giveUpNanos));
+                            .by(RETRY_DELAY)
+                            .chain(unused -> readUntil(request, deadlineNanos));
                 });
     }
 
@@ -193,12 +194,12 @@
     }
 
     private String target() {
-        return localLeader().or(() -> leader).orElseGet(this::anyVoter);
+        return localLeader().or(() -> leader).orElseGet(this::nextVoter);
     }
 
-    private String anyVoter() {
+    private String nextVoter() {
         ImmutableList<String> voters = voters();
-        return voters.get(Math.floorMod(turn.getAndIncrement(), voters.size()));
+        return voters.get(Math.floorMod(nextVoterIndex.getAndIncrement(), voters.size()));
     }
 
     /** Returns the voters as the local role knows them, or those that the system began with. */
@@ -206,21 +207,21 @@
         return local.map(ControlNode::voters)
                 .filter(known -> !known.isEmpty())
                 .map(ImmutableSortedSet::asList)
-                .orElse(firstVoters);
+                .orElse(initialVoters);
     }
 
-    private void learn(String target, String hint, boolean confirmed) {
+    private void updateLeader(String target, String leaderHint, boolean confirmed) {
         if (confirmed) {
             leader = Optional.of(target);
-            leaderHeardNanos = clock.nowNanos();
-        } else if (!hint.isEmpty() && !hint.equals(target) && voters().contains(hint)) {
-            leader = Optional.of(hint);
+            lastLeaderContactNanos = clock.nowNanos();
+        } else if (!leaderHint.isEmpty() && !leaderHint.equals(target) && voters().contains(leaderHint)) {
+            leader = Optional.of(leaderHint);
         } else {
             leader = Optional.empty();
         }
     }
 
-    private void forget(String target) {
+    private void clearLeader(String target) {
         if (leader.equals(Optional.of(target))) {
             leader = Optional.empty();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
@@ -47,47 +47,47 @@
     private static final Logger LOGGER = System.getLogger(ControlNode.class.getName());
     private static final EventLog EVENTS = EventLog.of(ControlNode.class);
     /** How long after a failed write the disk is tried again: a full disk of the platform stays full for seconds. */
-    private static final Duration DISK_RETRY = Duration.ofMillis(250);
+    private static final Duration DISK_RETRY_INTERVAL = Duration.ofMillis(250);
 
-    private static final Duration TICK = Duration.ofMillis(15);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(15);
     private static final int MAX_EVENTS_IN_BATCH = 1_000;
-    private static final int MAX_EVENTS_WAITING = 20_000;
-    private static final long LEAST_ENTRIES_TO_COMPACT = 2_000;
-    private static final long LEAST_BYTES_TO_COMPACT = 1024L * 1024;
+    private static final int MAX_QUEUED_EVENTS = 20_000;
+    private static final long MIN_ENTRIES_TO_COMPACT = 2_000;
+    private static final long MIN_LOG_BYTES_TO_COMPACT = 1024L * 1024;
 
     private final String self;
-    private final ImmutableSortedSet<String> firstVoters;
-    private final int lossesBorne;
+    private final ImmutableSortedSet<String> initialVoters;
+    private final int tolerableFailures;
     private final RaftTimings timings;
     private final LogStore store;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final InstantSource wallClock;
-    private final SuspendDetector suspendWatch;
+    private final SuspendDetector suspendDetector;
     private final RandomGenerator random;
-    private final BlockingQueue<Event> events = new LinkedBlockingQueue<>(MAX_EVENTS_WAITING);
-    private final PendingCalls calls = new PendingCalls();
+    private final BlockingQueue<Event> events = new LinkedBlockingQueue<>(MAX_QUEUED_EVENTS);
+    private final PendingCalls pendingCalls = new PendingCalls();
     private final DiskRoom diskRoom;
-    private final AgreedState state = new AgreedState();
+    private final ReplicatedState state = new ReplicatedState();
     private final TableSubscriptions subscriptions = new TableSubscriptions();
     private @Nullable RaftNode node;
     private @Nullable Thread thread;
     private volatile boolean running;
     private volatile boolean serving;
-    private volatile boolean inTouch;
+    private volatile boolean upToDate;
     private volatile Optional<String> leader = Optional.empty();
     private volatile ImmutableSortedSet<String> voters = ImmutableSortedSet.of();
 
     /**
      * Creates the role; nothing is read or sent before {@link #start}.
      *
-     * @param firstVoters the voters that the system began with; empty for a host that came later
-     * @param lossesBorne how many voters may be lost at once
+     * @param initialVoters the voters that the system began with; empty for a host that came later
+     * @param tolerableFailures how many voters may be lost at once
      */
     public ControlNode(
             String self,
-            ImmutableSortedSet<String> firstVoters,
-            int lossesBorne,
+            ImmutableSortedSet<String> initialVoters,
+            int tolerableFailures,
             RaftTimings timings,
             LogStore store,
             PeerNetwork network,
@@ -95,15 +95,15 @@
             InstantSource wallClock,
             RandomGenerator random) {
         this.self = self;
-        this.firstVoters = firstVoters;
-        this.lossesBorne = lossesBorne;
+        this.initialVoters = initialVoters;
+        this.tolerableFailures = tolerableFailures;
         this.timings = timings;
         this.store = store;
         this.diskRoom = new DiskRoom(store, self);
         this.network = network;
         this.clock = clock;
         this.wallClock = wallClock;
-        this.suspendWatch = new SuspendDetector(timings.electionTimeout(), clock.nowNanos(), wallClock.millis());
+        this.suspendDetector = new SuspendDetector(timings.electionTimeout(), clock.nowNanos(), wallClock.millis());
         this.random = random;
     }
 
@@ -113,7 +113,7 @@
      * @throws DiskFault if what was stored cannot be trusted
      */
     public synchronized void start() throws DiskFault {
-        begin(store.load());
+        startFrom(store.load());
         running = true;
         Thread started = new Thread(this::runUntilStopped, self + "-control");
         started.setDaemon(true);
@@ -121,17 +121,18 @@
         thread = started;
     }
 
-    private void begin(StoredState stored) {
+    private void startFrom(StoredState stored) {
         state.restore(stored.snapshot());
-        RaftNode created = new RaftNode(self, firstVoters, lossesBorne, timings, stored, random, clock.nowNanos());
+        RaftNode created =
+                new RaftNode(self, initialVoters, tolerableFailures, timings, stored, random, clock.nowNanos());
         node = created;
         voters = created.voters();
         serving = true;
-        openLinks();
+        openConnections();
     }
 
     /** Opens the links to the other voters: the first message on a link that is not open is lost. */
-    private void openLinks() {
+    private void openConnections() {
         voters.stream()
                 .filter(voter -> !voter.equals(self))
                 .forEach(voter -> network.send(voter, Envelope.newBuilder().setPing(Ping.getDefaultInstance())));
@@ -159,8 +160,8 @@
     }
 
     /** Returns true if this host leads, or heard of late from a leader and has applied what it said was agreed. */
-    public boolean isInTouch() {
-        return inTouch;
+    public boolean isUpToDate() {
+        return upToDate;
     }
 
     /** Returns the leader that this host knows of. */
@@ -174,8 +175,8 @@
     }
 
     /** Takes the wish of a host to get the log and to vote; only a leader grants it. */
-    public void admit(String host) {
-        offer((raft, nowNanos) -> {
+    public void addLearner(String host) {
+        enqueue((raft, nowNanos) -> {
             raft.addLearner(host, nowNanos);
             return List.of();
         });
@@ -183,18 +184,18 @@
 
     /** Takes a message of another voter. */
     public void receive(RaftMessage message) {
-        offer((raft, nowNanos) -> raft.receive(message, nowNanos));
+        enqueue((raft, nowNanos) -> raft.receive(message, nowNanos));
     }
 
     /** Offers a command; it is taken only if this host leads. */
     public Uni<ProposalResult> propose(Command command) {
         return Uni.createFrom().emitter(emitter -> {
-            boolean queued = offer((raft, nowNanos) -> {
-                proposeNow(raft, command, emitter);
+            boolean queued = enqueue((raft, nowNanos) -> {
+                appendProposal(raft, command, emitter);
                 return List.of();
             });
             if (!queued) {
-                emitter.complete(new ProposalResult.NotTaken("the control role is stopped or overloaded"));
+                emitter.complete(new ProposalResult.Rejected("the control role is stopped or overloaded"));
             }
         });
     }
@@ -202,11 +203,11 @@
     /** Reads the agreed state; the result says whether it is current. */
     public Uni<ControlReadResult> read(ControlRead request) {
         return Uni.createFrom().emitter(emitter -> {
-            boolean queued = offer((raft, nowNanos) -> {
-                readNow(
+            boolean queued = enqueue((raft, nowNanos) -> {
+                requestRead(
                         raft,
-                        () -> emitter.complete(result(request, true)),
-                        () -> emitter.complete(result(request, false)));
+                        () -> emitter.complete(readResult(request, true)),
+                        () -> emitter.complete(readResult(request, false)));
                 return List.of();
             });
             if (!queued) {
@@ -218,12 +219,12 @@
     /** Answers a host that asks for changes of the configuration. */
     public Uni<ConfigurationDelta> pull(ConfigurationPull pull) {
         return Uni.createFrom().emitter(emitter -> {
-            boolean queued = offer((raft, nowNanos) -> {
-                state.hear(pull, nowNanos);
-                readNow(
+            boolean queued = enqueue((raft, nowNanos) -> {
+                state.recordInForce(pull, nowNanos);
+                requestRead(
                         raft,
-                        () -> emitter.complete(changes(pull, true)),
-                        () -> emitter.complete(changes(pull, false)));
+                        () -> emitter.complete(configurationChanges(pull, true)),
+                        () -> emitter.complete(configurationChanges(pull, false)));
                 return List.of();
             });
             if (!queued) {
@@ -235,7 +236,7 @@
     /** Answers a host that follows the tables of the fleet, once they have changed or a moment has passed. */
     public Uni<TableDelta> pullTables(TablePull pull) {
         return Uni.createFrom().emitter(emitter -> {
-            boolean queued = offer((raft, nowNanos) -> {
+            boolean queued = enqueue((raft, nowNanos) -> {
                 subscriptions.add(pull.getKnownRevision(), emitter, nowNanos);
                 return List.of();
             });
@@ -253,7 +254,7 @@
      */
     public <T> Uni<T> withTables(TableReader<T> reader) {
         return Uni.createFrom().emitter(emitter -> {
-            boolean queued = offer((raft, nowNanos) -> {
+            boolean queued = enqueue((raft, nowNanos) -> {
                 emitter.complete(reader.read(state.tables(), raft.isUpToDate(nowNanos), nowNanos));
                 return List.of();
             });
@@ -268,28 +269,28 @@
         return leader.equals(Optional.of(self));
     }
 
-    private boolean offer(Event event) {
+    private boolean enqueue(Event event) {
         return running && serving && events.offer(event);
     }
 
     private void runUntilStopped() {
         try {
             while (running) {
-                runBatchOrAwaitDisk();
+                runBatchOrRecoverDisk();
             }
         } catch (InterruptedException stopped) {
             LOGGER.log(Logger.Level.DEBUG, "the control role stops");
-        } catch (RoleEnded fault) {
+        } catch (UnreadableCommandException fault) {
             LOGGER.log(Logger.Level.ERROR, "the control role of {0} ended: {1}", self, fault.getMessage());
         } finally {
             running = false;
             leader = Optional.empty();
             store.close();
-            failEverything();
+            failPendingCalls();
         }
     }
 
-    private void runBatchOrAwaitDisk() throws InterruptedException, RoleEnded {
+    private void runBatchOrRecoverDisk() throws InterruptedException, UnreadableCommandException {
         try {
             runBatch();
         } catch (DiskFault fault) {
@@ -297,7 +298,7 @@
                     .with("voter", self)
                     .with("reason", String.valueOf(fault.getMessage()))
                     .write();
-            awaitDisk();
+            awaitDiskRecovery();
         }
     }
 
@@ -305,16 +306,16 @@
      * Takes no part until what is stored can be read and synced again, and goes on from that, as after a restart: what
      * the failed write left behind is unknown until then.
      */
-    private void awaitDisk() throws InterruptedException {
+    private void awaitDiskRecovery() throws InterruptedException {
         serving = false;
-        inTouch = false;
+        upToDate = false;
         leader = Optional.empty();
         store.close();
-        failEverything();
+        failPendingCalls();
         while (running) {
-            Thread.sleep(DISK_RETRY.toMillis());
+            Thread.sleep(DISK_RETRY_INTERVAL.toMillis());
             try {
-                begin(store.load());
+                startFrom(store.load());
                 EVENTS.info("disk_recovered").with("voter", self).write();
                 return;
             } catch (DiskFault stillFailing) {
@@ -323,21 +324,21 @@
         }
     }
 
-    private void runBatch() throws InterruptedException, RoleEnded, DiskFault {
+    private void runBatch() throws InterruptedException, UnreadableCommandException, DiskFault {
         RaftNode raft = node;
         if (raft == null) {
             throw new IllegalStateException("not started");
         }
         List<Event> batch = new ArrayList<>();
-        Event first = events.poll(TICK.toNanos(), TimeUnit.NANOSECONDS);
+        Event first = events.poll(TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
         if (first != null) {
             batch.add(first);
             events.drainTo(batch, MAX_EVENTS_IN_BATCH);
         }
         long nowNanos = clock.nowNanos();
-        diskRoom.look(nowNanos);
+        diskRoom.checkIfDue(nowNanos);
         List<RaftAction> actions = new ArrayList<>();
-        if (suspendWatch.wasSuspended(nowNanos, wallClock.millis())) {
+        if (suspendDetector.wasSuspended(nowNanos, wallClock.millis())) {
             EVENTS.warning("suspended").with("voter", self).write();
             actions.addAll(raft.onResume(nowNanos));
         }
@@ -346,16 +347,16 @@
         }
         actions.addAll(raft.tick(nowNanos));
         actions.addAll(raft.flush(nowNanos));
-        carryOut(actions);
-        inTouch = raft.isUpToDate(nowNanos);
-        subscriptions.answerDue(state.tables(), inTouch, nowNanos);
-        if (raft.appliedSinceSnapshot() >= LEAST_ENTRIES_TO_COMPACT
-                && store.logBytes() >= Math.max(LEAST_BYTES_TO_COMPACT, 2 * state.snapshotBytes())) {
-            carryOut(raft.compact(state.takeSnapshot()));
+        execute(actions);
+        upToDate = raft.isUpToDate(nowNanos);
+        subscriptions.completeDue(state.tables(), upToDate, nowNanos);
+        if (raft.appliedSinceSnapshot() >= MIN_ENTRIES_TO_COMPACT
+                && store.logBytes() >= Math.max(MIN_LOG_BYTES_TO_COMPACT, 2 * state.lastSnapshotBytes())) {
+            execute(raft.compact(state.takeSnapshot()));
         }
     }
 
-    private void carryOut(List<RaftAction> actions) throws RoleEnded, DiskFault {
+    private void execute(List<RaftAction> actions) throws UnreadableCommandException, DiskFault {
         store.store(actions);
         for (RaftAction action : actions) {
             if (action instanceof RaftAction.Send send) {
@@ -365,11 +366,11 @@
             } else if (action instanceof RaftAction.RestoreSnapshot restore) {
                 state.restore(restore.state());
             } else if (action instanceof RaftAction.ProposalLost lost) {
-                calls.complete(lost.token(), new ProposalResult.Undecided("the leader changed"));
+                pendingCalls.complete(lost.token(), new ProposalResult.Undecided("the leader changed"));
             } else if (action instanceof RaftAction.ReadReady ready) {
-                calls.readReady(ready.token());
+                pendingCalls.completeRead(ready.token());
             } else if (action instanceof RaftAction.ReadFailed failed) {
-                calls.readFailed(failed.token());
+                pendingCalls.failRead(failed.token());
             } else if (action instanceof RaftAction.VotersChanged changed) {
                 voters = changed.voters();
                 EVENTS.info("voters_changed")
@@ -388,48 +389,49 @@
         }
     }
 
-    private void apply(RaftAction.Apply apply) throws RoleEnded {
-        CommandResult result = resultOf(apply.entry());
+    private void apply(RaftAction.Apply apply) throws UnreadableCommandException {
+        CommandResult result = applyToState(apply.entry());
         if (apply.token().isPresent()) {
-            calls.complete(apply.token().get(), new ProposalResult.Applied(result));
+            pendingCalls.complete(apply.token().get(), new ProposalResult.Applied(result));
         }
     }
 
-    private CommandResult resultOf(LogEntry entry) throws RoleEnded {
+    private CommandResult applyToState(LogEntry entry) throws UnreadableCommandException {
         try {
             return state.apply(entry);
         } catch (InvalidProtocolBufferException malformed) {
-            throw new RoleEnded("an agreed command cannot be read; run the program version that wrote it");
+            throw new UnreadableCommandException(
+                    "an agreed command cannot be read; run the program version that wrote it");
         }
     }
 
-    private void proposeNow(RaftNode raft, Command command, UniEmitter<? super ProposalResult> emitter) {
+    private void appendProposal(RaftNode raft, Command command, UniEmitter<? super ProposalResult> emitter) {
         if (diskRoom.isNearlyFull()) {
-            emitter.complete(new ProposalResult.NotTaken("the leader's disk is nearly full; make room on " + self));
+            emitter.complete(new ProposalResult.Rejected("the leader's disk is nearly full; make room on " + self));
             return;
         }
-        long token = calls.nextToken();
+        long token = pendingCalls.nextToken();
         if (raft.propose(token, command.toByteString())) {
-            calls.addProposal(token, emitter);
+            pendingCalls.addProposal(token, emitter);
         } else {
-            emitter.complete(new ProposalResult.NotTaken("this host does not lead"));
+            emitter.complete(new ProposalResult.Rejected("this host does not lead"));
         }
     }
 
-    private void readNow(RaftNode raft, Runnable ready, Runnable failed) {
-        long token = calls.nextToken();
+    private void requestRead(RaftNode raft, Runnable ready, Runnable failed) {
+        long token = pendingCalls.nextToken();
         if (raft.read(token)) {
-            calls.addRead(token, ready, failed);
+            pendingCalls.addRead(token, ready, failed);
         } else {
             failed.run();
         }
     }
 
-    private ConfigurationDelta changes(ConfigurationPull pull, boolean confirmed) {
+    private ConfigurationDelta configurationChanges(ConfigurationPull pull, boolean confirmed) {
         return state.changesSince(pull.getKnownRevision(), confirmed, leader.orElse(""));
     }
 
-    private ControlReadResult result(ControlRead request, boolean current) {
+    private ControlReadResult readResult(ControlRead request, boolean current) {
         return state.read(request, clock.nowNanos())
                 .setCurrent(current)
                 .setLeader(leader.orElse(""))
@@ -437,9 +439,9 @@
                 .build();
     }
 
-    private void failEverything() {
-        calls.failAll("the control role ended, or waits for its disk");
-        subscriptions.answerAll();
+    private void failPendingCalls() {
+        pendingCalls.failAll("the control role ended, or waits for its disk");
+        subscriptions.completeAll();
     }
 
     /** Something for the thread of the role to do. */
@@ -449,10 +451,10 @@
     }
 
     /** Ends the role. */
-    private static final class RoleEnded extends Exception {
+    private static final class UnreadableCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        RoleEnded(String message) {
+        UnreadableCommandException(String message) {
             super(message);
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskRoom.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskRoom.java
@@ -6,11 +6,11 @@
 /** Looks from time to time whether the disk has room for new commands. Owned by the thread of the control role. */
 final class DiskRoom {
     private static final EventLog EVENTS = EventLog.of(DiskRoom.class);
-    private static final Duration LOOK_EVERY = Duration.ofSeconds(2);
+    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(2);
 
     private final LogStore store;
     private final String self;
-    private long lookedNanos;
+    private long lastCheckNanos;
     private boolean nearlyFull;
 
     DiskRoom(LogStore store, String self) {
@@ -24,11 +24,11 @@
     }
 
     /** Looks if it is time to; a change leaves a line. */
-    void look(long nowNanos) {
-        if (nowNanos - lookedNanos < LOOK_EVERY.toNanos()) {
+    void checkIfDue(long nowNanos) {
+        if (nowNanos - lastCheckNanos < CHECK_INTERVAL.toNanos()) {
             return;
         }
-        lookedNanos = nowNanos;
+        lastCheckNanos = nowNanos;
         boolean before = nearlyFull;
         nearlyFull = store.isNearlyFull();
         if (nearlyFull != before) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
@@ -38,9 +38,9 @@
  */
 public final class FileLogStore implements LogStore {
     private static final Logger LOGGER = System.getLogger(FileLogStore.class.getName());
-    private static final byte[] LOG_MARK = "BRLOG001".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] SNAPSHOT_MARK = "BRSNP001".getBytes(StandardCharsets.US_ASCII);
-    private static final long LEAST_FREE_BYTES = 64L * 1024 * 1024;
+    private static final byte[] LOG_MAGIC = "BRLOG001".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] SNAPSHOT_MAGIC = "BRSNP001".getBytes(StandardCharsets.US_ASCII);
+    private static final long MIN_FREE_BYTES = 64L * 1024 * 1024;
 
     private static final ImmutableSet<StandardOpenOption> CREATE_ONLY =
             ImmutableSet.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
@@ -121,16 +121,16 @@
             throw new DiskFault("the store in " + folder + " failed before; load it again once the disk is sound");
         }
         try {
-            boolean written = false;
+            boolean unsynced = false;
             for (RaftAction action : actions) {
                 if (action instanceof RaftAction.Persist persist) {
-                    written = append(persist, written);
+                    unsynced = append(persist, unsynced);
                 } else if (action instanceof RaftAction.SaveSnapshot save) {
                     saveSnapshot(save);
-                    written = false;
+                    unsynced = false;
                 }
             }
-            if (written) {
+            if (unsynced) {
                 sync.sync(channel());
                 syncedBytes = channel().position();
             }
@@ -152,7 +152,7 @@
     @Override
     public boolean isNearlyFull() {
         try {
-            return Files.getFileStore(folder).getUsableSpace() < LEAST_FREE_BYTES;
+            return Files.getFileStore(folder).getUsableSpace() < MIN_FREE_BYTES;
         } catch (IOException unreadable) {
             return true;
         }
@@ -170,8 +170,8 @@
         }
     }
 
-    private boolean append(RaftAction.Persist persist, boolean batchBegun) throws IOException {
-        if (!batchBegun) {
+    private boolean append(RaftAction.Persist persist, boolean batchStarted) throws IOException {
+        if (!batchStarted) {
             write(LogRecord.newBuilder().setSyncedThrough(syncedBytes).build());
         }
         if (persist.hardState().isPresent()) {
@@ -199,7 +199,7 @@
                 .setState(save.state())
                 .addAllVoters(save.voters())
                 .build();
-        replace(snapshotFile, SNAPSHOT_MARK, ImmutableList.of(record.toByteArray()));
+        replace(snapshotFile, SNAPSHOT_MAGIC, ImmutableList.of(record.toByteArray()));
         close();
         writeLog(save.hardState(), save.suffix());
         openLog();
@@ -210,15 +210,15 @@
         records.add(LogRecord.newBuilder().setHardState(hardState).build().toByteArray());
         entries.forEach(entry ->
                 records.add(LogRecord.newBuilder().setEntry(entry).build().toByteArray()));
-        replace(logFile, LOG_MARK, records.build());
+        replace(logFile, LOG_MAGIC, records.build());
     }
 
-    private void replace(Path target, byte[] mark, List<byte[]> records) throws IOException {
+    private void replace(Path target, byte[] magic, List<byte[]> records) throws IOException {
         Path temporary = folder.resolve(target.getFileName() + ".new");
         // One that a crash left behind may be open to more readers.
         Files.deleteIfExists(temporary);
-        try (FileChannel channel = FileChannel.open(temporary, CREATE_ONLY, ownerOnly())) {
-            writeFully(channel, ByteBuffer.wrap(mark));
+        try (FileChannel channel = FileChannel.open(temporary, CREATE_ONLY, ownerOnlyAttributes())) {
+            writeFully(channel, ByteBuffer.wrap(magic));
             for (byte[] record : records) {
                 writeFully(channel, RecordFrame.frame(record));
             }
@@ -234,7 +234,7 @@
      * Returns the rights of new files: what is agreed on may hold secrets. None where the file system has no such
      * rights.
      */
-    private FileAttribute<?>[] ownerOnly() {
+    private FileAttribute<?>[] ownerOnlyAttributes() {
         return folder.getFileSystem().supportedFileAttributeViews().contains("posix")
                 ? new FileAttribute<?>[] {PosixFilePermissions.asFileAttribute(OWNER_ONLY)}
                 : new FileAttribute<?>[0];
@@ -258,30 +258,30 @@
         if (!Files.exists(snapshotFile)) {
             return SnapshotRecord.getDefaultInstance();
         }
-        ByteBuffer file = readMarked(snapshotFile, SNAPSHOT_MARK);
-        byte[] record = RecordFrame.read(file, SNAPSHOT_MARK.length);
+        ByteBuffer file = readWithMagic(snapshotFile, SNAPSHOT_MAGIC);
+        byte[] record = RecordFrame.read(file, SNAPSHOT_MAGIC.length);
         if (record == null) {
-            throw corrupt(snapshotFile, SNAPSHOT_MARK.length);
+            throw corrupt(snapshotFile, SNAPSHOT_MAGIC.length);
         }
         return SnapshotRecord.parseFrom(record);
     }
 
     private void replayLog(LogReplay replay) throws IOException {
-        ByteBuffer file = readMarked(logFile, LOG_MARK);
-        int offset = LOG_MARK.length;
+        ByteBuffer file = readWithMagic(logFile, LOG_MAGIC);
+        int offset = LOG_MAGIC.length;
         byte[] record = RecordFrame.read(file, offset);
         while (record != null) {
-            replay.take(parse(record, offset));
+            replay.apply(parse(record, offset));
             offset += RecordFrame.HEADER_BYTES + record.length;
             record = RecordFrame.read(file, offset);
         }
         if (offset < file.limit()) {
-            cutTail(file, offset);
+            truncateTornTail(file, offset);
         }
     }
 
     /** Cuts off a batch that was never synced, or refuses the file if the bad record was synced once. */
-    private void cutTail(ByteBuffer file, int badOffset) throws IOException {
+    private void truncateTornTail(ByteBuffer file, int badOffset) throws IOException {
         for (int offset = badOffset + 1; offset + RecordFrame.HEADER_BYTES <= file.limit(); offset++) {
             byte[] record = RecordFrame.read(file, offset);
             if (record != null && parse(record, offset).getSyncedThrough() > badOffset) {
@@ -308,13 +308,13 @@
         }
     }
 
-    private static ByteBuffer readMarked(Path file, byte[] mark) throws IOException {
+    private static ByteBuffer readWithMagic(Path file, byte[] magic) throws IOException {
         ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(file));
-        byte[] found = new byte[Math.min(mark.length, content.limit())];
+        byte[] found = new byte[Math.min(magic.length, content.limit())];
         content.get(0, found);
-        if (!ByteString.copyFrom(found).equals(ByteString.copyFrom(mark))) {
+        if (!ByteString.copyFrom(found).equals(ByteString.copyFrom(magic))) {
             throw new DiskFault(file + " is not of the format "
-                    + new String(mark, StandardCharsets.US_ASCII)
+                    + new String(magic, StandardCharsets.US_ASCII)
                     + "; use the program version that wrote it, or remove the member and add it anew");
         }
         return content;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
@@ -13,15 +13,15 @@
  * <p>Kept by each control host for what it heard itself; a new leader learns it anew. Not safe for use by several
  * threads.
  */
-final class InForceTable {
-    private final Map<String, Heard> heard = new TreeMap<>();
+final class InForceRevisions {
+    private final Map<String, HostReport> reports = new TreeMap<>();
 
     void record(ConfigurationPull pull, long nowNanos) {
-        Heard known = heard.get(pull.getHost());
+        HostReport known = reports.get(pull.getHost());
         if (known == null || known.incarnation() <= pull.getIncarnation()) {
-            heard.put(
+            reports.put(
                     pull.getHost(),
-                    new Heard(
+                    new HostReport(
                             pull.getIncarnation(),
                             pull.getZone(),
                             pull.getLeaving(),
@@ -32,7 +32,7 @@
 
     ImmutableList<HostRevision> toList(long nowNanos) {
         ImmutableList.Builder<HostRevision> revisions = ImmutableList.builder();
-        heard.forEach((host, known) -> revisions.add(HostRevision.newBuilder()
+        reports.forEach((host, known) -> revisions.add(HostRevision.newBuilder()
                 .setHost(host)
                 .setZone(known.zone())
                 .setLeaving(known.leaving())
@@ -42,5 +42,5 @@
         return revisions.build();
     }
 
-    private record Heard(long incarnation, String zone, boolean leaving, long revision, long atNanos) {}
+    private record HostReport(long incarnation, String zone, boolean leaving, long revision, long atNanos) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
@@ -25,7 +25,7 @@
         this.snapshot = snapshot;
     }
 
-    void take(LogRecord record) throws DiskFault {
+    void apply(LogRecord record) throws DiskFault {
         switch (record.getBodyCase()) {
             case HARD_STATE -> hardState = record.getHardState();
             case ENTRY -> append(record.getEntry());
@@ -43,7 +43,7 @@
                 snapshot.getLastTerm(),
                 snapshot.getState(),
                 ImmutableSortedSet.copyOf(snapshot.getVotersList()),
-                ImmutableList.copyOf(fitting()));
+                ImmutableList.copyOf(entriesAfterSnapshot()));
     }
 
     private void append(LogEntry entry) throws DiskFault {
@@ -55,18 +55,19 @@
         entries.add(entry);
     }
 
-    private List<LogEntry> fitting() throws DiskFault {
-        long covered = snapshot.getLastIndex();
-        boolean conflicts = entries.stream()
-                .anyMatch(entry -> entry.getIndex() == covered && entry.getTerm() != snapshot.getLastTerm());
-        if (conflicts) {
+    private List<LogEntry> entriesAfterSnapshot() throws DiskFault {
+        long snapshotIndex = snapshot.getLastIndex();
+        boolean conflictsWithSnapshot = entries.stream()
+                .anyMatch(entry -> entry.getIndex() == snapshotIndex && entry.getTerm() != snapshot.getLastTerm());
+        if (conflictsWithSnapshot) {
             return ImmutableList.of();
         }
-        List<LogEntry> after =
-                entries.stream().filter(entry -> entry.getIndex() > covered).toList();
-        if (!after.isEmpty() && after.get(0).getIndex() != covered + 1) {
+        List<LogEntry> after = entries.stream()
+                .filter(entry -> entry.getIndex() > snapshotIndex)
+                .toList();
+        if (!after.isEmpty() && after.get(0).getIndex() != snapshotIndex + 1) {
             throw new DiskFault("the log begins at index " + after.get(0).getIndex() + " but the snapshot ends at "
-                    + covered + "; remove this member from the voters, clear its folder, and add it anew");
+                    + snapshotIndex + "; remove this member from the voters, clear its folder, and add it anew");
         }
         return after;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/PendingCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/PendingCalls.java
@@ -39,7 +39,7 @@
     }
 
     /** Ends a read whose round has come back. */
-    void readReady(long token) {
+    void completeRead(long token) {
         Read read = reads.remove(token);
         if (read != null) {
             read.ready().run();
@@ -47,7 +47,7 @@
     }
 
     /** Ends a read that cannot be answered for certain. */
-    void readFailed(long token) {
+    void failRead(long token) {
         Read read = reads.remove(token);
         if (read != null) {
             read.failed().run();
@@ -57,7 +57,7 @@
     /** Ends every call without a result; proposals may have been stored. */
     void failAll(String reason) {
         new ArrayList<>(proposals.keySet()).forEach(token -> complete(token, new ProposalResult.Undecided(reason)));
-        new ArrayList<>(reads.keySet()).forEach(this::readFailed);
+        new ArrayList<>(reads.keySet()).forEach(this::failRead);
     }
 
     private record Read(Runnable ready, Runnable failed) {}
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ProposalResult.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ProposalResult.java
@@ -8,7 +8,7 @@
     record Applied(CommandResult result) implements ProposalResult {}
 
     /** It was not taken, and never will be. */
-    record NotTaken(String reason) implements ProposalResult {}
+    record Rejected(String reason) implements ProposalResult {}
 
     /** It may or may not be agreed; offering it again is safe, as commands carry identifiers. */
     record Undecided(String reason) implements ProposalResult {}
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/AgreedState.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ReplicatedState.java
@@ -19,10 +19,10 @@
  * <p>Invariant: it is changed by agreed entries and snapshots alone; what hosts say of the configuration that they have
  * in force is kept beside it and is not agreed. Owned by the thread of the control role.
  */
-final class AgreedState {
+final class ReplicatedState {
     private final ControlState state = new ControlState();
-    private final InForceTable inForce = new InForceTable();
-    private long snapshotBytes;
+    private final InForceRevisions inForce = new InForceRevisions();
+    private long lastSnapshotBytes;
 
     /** Returns the tables of the fleet, to be read only. */
     ReplicatedTables tables() {
@@ -40,7 +40,7 @@
     void restore(ByteString snapshot) {
         try {
             state.restore(ControlSnapshot.parseFrom(snapshot));
-            snapshotBytes = snapshot.size();
+            lastSnapshotBytes = snapshot.size();
         } catch (InvalidProtocolBufferException malformed) {
             throw new IllegalStateException(
                     "a checked snapshot cannot be read; use the version that wrote it", malformed);
@@ -49,17 +49,17 @@
 
     ByteString takeSnapshot() {
         ByteString snapshot = state.toSnapshot();
-        snapshotBytes = snapshot.size();
+        lastSnapshotBytes = snapshot.size();
         return snapshot;
     }
 
     /** Returns how long the last snapshot is that was taken or restored. */
-    long snapshotBytes() {
-        return snapshotBytes;
+    long lastSnapshotBytes() {
+        return lastSnapshotBytes;
     }
 
     /** Notes what a host that asks for changes says that it has in force. */
-    void hear(ConfigurationPull pull, long nowNanos) {
+    void recordInForce(ConfigurationPull pull, long nowNanos) {
         inForce.record(pull, nowNanos);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
@@ -12,7 +12,7 @@
     /**
      * Reads the tables; must not change or keep them.
      *
-     * @param inTouch true if this host leads, or heard of late from a leader
+     * @param upToDate true if this host leads, or heard of late from a leader
      */
-    T read(ReplicatedTables tables, boolean inTouch, long nowNanos);
+    T read(ReplicatedTables tables, boolean upToDate, long nowNanos);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
@@ -19,50 +19,52 @@
  */
 final class TableSubscriptions {
     /** How long a request without news is held back: well within the time in which a change must be in force. */
-    private static final long HOLD_NANOS = Duration.ofMillis(700).toNanos();
+    private static final long MAX_WAIT_NANOS = Duration.ofMillis(700).toNanos();
 
     /** How long a host that has just started waits here for a leader: an election's time; another may hear one. */
-    private static final long HOLD_WITHOUT_LEADER_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long MAX_WAIT_WITHOUT_LEADER_NANOS =
+            Duration.ofMillis(250).toNanos();
 
     /** The revision that a host knows which has just started. */
-    private static final long NOTHING = 0;
+    private static final long NO_REVISION = 0;
 
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<PendingPull> pendingPulls = new ArrayList<>();
 
     void add(long knownRevision, UniEmitter<? super TableDelta> emitter, long nowNanos) {
-        waiting.add(new Waiting(knownRevision, emitter, nowNanos));
+        pendingPulls.add(new PendingPull(knownRevision, emitter, nowNanos));
     }
 
     /** Answers those for whom there is news, and those who have waited long enough. */
-    void answerDue(ReplicatedTables tables, boolean inTouch, long nowNanos) {
-        Iterator<Waiting> each = waiting.iterator();
-        while (each.hasNext()) {
-            Waiting next = each.next();
-            boolean news = next.knownRevision() < tables.revision() && (inTouch || next.knownRevision() > NOTHING);
-            boolean idle = !inTouch && next.knownRevision() == NOTHING;
-            long holdNanos = idle ? HOLD_WITHOUT_LEADER_NANOS : HOLD_NANOS;
-            if (news || nowNanos - next.askedNanos() >= holdNanos) {
-                each.remove();
-                next.emitter().complete(answer(next.knownRevision(), tables, inTouch));
+    void completeDue(ReplicatedTables tables, boolean upToDate, long nowNanos) {
+        Iterator<PendingPull> pulls = pendingPulls.iterator();
+        while (pulls.hasNext()) {
+            PendingPull pull = pulls.next();
+            boolean hasChanges =
+                    pull.knownRevision() < tables.revision() && (upToDate || pull.knownRevision() > NO_REVISION);
+            boolean awaitsLeader = !upToDate && pull.knownRevision() == NO_REVISION;
+            long maxWaitNanos = awaitsLeader ? MAX_WAIT_WITHOUT_LEADER_NANOS : MAX_WAIT_NANOS;
+            if (hasChanges || nowNanos - pull.receivedNanos() >= maxWaitNanos) {
+                pulls.remove();
+                pull.emitter().complete(toDelta(pull.knownRevision(), tables, upToDate));
             }
         }
     }
 
-    private static TableDelta answer(long knownRevision, ReplicatedTables tables, boolean inTouch) {
-        if (!inTouch && knownRevision == NOTHING) {
+    private static TableDelta toDelta(long knownRevision, ReplicatedTables tables, boolean upToDate) {
+        if (!upToDate && knownRevision == NO_REVISION) {
             return TableDelta.getDefaultInstance();
         }
-        boolean behind = knownRevision > tables.revision();
+        boolean lagging = knownRevision > tables.revision();
         return tables.changesSince(Math.min(knownRevision, tables.revision()))
-                .setCurrent(inTouch && !behind)
+                .setCurrent(upToDate && !lagging)
                 .build();
     }
 
     /** Answers everybody with nothing, as a role does that stops. */
-    void answerAll() {
-        waiting.forEach(each -> each.emitter().complete(TableDelta.getDefaultInstance()));
-        waiting.clear();
+    void completeAll() {
+        pendingPulls.forEach(each -> each.emitter().complete(TableDelta.getDefaultInstance()));
+        pendingPulls.clear();
     }
 
-    private record Waiting(long knownRevision, UniEmitter<? super TableDelta> emitter, long askedNanos) {}
+    private record PendingPull(long knownRevision, UniEmitter<? super TableDelta> emitter, long receivedNanos) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/VoterIdentity.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/VoterIdentity.java
@@ -20,9 +20,9 @@
  * the name that it had. Immutable and safe for use by many threads.
  *
  * @param name the host's name among the voters
- * @param firstVoters the voters that the system began with; empty for a host that came later
+ * @param initialVoters the voters that the system began with; empty for a host that came later
  */
-public record VoterIdentity(String name, ImmutableSortedSet<String> firstVoters) {
+public record VoterIdentity(String name, ImmutableSortedSet<String> initialVoters) {
     private static final String FILE = "identity";
 
     /**
@@ -30,13 +30,13 @@
      *
      * @throws DiskFault if the folder cannot be read or written
      */
-    public static VoterIdentity loadOrStore(Path folder, VoterIdentity fresh) throws DiskFault {
+    public static VoterIdentity loadOrStore(Path folder, VoterIdentity newIdentity) throws DiskFault {
         Path file = folder.resolve(FILE);
         try {
             Files.createDirectories(folder);
             if (!Files.exists(file)) {
-                fresh.store(folder, file);
-                return fresh;
+                newIdentity.store(folder, file);
+                return newIdentity;
             }
             return parse(Files.readString(file), file);
         } catch (IOException failure) {
@@ -49,7 +49,7 @@
         Path temporary = folder.resolve(FILE + ".new");
         ImmutableList<String> lines = ImmutableList.<String>builder()
                 .add(name)
-                .addAll(firstVoters)
+                .addAll(initialVoters)
                 .add("")
                 .build();
         byte[] text = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
@@ -27,10 +27,10 @@
 
     private AnswerWriter() {}
 
-    static byte[] answer(CallerQuery asked, Answer answer) {
+    static byte[] answer(CallerQuery query, Answer answer) {
         return write(json -> {
-            json.writeStringField("requestId", asked.requestId().value());
-            json.writeStringField("service", asked.service().toString());
+            json.writeStringField("requestId", query.requestId().value());
+            json.writeStringField("service", query.service().toString());
             json.writeNumberField("indexVersion", answer.indexVersion());
             json.writeObjectFieldStart("coverage");
             json.writeNumberField("shards", answer.coverage().shardCount());
@@ -45,20 +45,20 @@
             for (CheckedReply reply : answer.replies()) {
                 json.writeStartObject();
                 json.writeNumberField("shard", reply.shard());
-                payload(json, "payload", reply.payload());
+                writePayload(json, "payload", reply.payload());
                 json.writeEndObject();
             }
             json.writeEndArray();
         });
     }
 
-    static byte[] ran(CallerOperation asked, ByteString answer, boolean replayed) {
+    static byte[] ran(CallerOperation operation, ByteString answer, boolean replayed) {
         return write(json -> {
-            json.writeStringField("requestId", asked.requestId().value());
-            json.writeStringField("service", asked.service().toString());
+            json.writeStringField("requestId", operation.requestId().value());
+            json.writeStringField("service", operation.service().toString());
             json.writeStringField("outcome", "ran");
             json.writeBooleanField("replayed", replayed);
-            payload(json, "answer", answer);
+            writePayload(json, "answer", answer);
         });
     }
 
@@ -72,12 +72,12 @@
                 json.writeStringField("reason", claim.getReason());
             }
             if (!claim.getAnswer().isEmpty()) {
-                payload(json, "answer", claim.getAnswer());
+                writePayload(json, "answer", claim.getAnswer());
             }
         });
     }
 
-    static byte[] refusal(Refusal refusal, Optional<String> requestId, ImmutableList<ValidationError> faults) {
+    static byte[] refusal(Refusal refusal, Optional<String> requestId, ImmutableList<ValidationError> errors) {
         return write(json -> {
             if (requestId.isPresent()) {
                 json.writeStringField("requestId", requestId.get());
@@ -92,14 +92,14 @@
                 json.writeNumberField("retryAfterMs", refusal.retryAfter().get().toMillis());
             }
             json.writeEndObject();
-            if (!faults.isEmpty()) {
+            if (!errors.isEmpty()) {
                 json.writeArrayFieldStart("faults");
-                for (ValidationError fault : faults) {
+                for (ValidationError error : errors) {
                     json.writeStartObject();
-                    json.writeNumberField("line", fault.line());
-                    json.writeStringField("field", fault.field());
-                    json.writeStringField("problem", fault.problem());
-                    json.writeStringField("remedy", fault.remedy());
+                    json.writeNumberField("line", error.line());
+                    json.writeStringField("field", error.field());
+                    json.writeStringField("problem", error.problem());
+                    json.writeStringField("remedy", error.remedy());
                     json.writeEndObject();
                 }
                 json.writeEndArray();
@@ -107,7 +107,7 @@
         });
     }
 
-    static byte[] write(Content content) {
+    static byte[] write(ObjectContent content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = FACTORY.createGenerator(bytes)) {
             json.writeStartObject();
@@ -119,7 +119,7 @@
         return bytes.toByteArray();
     }
 
-    private static void payload(JsonGenerator json, String field, ByteString payload) throws IOException {
+    private static void writePayload(JsonGenerator json, String field, ByteString payload) throws IOException {
         if (isJson(payload)) {
             json.writeFieldName(field);
             json.writeRawValue(payload.toString(StandardCharsets.UTF_8));
@@ -146,7 +146,7 @@
 
     /** Writes the fields of an object. */
     @FunctionalInterface
-    interface Content {
+    interface ObjectContent {
         void writeTo(JsonGenerator json) throws IOException;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/CallerBodies.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/CallerBodies.java
@@ -26,7 +26,7 @@
  */
 final class CallerBodies {
     private static final int MAX_DEPTH = 32;
-    private static final int MAX_TEXT_CHARS = 256 * 1024;
+    private static final int MAX_STRING_CHARS = 256 * 1024;
     private static final long MAX_DEADLINE_MILLIS = Duration.ofMinutes(5).toMillis();
     private static final ImmutableSet<String> QUERY_FIELDS =
             ImmutableSet.of("requestId", "class", "deadlineMs", "query");
@@ -35,7 +35,7 @@
     private static final JsonMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
                             .maxNestingDepth(MAX_DEPTH)
-                            .maxStringLength(MAX_TEXT_CHARS)
+                            .maxStringLength(MAX_STRING_CHARS)
                             .build())
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .build())
@@ -50,8 +50,8 @@
             JsonNode root = parse(body, QUERY_FIELDS);
             return Either.right(new CallerQuery(
                     requestId(root), service, text(root, "class"), deadline(root), serialize(root, "query")));
-        } catch (BodyFault fault) {
-            return Either.left(Refusal.of(RefusalKind.BAD_REQUEST, fault.reason()));
+        } catch (InvalidBodyException invalid) {
+            return Either.left(Refusal.of(RefusalKind.BAD_REQUEST, invalid.reason()));
         }
     }
 
@@ -62,76 +62,76 @@
             long issuedAtMillis = root.has("issuedAtMs") ? integer(root, "issuedAtMs", Long.MAX_VALUE) : 0;
             return Either.right(new CallerOperation(
                     requestId(root), service, operation, deadline(root), issuedAtMillis, serialize(root, "arguments")));
-        } catch (BodyFault fault) {
-            return Either.left(Refusal.of(RefusalKind.BAD_REQUEST, fault.reason()));
+        } catch (InvalidBodyException invalid) {
+            return Either.left(Refusal.of(RefusalKind.BAD_REQUEST, invalid.reason()));
         }
     }
 
-    private static JsonNode parse(byte[] body, ImmutableSet<String> allowed) throws BodyFault {
+    private static JsonNode parse(byte[] body, ImmutableSet<String> allowed) throws InvalidBodyException {
         JsonNode root;
         try {
             root = MAPPER.readTree(body);
         } catch (JsonProcessingException malformed) {
-            throw new BodyFault("the body is not valid JSON within " + MAX_DEPTH + " levels: "
+            throw new InvalidBodyException("the body is not valid JSON within " + MAX_DEPTH + " levels: "
                     + firstLine(malformed.getOriginalMessage()) + "; correct it");
         } catch (IOException malformed) {
-            throw new BodyFault("the body cannot be read as JSON in UTF-8; correct it");
+            throw new InvalidBodyException("the body cannot be read as JSON in UTF-8; correct it");
         }
         if (root == null || !root.isObject()) {
-            throw new BodyFault("the body is not a JSON object; send one with the fields " + allowed);
+            throw new InvalidBodyException("the body is not a JSON object; send one with the fields " + allowed);
         }
         Iterator<String> names = root.fieldNames();
         while (names.hasNext()) {
             String name = names.next();
             if (!allowed.contains(name)) {
-                throw new BodyFault("the field " + abbreviate(name) + " is unknown; use only " + allowed);
+                throw new InvalidBodyException("the field " + abbreviate(name) + " is unknown; use only " + allowed);
             }
         }
         return root;
     }
 
-    private static RequestId requestId(JsonNode root) throws BodyFault {
+    private static RequestId requestId(JsonNode root) throws InvalidBodyException {
         String value = text(root, "requestId");
         if (!RequestId.isValid(value)) {
-            throw new BodyFault("requestId is malformed; use 1 to 128 letters, digits and . _ : -");
+            throw new InvalidBodyException("requestId is malformed; use 1 to 128 letters, digits and . _ : -");
         }
         return new RequestId(value);
     }
 
-    private static String text(JsonNode root, String field) throws BodyFault {
+    private static String text(JsonNode root, String field) throws InvalidBodyException {
         JsonNode value = root.get(field);
         if (value == null || !value.isTextual() || value.textValue().isBlank()) {
-            throw new BodyFault("the field " + field + " is missing or not a text; add it");
+            throw new InvalidBodyException("the field " + field + " is missing or not a text; add it");
         }
         return value.textValue();
     }
 
-    private static Optional<Duration> deadline(JsonNode root) throws BodyFault {
+    private static Optional<Duration> deadline(JsonNode root) throws InvalidBodyException {
         return root.has("deadlineMs")
                 ? Optional.of(Duration.ofMillis(integer(root, "deadlineMs", MAX_DEADLINE_MILLIS)))
                 : Optional.empty();
     }
 
-    private static long integer(JsonNode root, String field, long most) throws BodyFault {
+    private static long integer(JsonNode root, String field, long max) throws InvalidBodyException {
         JsonNode value = root.get(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-            throw new BodyFault("the field " + field + " is not a whole number; correct it");
+            throw new InvalidBodyException("the field " + field + " is not a whole number; correct it");
         }
-        if (value.longValue() < 1 || value.longValue() > most) {
-            throw new BodyFault("the field " + field + " is out of bounds; choose from 1 to " + most);
+        if (value.longValue() < 1 || value.longValue() > max) {
+            throw new InvalidBodyException("the field " + field + " is out of bounds; choose from 1 to " + max);
         }
         return value.longValue();
     }
 
-    private static ByteString serialize(JsonNode root, String field) throws BodyFault {
+    private static ByteString serialize(JsonNode root, String field) throws InvalidBodyException {
         JsonNode value = root.get(field);
         if (value == null) {
-            throw new BodyFault("the field " + field + " is missing; add it, or give it the value null");
+            throw new InvalidBodyException("the field " + field + " is missing; add it, or give it the value null");
         }
         try {
             return ByteString.copyFrom(MAPPER.writeValueAsBytes(value));
         } catch (JsonProcessingException impossible) {
-            throw new BodyFault("the field " + field + " cannot be handed on; correct it");
+            throw new InvalidBodyException("the field " + field + " cannot be handed on; correct it");
         }
     }
 
@@ -145,12 +145,12 @@
     }
 
     /** Ends the reading of a body; carries the reason and the remedy. */
-    private static final class BodyFault extends Exception {
+    private static final class InvalidBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
         private final String reason;
 
-        BodyFault(String reason) {
+        InvalidBodyException(String reason) {
             super(reason, null, false, false);
             this.reason = reason;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
@@ -42,9 +42,9 @@
     private static final int STATUS_UNAVAILABLE = 503;
     private static final int STATUS_TOO_LARGE = 413;
     private static final int STATUS_NOT_FOUND = 404;
-    private static final int STATUS_NOT_ALLOWED = 405;
+    private static final int STATUS_METHOD_NOT_ALLOWED = 405;
     private static final String JSON = "application/json";
-    private static final Duration CLAIM_GRACE = Duration.ofSeconds(2);
+    private static final Duration OVERDUE_GRACE = Duration.ofSeconds(2);
 
     private final Vertx vertx;
     private final HostAndPort address;
@@ -109,74 +109,74 @@
         BodyHandler body = BodyHandler.create(false).setBodyLimit(MAX_QUERY_BYTES);
         BodyHandler largeBody = BodyHandler.create(false).setBodyLimit(MAX_DECLARATION_BYTES);
         router.get("/health/live").handler(context -> send(context, STATUS_OK, "{\"live\":true}"));
-        router.get("/health/ready").handler(this::readiness);
-        router.get("/metrics").handler(this::metricsText);
-        router.post("/v1/query/:partner/:service").handler(body).handler(this::query);
-        router.post("/v1/operation/:partner/:service/:operation").handler(body).handler(this::operation);
-        router.get("/v1/operation/:partner/:service/:requestId").handler(this::lookUp);
+        router.get("/health/ready").handler(this::sendReadiness);
+        router.get("/metrics").handler(this::sendMetrics);
+        router.post("/v1/query/:partner/:service").handler(body).handler(this::handleQuery);
+        router.post("/v1/operation/:partner/:service/:operation").handler(body).handler(this::handleOperation);
+        router.get("/v1/operation/:partner/:service/:requestId").handler(this::handleLookUp);
         router.get("/v1/status").handler(operators::status);
         router.get("/v1/history").handler(operators::history);
         router.get("/v1/declaration/:partner").handler(operators::declaration);
         router.put("/v1/declaration/:partner").handler(largeBody).handler(operators::apply);
-        router.errorHandler(STATUS_NOT_FOUND, this::unknownPath);
-        router.errorHandler(STATUS_NOT_ALLOWED, this::unknownPath);
-        router.errorHandler(STATUS_TOO_LARGE, this::tooLarge);
-        router.route().failureHandler(this::failed);
+        router.errorHandler(STATUS_NOT_FOUND, this::refuseUnknownPath);
+        router.errorHandler(STATUS_METHOD_NOT_ALLOWED, this::refuseUnknownPath);
+        router.errorHandler(STATUS_TOO_LARGE, this::refuseTooLarge);
+        router.route().failureHandler(this::handleFailure);
         return router;
     }
 
-    private void query(RoutingContext context) {
-        if (refusedBecauseStopping(context)) {
+    private void handleQuery(RoutingContext context) {
+        if (refuseIfStopping(context)) {
             return;
         }
-        Optional<ServiceName> service = service(context);
+        Optional<ServiceName> service = parseService(context);
         if (service.isEmpty()) {
             return;
         }
-        Either<Refusal, CallerQuery> asked = CallerBodies.readQuery(service.get(), bytes(context));
-        if (asked.isLeft()) {
-            refuse(context, asked.getLeft());
+        Either<Refusal, CallerQuery> query = CallerBodies.readQuery(service.get(), bodyBytes(context));
+        if (query.isLeft()) {
+            refuse(context, query.getLeft());
             return;
         }
-        QueryRunner.Handle handle = queries.run(asked.get(), result -> answer(context, asked.get(), result));
-        context.request().connection().closeHandler(handle::callerGone);
+        QueryRunner.Handle handle = queries.run(query.get(), result -> sendResult(context, query.get(), result));
+        context.request().connection().closeHandler(handle::onCallerGone);
     }
 
-    private void answer(RoutingContext context, CallerQuery asked, QueryResult result) {
+    private void sendResult(RoutingContext context, CallerQuery query, QueryResult result) {
         if (result instanceof QueryResult.Answered answered) {
-            send(context, STATUS_OK, AnswerWriter.answer(asked, answered.answer()));
+            send(context, STATUS_OK, AnswerWriter.answer(query, answered.answer()));
         } else if (result instanceof QueryResult.Refused refused) {
             sendRefusal(
-                    context, refused.refusal(), Optional.of(asked.requestId().value()));
+                    context, refused.refusal(), Optional.of(query.requestId().value()));
         }
     }
 
-    private void operation(RoutingContext context) {
-        if (refusedBecauseStopping(context)) {
+    private void handleOperation(RoutingContext context) {
+        if (refuseIfStopping(context)) {
             return;
         }
-        Optional<ServiceName> service = service(context);
+        Optional<ServiceName> service = parseService(context);
         if (service.isEmpty()) {
             return;
         }
-        Either<Refusal, CallerOperation> asked =
-                CallerBodies.readOperation(service.get(), context.pathParam("operation"), bytes(context));
-        if (asked.isLeft()) {
-            refuse(context, asked.getLeft());
+        Either<Refusal, CallerOperation> operation =
+                CallerBodies.readOperation(service.get(), context.pathParam("operation"), bodyBytes(context));
+        if (operation.isLeft()) {
+            refuse(context, operation.getLeft());
             return;
         }
-        operations.run(asked.get(), result -> {
-            Optional<String> requestId = Optional.of(asked.get().requestId().value());
+        operations.run(operation.get(), result -> {
+            Optional<String> requestId = Optional.of(operation.get().requestId().value());
             if (result instanceof QueryResult.Ran ran) {
-                send(context, STATUS_OK, AnswerWriter.ran(asked.get(), ran.answer(), ran.replayed()));
+                send(context, STATUS_OK, AnswerWriter.ran(operation.get(), ran.answer(), ran.replayed()));
             } else if (result instanceof QueryResult.Refused refused) {
                 sendRefusal(context, refused.refusal(), requestId);
             }
         });
     }
 
-    private void lookUp(RoutingContext context) {
-        Optional<ServiceName> service = service(context);
+    private void handleLookUp(RoutingContext context) {
+        Optional<ServiceName> service = parseService(context);
         String requestId = context.pathParam("requestId");
         if (service.isEmpty()) {
             return;
@@ -209,7 +209,7 @@
 
     /** A claim whose attempt should have ended long ago has an unknown outcome until evidence comes. */
     private String outcomeOf(Claim claim) {
-        long endedMillis = claim.getAtMillis() + claim.getDeadlineMillis() + CLAIM_GRACE.toMillis();
+        long endedMillis = claim.getAtMillis() + claim.getDeadlineMillis() + OVERDUE_GRACE.toMillis();
         boolean overdue = claim.getKind() == OutcomeKind.IN_PROGRESS && wallClock.millis() > endedMillis;
         return switch (claim.getKind()) {
             case RAN -> "ran";
@@ -219,17 +219,17 @@
         };
     }
 
-    private void readiness(RoutingContext context) {
-        boolean takesWork = ready.get() && stopping.get() == StoppingState.RUNNING;
-        send(context, takesWork ? STATUS_OK : STATUS_UNAVAILABLE, "{\"ready\":" + takesWork + "}");
+    private void sendReadiness(RoutingContext context) {
+        boolean takesRequests = ready.get() && stopping.get() == StoppingState.RUNNING;
+        send(context, takesRequests ? STATUS_OK : STATUS_UNAVAILABLE, "{\"ready\":" + takesRequests + "}");
     }
 
-    private void metricsText(RoutingContext context) {
+    private void sendMetrics(RoutingContext context) {
         context.response().putHeader("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
         context.response().endAndForget(metrics.toText());
     }
 
-    private boolean refusedBecauseStopping(RoutingContext context) {
+    private boolean refuseIfStopping(RoutingContext context) {
         if (stopping.get() == StoppingState.FINISHING) {
             refuse(context, Refusal.of(RefusalKind.STOPPING, "this host is stopping; send the request to another"));
             return true;
@@ -237,7 +237,7 @@
         return false;
     }
 
-    private Optional<ServiceName> service(RoutingContext context) {
+    private Optional<ServiceName> parseService(RoutingContext context) {
         try {
             return Optional.of(new ServiceName(context.pathParam("partner"), context.pathParam("service")));
         } catch (IllegalArgumentException malformed) {
@@ -246,21 +246,21 @@
         }
     }
 
-    private void unknownPath(RoutingContext context) {
+    private void refuseUnknownPath(RoutingContext context) {
         refuse(
                 context,
                 Refusal.of(RefusalKind.UNKNOWN_PATH, "there is nothing at this path and method; see docs/API.md"));
     }
 
-    private void tooLarge(RoutingContext context) {
+    private void refuseTooLarge(RoutingContext context) {
         refuse(
                 context,
                 Refusal.of(RefusalKind.TOO_LARGE, "the body is larger than " + MAX_QUERY_BYTES + " bytes; send less"));
     }
 
-    private void failed(RoutingContext context) {
+    private void handleFailure(RoutingContext context) {
         if (context.statusCode() == STATUS_TOO_LARGE) {
-            tooLarge(context);
+            refuseTooLarge(context);
         } else if (context.failure() != null) {
             LOGGER.log(Logger.Level.ERROR, "a request failed; this is a fault of the program", context.failure());
             refuse(context, Refusal.of(RefusalKind.INTERNAL, "the host failed; please report it"));
@@ -282,11 +282,11 @@
             RoutingContext context,
             Refusal refusal,
             Optional<String> requestId,
-            ImmutableList<ValidationError> faults) {
+            ImmutableList<ValidationError> errors) {
         refusal.retryAfter()
                 .ifPresent(after ->
                         context.response().putHeader("Retry-After", Long.toString(Math.max(1, after.toSeconds()))));
-        send(context, refusal.kind().httpStatus(), AnswerWriter.refusal(refusal, requestId, faults));
+        send(context, refusal.kind().httpStatus(), AnswerWriter.refusal(refusal, requestId, errors));
     }
 
     static void send(RoutingContext context, int status, byte[] json) {
@@ -302,7 +302,7 @@
         send(context, status, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static byte[] bytes(RoutingContext context) {
+    private static byte[] bodyBytes(RoutingContext context) {
         Buffer body = context.body().buffer();
         return body == null ? new byte[0] : body.getBytes();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
@@ -31,7 +31,7 @@
  * call twice from here. Every call is completed exactly once, on a worker. Safe for use by many threads.
  */
 public final class LeafRouter {
-    private static final Duration GRACE = Duration.ofMillis(40);
+    private static final Duration REPLY_GRACE = Duration.ofMillis(40);
 
     private final String self;
     private final ServiceDirectory directory;
@@ -67,8 +67,8 @@
             workers.run(() -> done.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE)));
             return;
         }
-        ImmutableList<String> order = HolderOrder.of(assignment.get(), this::stateOf);
-        sendThrough(order, 0, request, done);
+        ImmutableList<String> holderOrder = HolderOrder.of(assignment.get(), this::stateOf);
+        sendThrough(holderOrder, 0, request, done);
     }
 
     /** Cancels a call wherever it is. */
@@ -91,37 +91,37 @@
     }
 
     private void sendThrough(
-            ImmutableList<String> order, int position, LeafRequest request, Consumer<LeafOutcome> done) {
-        if (position >= order.size()) {
+            ImmutableList<String> holderOrder, int position, LeafRequest request, Consumer<LeafOutcome> done) {
+        if (position >= holderOrder.size()) {
             finish(request, new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE), done);
             return;
         }
-        String holder = order.get(position);
+        String holder = holderOrder.get(position);
         holderOfCall.put(request.callId(), holder);
-        Consumer<LeafOutcome> next = outcome -> {
-            if (wasNotTaken(outcome)) {
-                sendThrough(order, position + 1, request, done);
+        Consumer<LeafOutcome> onOutcome = outcome -> {
+            if (wasNotAccepted(outcome)) {
+                sendThrough(holderOrder, position + 1, request, done);
             } else {
                 finish(request, outcome, done);
             }
         };
         if (holder.equals(self)) {
-            holders.submit(request, next);
+            holders.submit(request, onOutcome);
         } else {
-            sendToPeer(holder, request, next);
+            sendToPeer(holder, request, onOutcome);
         }
     }
 
-    private void sendToPeer(String holder, LeafRequest request, Consumer<LeafOutcome> next) {
+    private void sendToPeer(String holder, LeafRequest request, Consumer<LeafOutcome> onOutcome) {
         long nowNanos = clock.nowNanos();
         Duration timeout = Duration.ofNanos(Math.max(1, request.deadlineNanos() - nowNanos))
-                .plus(GRACE);
+                .plus(REPLY_GRACE);
         network.request(holder, Envelope.newBuilder().setLeafCall(LeafCodec.toMessage(request, nowNanos)), timeout)
                 .map(reply -> LeafCodec.toOutcome(reply.getLeafResult()))
                 .onFailure()
-                .recoverWithItem(failure -> new LeafOutcome.Failed(classify(failure)))
+                .recoverWithItem(failure -> new LeafOutcome.Failed(toLeafFailure(failure)))
                 .subscribe()
-                .with(outcome -> workers.run(() -> next.accept(outcome)));
+                .with(outcome -> workers.run(() -> onOutcome.accept(outcome)));
     }
 
     private void finish(LeafRequest request, LeafOutcome outcome, Consumer<LeafOutcome> done) {
@@ -133,13 +133,13 @@
         return host.equals(self) ? HostState.LIVE : membership.state(host, clock.nowNanos());
     }
 
-    private static boolean wasNotTaken(LeafOutcome outcome) {
+    private static boolean wasNotAccepted(LeafOutcome outcome) {
         return outcome instanceof LeafOutcome.Failed failed
                 && (failed.failure() == LeafFailure.HOLDER_UNREACHABLE
                         || failed.failure() == LeafFailure.HOLDER_NOT_READY);
     }
 
-    private static LeafFailure classify(Throwable failure) {
+    private static LeafFailure toLeafFailure(Throwable failure) {
         boolean notSent = failure instanceof PeerFailure peerFailure && peerFailure.kind() == PeerFailure.Kind.NOT_SENT;
         return notSent ? LeafFailure.HOLDER_UNREACHABLE : LeafFailure.HOLDER_LOST;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
@@ -35,9 +35,9 @@
  */
 public final class OnceOnlyRunner {
     /** The longest answer that is kept for resends, in bytes. */
-    public static final int LONGEST_KEPT_ANSWER_BYTES = 64 * 1024;
+    public static final int MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
-    private static final Duration LOOK_UP = Duration.ofSeconds(2);
+    private static final Duration LOOK_UP_TIMEOUT = Duration.ofSeconds(2);
 
     private final ServiceDirectory directory;
     private final LeafRouter router;
@@ -79,20 +79,20 @@
      *
      * @param done gets the result, once
      */
-    public void run(CallerOperation asked, Consumer<QueryResult> done) {
-        Optional<ServiceView> view = directory.find(asked.service());
-        Operation operation = view.map(known -> known.service().operations().get(asked.operation()))
+    public void run(CallerOperation request, Consumer<QueryResult> done) {
+        Optional<ServiceView> view = directory.find(request.service());
+        Operation operation = view.map(known -> known.service().operations().get(request.operation()))
                 .orElse(null);
         if (view.isEmpty()) {
-            refuse(done, RefusalKind.UNKNOWN_SERVICE, "the service " + asked.service() + " is not declared");
+            refuse(done, RefusalKind.UNKNOWN_SERVICE, "the service " + request.service() + " is not declared");
         } else if (operation == null) {
             refuse(
                     done,
                     RefusalKind.UNKNOWN_OPERATION,
-                    "the service has no operation " + asked.operation() + "; use one of "
+                    "the service has no operation " + request.operation() + "; use one of "
                             + view.get().service().operations().keySet());
         } else {
-            begin(asked, operation, view.get(), done);
+            start(request, operation, view.get(), done);
         }
     }
 
@@ -103,7 +103,7 @@
                 .setService(service)
                 .setRequestId(requestId)
                 .build();
-        control.read(read, LOOK_UP)
+        control.read(read, LOOK_UP_TIMEOUT)
                 .subscribe()
                 .with(
                         result -> workers.run(
@@ -113,11 +113,13 @@
 
     /** Returns how many requests are in flight or have an outcome to be recorded. */
     public int inFlight() {
-        return inFlight.get() + recorder.unrecorded();
+        return inFlight.get() + recorder.pendingCount();
     }
 
-    private void begin(CallerOperation asked, Operation operation, ServiceView view, Consumer<QueryResult> done) {
-        Duration time = asked.deadline()
+    private void start(
+            CallerOperation callerOperation, Operation operation, ServiceView view, Consumer<QueryResult> done) {
+        Duration timeout = callerOperation
+                .deadline()
                 .filter(deadline -> deadline.compareTo(operation.deadline()) < 0)
                 .orElse(operation.deadline());
         String attempt = ids.next();
@@ -125,7 +127,7 @@
         ImmutableList<UpstreamName> pool =
                 view.service().upstreams().stream().map(Upstream::name).collect(ImmutableList.toImmutableList());
         OnceOnlyRequest request =
-                new OnceOnlyRequest(attempt, pool, view.tables(), random, nowNanos, nowNanos + time.toNanos());
+                new OnceOnlyRequest(attempt, pool, view.tables(), random, nowNanos, nowNanos + timeout.toNanos());
         inFlight.incrementAndGet();
         Consumer<QueryResult> release = result -> {
             inFlight.decrementAndGet();
@@ -135,53 +137,59 @@
             done.accept(result);
         };
         RunningOperation running = new RunningOperation(
-                request, asked, operation, attempt, router, recorder, workers, clock, metrics, release);
-        running.start(claimed -> claim(asked, operation, attempt, time, claimed));
+                request, callerOperation, operation, attempt, router, recorder, workers, clock, metrics, release);
+        running.start(claimed -> claim(callerOperation, operation, attempt, timeout, claimed));
     }
 
     private void claim(
-            CallerOperation asked, Operation operation, String attempt, Duration time, Consumer<ClaimResult> decided) {
-        ByteString identity = ByteString.copyFromUtf8(asked.operation() + "\n").concat(asked.body());
+            CallerOperation callerOperation,
+            Operation operation,
+            String attempt,
+            Duration timeout,
+            Consumer<ClaimResult> decided) {
+        ByteString identity =
+                ByteString.copyFromUtf8(callerOperation.operation() + "\n").concat(callerOperation.body());
         Command command = Command.newBuilder()
                 .setClaim(ClaimRequest.newBuilder()
-                        .setService(asked.service().toString())
-                        .setRequestId(asked.requestId().value())
+                        .setService(callerOperation.service().toString())
+                        .setRequestId(callerOperation.requestId().value())
                         .setAttempt(attempt)
                         .setAtMillis(wallClock.millis())
                         .setBodyDigest(Digests.of(identity))
                         .setRetentionMillis(operation.retention().toMillis())
-                        .setIssuedAtMillis(asked.issuedAtMillis())
-                        .setDeadlineMillis(time.toMillis()))
+                        .setIssuedAtMillis(callerOperation.issuedAtMillis())
+                        .setDeadlineMillis(timeout.toMillis()))
                 .build();
-        control.propose(command, time)
+        control.propose(command, timeout)
                 .subscribe()
                 .with(
-                        result -> workers.run(() -> decided.accept(toVerdict(result))),
+                        result -> workers.run(() -> decided.accept(toClaimResult(result))),
                         failure -> workers.run(
                                 () -> decided.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
     }
 
-    private static ClaimResult toVerdict(ProposalResult result) {
+    private static ClaimResult toClaimResult(ProposalResult result) {
         if (!(result instanceof ProposalResult.Applied applied)) {
-            String reason = result instanceof ProposalResult.NotTaken notTaken ? notTaken.reason() : "no decision";
+            String reason = result instanceof ProposalResult.Rejected rejected ? rejected.reason() : "no decision";
             return new ClaimResult.NoQuorum(reason);
         }
-        CommandResult agreed = applied.result();
-        return switch (agreed.getKind()) {
+        CommandResult commandResult = applied.result();
+        return switch (commandResult.getKind()) {
             case CLAIMED -> new ClaimResult.Granted();
             case MISMATCH -> new ClaimResult.Mismatch();
             case EXPIRED -> new ClaimResult.Expired();
-            case ALREADY -> toVerdict(agreed);
+            case ALREADY -> toClaimResult(commandResult);
             case INVALID -> new ClaimResult.NoQuorum("its issue time lies in the future; correct the caller's clock");
             case NO_ROOM -> new ClaimResult.NoQuorum("too many old requests are remembered; state issuedAtMs");
             default -> new ClaimResult.NoQuorum("the claim was not granted");
         };
     }
 
-    private static ClaimResult toVerdict(CommandResult agreed) {
-        return switch (agreed.getClaim().getKind()) {
-            case RAN -> new ClaimResult.AlreadyRan(agreed.getClaim().getAnswer());
-            case UNKNOWN -> new ClaimResult.OutcomeUnknown(agreed.getClaim().getReason());
+    private static ClaimResult toClaimResult(CommandResult commandResult) {
+        return switch (commandResult.getClaim().getKind()) {
+            case RAN -> new ClaimResult.AlreadyRan(commandResult.getClaim().getAnswer());
+            case UNKNOWN ->
+                new ClaimResult.OutcomeUnknown(commandResult.getClaim().getReason());
             case IN_PROGRESS -> new ClaimResult.HeldByAnother();
             default -> new ClaimResult.NoQuorum("this attempt was given back");
         };
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
@@ -48,8 +48,8 @@
     /** The revision of the partner's declaration that the change replaces; 0 if there is none. */
     public static final String EXPECTED_REVISION_HEADER = "X-Expected-Revision";
 
-    private static final Duration APPLY = Duration.ofSeconds(10);
-    private static final Duration READ = Duration.ofSeconds(2);
+    private static final Duration APPLY_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
     private static final String BEARER = "Bearer ";
     private static final int STATUS_OK = 200;
 
@@ -58,7 +58,7 @@
     private final ControlClient control;
     private final InstantSource wallClock;
     private final HostMetrics metrics;
-    private final Supplier<Duration> unconfirmed;
+    private final Supplier<Duration> sinceConfirmed;
     private final Supplier<StoppingState> stopping;
 
     /** Creates the interface. */
@@ -68,14 +68,14 @@
             ControlClient control,
             InstantSource wallClock,
             HostMetrics metrics,
-            Supplier<Duration> unconfirmed,
+            Supplier<Duration> sinceConfirmed,
             Supplier<StoppingState> stopping) {
         this.settings = settings;
         this.directory = directory;
         this.control = control;
         this.wallClock = wallClock;
         this.metrics = metrics;
-        this.unconfirmed = unconfirmed;
+        this.sinceConfirmed = sinceConfirmed;
         this.stopping = stopping;
     }
 
@@ -104,12 +104,12 @@
                             "the header " + EXPECTED_REVISION_HEADER
                                     + " is missing or no revision; give the present one"));
         } else {
-            applyChecked(context, partner, changeId, expected);
+            applyAuthorized(context, partner, changeId, expected);
         }
     }
 
     void status(RoutingContext context) {
-        control.read(ControlRead.newBuilder().setKind(ControlRead.Kind.STATUS).build(), READ)
+        control.read(ControlRead.newBuilder().setKind(ControlRead.Kind.STATUS).build(), READ_TIMEOUT)
                 .subscribe()
                 .with(
                         fleet -> EntryServer.send(context, STATUS_OK, statusJson(fleet)),
@@ -150,24 +150,24 @@
         });
     }
 
-    private void applyChecked(RoutingContext context, String partner, String changeId, long expected) {
+    private void applyAuthorized(RoutingContext context, String partner, String changeId, long expected) {
         Buffer body = context.body().buffer();
         String text = body == null ? "" : body.toString(StandardCharsets.UTF_8);
         Either<ImmutableList<ValidationError>, Declaration> read = DeclarationReader.read(text);
-        ImmutableList<ValidationError> faults = read.isLeft() ? read.getLeft() : ImmutableList.of();
+        ImmutableList<ValidationError> errors = read.isLeft() ? read.getLeft() : ImmutableList.of();
         if (read.isRight() && !read.get().partner().equals(partner)) {
-            faults = ImmutableList.of(new ValidationError(
+            errors = ImmutableList.of(new ValidationError(
                     1,
                     "partner",
                     "the file is of " + read.get().partner() + " and was sent for " + partner,
                     "apply it as its own partner"));
         }
-        if (!faults.isEmpty()) {
+        if (!errors.isEmpty()) {
             Refusal refusal = Refusal.of(
                     RefusalKind.INVALID_DECLARATION,
-                    "the declaration has " + faults.size() + " faults and nothing of it was applied; mend them all");
+                    "the declaration has " + errors.size() + " faults and nothing of it was applied; mend them all");
             metrics.count(refusal.kind());
-            EntryServer.sendRefusal(context, refusal, Optional.empty(), faults);
+            EntryServer.sendRefusal(context, refusal, Optional.empty(), errors);
             return;
         }
         Command command = Command.newBuilder()
@@ -178,23 +178,23 @@
                         .setText(text)
                         .setAtMillis(wallClock.millis()))
                 .build();
-        control.propose(command, APPLY)
+        control.propose(command, APPLY_TIMEOUT)
                 .subscribe()
                 .with(
-                        result -> answerApply(context, partner, result),
-                        failure -> answerApply(
+                        result -> sendApplyResult(context, partner, result),
+                        failure -> sendApplyResult(
                                 context, partner, new ProposalResult.Undecided(String.valueOf(failure.getMessage()))));
     }
 
-    private void answerApply(RoutingContext context, String partner, ProposalResult result) {
-        if (result instanceof ProposalResult.NotTaken notTaken) {
+    private void sendApplyResult(RoutingContext context, String partner, ProposalResult result) {
+        if (result instanceof ProposalResult.Rejected rejected) {
             refuse(
                     context,
                     Refusal.of(
                             RefusalKind.NO_QUORUM,
-                            "the change was not accepted (" + notTaken.reason() + "); send it again"));
+                            "the change was not accepted (" + rejected.reason() + "); send it again"));
         } else if (result instanceof ProposalResult.Applied applied) {
-            answerAgreed(context, partner, applied.result());
+            sendCommandResult(context, partner, applied.result());
         } else {
             refuse(
                     context,
@@ -205,7 +205,7 @@
         }
     }
 
-    private void answerAgreed(RoutingContext context, String partner, CommandResult result) {
+    private void sendCommandResult(RoutingContext context, String partner, CommandResult result) {
         switch (result.getKind()) {
             case ACCEPTED ->
                 EntryServer.send(context, STATUS_OK, AnswerWriter.write(json -> {
@@ -232,21 +232,21 @@
         }
     }
 
-    private void readCurrent(RoutingContext context, ControlRead.Kind kind, Writer writer) {
-        control.read(ControlRead.newBuilder().setKind(kind).build(), READ)
+    private void readCurrent(RoutingContext context, ControlRead.Kind kind, ResultWriter writer) {
+        control.read(ControlRead.newBuilder().setKind(kind).build(), READ_TIMEOUT)
                 .subscribe()
                 .with(
                         result -> {
                             if (result.getCurrent()) {
                                 EntryServer.send(context, STATUS_OK, writer.write(result));
                             } else {
-                                unavailable(context);
+                                refuseUnavailable(context);
                             }
                         },
-                        failure -> unavailable(context));
+                        failure -> refuseUnavailable(context));
     }
 
-    private void unavailable(RoutingContext context) {
+    private void refuseUnavailable(RoutingContext context) {
         refuse(
                 context,
                 Refusal.of(RefusalKind.READ_UNAVAILABLE, "no quorum of control hosts answered; ask again later"));
@@ -258,7 +258,7 @@
             json.writeStringField("zone", settings.zone());
             json.writeStringField("state", stopping.get().name().toLowerCase(Locale.ROOT));
             json.writeNumberField("revision", directory.configuration().revision());
-            json.writeNumberField("unconfirmedMs", unconfirmed.get().toMillis());
+            json.writeNumberField("unconfirmedMs", sinceConfirmed.get().toMillis());
             json.writeBooleanField("quorum", fleet.getCurrent());
             json.writeStringField("leader", fleet.getLeader());
             if (fleet.getCurrent()) {
@@ -293,7 +293,7 @@
     private void writeHosts(JsonGenerator json, ControlReadResult fleet) throws IOException {
         json.writeArrayFieldStart("hosts");
         for (var entry : settings.hosts()) {
-            Optional<HostRevision> heard = fleet.getInForceList().stream()
+            Optional<HostRevision> inForce = fleet.getInForceList().stream()
                     .filter(host -> host.getHost().equals(entry.name()))
                     .findFirst();
             json.writeStartObject();
@@ -301,11 +301,11 @@
             json.writeStringField("zone", entry.zone());
             json.writeBooleanField("control", entry.control());
             json.writeNumberField(
-                    "revision", heard.map(HostRevision::getRevision).orElse(-1L));
+                    "revision", inForce.map(HostRevision::getRevision).orElse(-1L));
             json.writeNumberField(
-                    "heardMsAgo", heard.map(HostRevision::getHeardMillisAgo).orElse(-1L));
+                    "heardMsAgo", inForce.map(HostRevision::getHeardMillisAgo).orElse(-1L));
             json.writeBooleanField(
-                    "leaving", heard.map(HostRevision::getLeaving).orElse(false));
+                    "leaving", inForce.map(HostRevision::getLeaving).orElse(false));
             json.writeEndObject();
         }
         json.writeEndArray();
@@ -331,7 +331,7 @@
 
     /** Writes a result of a read. */
     @FunctionalInterface
-    private interface Writer {
+    private interface ResultWriter {
         byte[] write(ControlReadResult result);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
@@ -16,13 +16,13 @@
  * stays in progress and is then shown as unknown. Safe for use by many threads.
  */
 final class OutcomeRecorder {
-    private static final Duration TRY = Duration.ofSeconds(2);
-    private static final Duration AGAIN = Duration.ofMillis(300);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final ControlClient control;
     private final InstantSource wallClock;
     private final HostMetrics metrics;
-    private final AtomicInteger unrecorded = new AtomicInteger();
+    private final AtomicInteger pendingCount = new AtomicInteger();
 
     OutcomeRecorder(ControlClient control, InstantSource wallClock, HostMetrics metrics) {
         this.control = control;
@@ -32,7 +32,7 @@
 
     /** Has an outcome agreed and then runs the callback. */
     void record(RecordOutcome outcome, Runnable recorded) {
-        unrecorded.incrementAndGet();
+        pendingCount.incrementAndGet();
         attempt(
                 Command.newBuilder()
                         .setOutcome(outcome.toBuilder().setAtMillis(wallClock.millis()))
@@ -40,24 +40,24 @@
                 recorded);
     }
 
-    int unrecorded() {
-        return unrecorded.get();
+    int pendingCount() {
+        return pendingCount.get();
     }
 
     private void attempt(Command command, Runnable recorded) {
-        control.propose(command, TRY)
+        control.propose(command, ATTEMPT_TIMEOUT)
                 .onItem()
                 .transformToUni(result -> {
                     if (result instanceof ProposalResult.Applied) {
                         return Uni.createFrom().item(true);
                     }
-                    return Uni.createFrom().item(false).onItem().delayIt().by(AGAIN);
+                    return Uni.createFrom().item(false).onItem().delayIt().by(RETRY_DELAY);
                 })
                 .subscribe()
                 .with(
-                        agreed -> {
-                            if (agreed) {
-                                unrecorded.decrementAndGet();
+                        applied -> {
+                            if (applied) {
+                                pendingCount.decrementAndGet();
                                 recorded.run();
                             } else {
                                 metrics.count("once-only.record-again");
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
@@ -12,30 +12,30 @@
  * <p>Invariant: it ends once, be it by a result or because its caller went away. Safe for use by many threads.
  */
 final class QueryCall {
-    private final CallerQuery asked;
+    private final CallerQuery query;
     private final RequestClass requestClass;
     private final Admission.Ticket ticket;
-    private final long askedNanos;
+    private final long receivedNanos;
     private final Consumer<QueryResult> done;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile @Nullable RunningQuery running;
-    private volatile long begunNanos;
+    private volatile long admittedNanos;
 
     QueryCall(
-            CallerQuery asked,
+            CallerQuery query,
             RequestClass requestClass,
             Admission.Ticket ticket,
-            long askedNanos,
+            long receivedNanos,
             Consumer<QueryResult> done) {
-        this.asked = asked;
+        this.query = query;
         this.requestClass = requestClass;
         this.ticket = ticket;
-        this.askedNanos = askedNanos;
+        this.receivedNanos = receivedNanos;
         this.done = done;
     }
 
-    CallerQuery asked() {
-        return asked;
+    CallerQuery query() {
+        return query;
     }
 
     RequestClass requestClass() {
@@ -46,8 +46,8 @@
         return ticket;
     }
 
-    long askedNanos() {
-        return askedNanos;
+    long receivedNanos() {
+        return receivedNanos;
     }
 
     void deliver(QueryResult result) {
@@ -55,23 +55,23 @@
     }
 
     /** Returns true to the first who ends the query. */
-    boolean end() {
+    boolean tryEnd() {
         return ended.compareAndSet(false, true);
     }
 
-    void admitted(long nowNanos) {
-        begunNanos = nowNanos;
+    void onAdmitted(long nowNanos) {
+        admittedNanos = nowNanos;
     }
 
-    long begunNanos() {
-        return begunNanos;
+    long admittedNanos() {
+        return admittedNanos;
     }
 
-    void begun(RunningQuery query) {
+    void onStarted(RunningQuery query) {
         running = query;
     }
 
-    boolean isAdmitted() {
+    boolean isStarted() {
         return running != null;
     }
 
@@ -79,7 +79,7 @@
     void cancel() {
         RunningQuery query = running;
         if (query != null) {
-            query.callerGone();
+            query.onCallerGone();
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
@@ -29,8 +29,8 @@
  * query is run.
  */
 public final class QueryRunner {
-    private static final long LONGEST_SEAL_MARGIN_NANOS = Duration.ofMillis(3).toNanos();
-    private static final int SEAL_MARGIN_DIVISOR = 20;
+    private static final long MAX_FINALIZE_MARGIN_NANOS = Duration.ofMillis(3).toNanos();
+    private static final int FINALIZE_MARGIN_DIVISOR = 20;
 
     private final ServiceDirectory directory;
     private final LeafRouter router;
@@ -66,7 +66,7 @@
     /** A query that was handed in. */
     public interface Handle {
         /** Ends the query, because its caller went away. */
-        void callerGone();
+        void onCallerGone();
     }
 
     /**
@@ -74,31 +74,33 @@
      *
      * @param done gets the result, once
      */
-    public Handle run(CallerQuery asked, Consumer<QueryResult> done) {
-        Optional<ServiceView> view = directory.find(asked.service());
+    public Handle run(CallerQuery callerQuery, Consumer<QueryResult> done) {
+        Optional<ServiceView> view = directory.find(callerQuery.service());
         if (view.isEmpty()) {
-            refuse(done, Refusal.of(RefusalKind.UNKNOWN_SERVICE, unknownService(asked)));
+            refuse(done, Refusal.of(RefusalKind.UNKNOWN_SERVICE, unknownServiceMessage(callerQuery)));
             return () -> {};
         }
-        RequestClass requestClass = view.get().service().classes().get(asked.requestClass());
+        RequestClass requestClass = view.get().service().classes().get(callerQuery.requestClass());
         if (requestClass == null) {
-            String message = "the service has no class " + asked.requestClass() + "; use one of "
+            String message = "the service has no class " + callerQuery.requestClass() + "; use one of "
                     + view.get().service().classes().keySet();
             refuse(done, Refusal.of(RefusalKind.UNKNOWN_CLASS, message));
             return () -> {};
         }
-        Duration time = asked.deadline()
+        Duration timeout = callerQuery
+                .deadline()
                 .filter(deadline -> deadline.compareTo(requestClass.deadline()) < 0)
                 .orElse(requestClass.deadline());
         long nowNanos = clock.nowNanos();
-        long marginNanos = Math.min(LONGEST_SEAL_MARGIN_NANOS, time.toNanos() / SEAL_MARGIN_DIVISOR);
-        long sealNanos = nowNanos + time.toNanos() - marginNanos;
-        Admission.Ticket ticket = new Admission.Ticket(ids.next(), asked.service(), requestClass.priority(), sealNanos);
-        QueryCall call = new QueryCall(asked, requestClass, ticket, nowNanos, done);
+        long marginNanos = Math.min(MAX_FINALIZE_MARGIN_NANOS, timeout.toNanos() / FINALIZE_MARGIN_DIVISOR);
+        long finalizeNanos = nowNanos + timeout.toNanos() - marginNanos;
+        Admission.Ticket ticket =
+                new Admission.Ticket(ids.next(), callerQuery.service(), requestClass.priority(), finalizeNanos);
+        QueryCall call = new QueryCall(callerQuery, requestClass, ticket, nowNanos, done);
         calls.put(ticket.id(), call);
-        decide(() -> admission.offer(ticket, clock.nowNanos()));
-        workers.runAfter(sealNanos - nowNanos, () -> decide(() -> admission.expire(clock.nowNanos())));
-        return () -> workers.run(() -> callerGone(call));
+        updateAdmission(() -> admission.offer(ticket, clock.nowNanos()));
+        workers.runAfter(finalizeNanos - nowNanos, () -> updateAdmission(() -> admission.expire(clock.nowNanos())));
+        return () -> workers.run(() -> onCallerGone(call));
     }
 
     /** Returns how many queries wait or are in flight. */
@@ -111,7 +113,7 @@
         }
     }
 
-    private void decide(Supplier<List<Admission.Decision>> event) {
+    private void updateAdmission(Supplier<List<Admission.Decision>> event) {
         List<Admission.Decision> decisions;
         admissionLock.lock();
         try {
@@ -121,68 +123,68 @@
         }
         for (Admission.Decision decision : decisions) {
             if (decision instanceof Admission.Decision.Admit admit) {
-                begin(admit.ticket());
+                start(admit.ticket());
             } else if (decision instanceof Admission.Decision.Refuse refused) {
-                overloaded(refused);
+                refuseOverloaded(refused);
             }
         }
     }
 
-    private void begin(Admission.Ticket ticket) {
+    private void start(Admission.Ticket ticket) {
         QueryCall call = calls.remove(ticket.id());
         if (call == null) {
             release(ticket, 0);
             return;
         }
-        call.admitted(clock.nowNanos());
-        Optional<ServiceView> view = directory.find(call.asked().service());
+        call.onAdmitted(clock.nowNanos());
+        Optional<ServiceView> view = directory.find(call.query().service());
         Optional<ShardMap> pinned =
                 view.flatMap(known -> known.tables().versions().newest());
         if (view.isEmpty() || pinned.isEmpty()) {
-            String message = "no index version of " + call.asked().service() + " is known yet; send the query again";
+            String message = "no index version of " + call.query().service() + " is known yet; send the query again";
             end(call, new QueryResult.Refused(Refusal.of(RefusalKind.NOT_READY, message)));
             return;
         }
         QuerySpec spec = new QuerySpec(
-                ticket.id(), call.asked().service(), call.requestClass().preference(), ticket.deadlineNanos());
+                ticket.id(), call.query().service(), call.requestClass().preference(), ticket.deadlineNanos());
         Query query = new Query(spec, pinned.get(), view.get().tables(), random);
         RunningQuery running = new RunningQuery(
                 query,
-                call.asked(),
+                call.query(),
                 call.requestClass().priority(),
                 router,
                 workers,
                 clock,
                 metrics,
                 result -> end(call, result));
-        call.begun(running);
+        call.onStarted(running);
         running.start();
     }
 
     private void end(QueryCall call, QueryResult result) {
-        if (call.end()) {
-            long tookNanos = clock.nowNanos() - call.askedNanos();
+        if (call.tryEnd()) {
+            long tookNanos = clock.nowNanos() - call.receivedNanos();
             metrics.timer("query.time").update(tookNanos, TimeUnit.NANOSECONDS);
             deliver(call::deliver, result);
-            release(call.ticket(), clock.nowNanos() - call.begunNanos());
+            release(call.ticket(), clock.nowNanos() - call.admittedNanos());
         }
     }
 
-    private void callerGone(QueryCall call) {
+    private void onCallerGone(QueryCall call) {
         call.cancel();
-        if (call.isAdmitted() && call.end()) {
+        if (call.isStarted() && call.tryEnd()) {
             metrics.count("query.caller-gone");
-            release(call.ticket(), clock.nowNanos() - call.begunNanos());
+            release(call.ticket(), clock.nowNanos() - call.admittedNanos());
         }
     }
 
     private void release(Admission.Ticket ticket, long tookNanos) {
-        decide(() -> admission.onFinished(ticket, tookNanos, clock.nowNanos()));
+        updateAdmission(() -> admission.onFinished(ticket, tookNanos, clock.nowNanos()));
     }
 
-    private void overloaded(Admission.Decision.Refuse refused) {
+    private void refuseOverloaded(Admission.Decision.Refuse refused) {
         QueryCall call = calls.remove(refused.ticket().id());
-        if (call != null && call.end()) {
+        if (call != null && call.tryEnd()) {
             String message = "the host has no room for the query within its deadline; send it again later";
             refuse(call::deliver, Refusal.retryAfter(RefusalKind.OVERLOADED, message, refused.retryAfter()));
         }
@@ -199,8 +201,8 @@
         done.accept(result);
     }
 
-    private String unknownService(CallerQuery asked) {
-        return "the service " + asked.service() + " is not declared in revision "
+    private String unknownServiceMessage(CallerQuery query) {
+        return "the service " + query.service() + " is not declared in revision "
                 + directory.configuration().revision() + "; check its name or apply its declaration";
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -22,10 +22,10 @@
  * delivered exactly once, outside of the lock.
  */
 final class RunningOperation {
-    private static final int SHARD_OF_A_POOL = 0;
+    private static final int POOL_SHARD = 0;
 
     private final OnceOnlyRequest request;
-    private final CallerOperation asked;
+    private final CallerOperation callerOperation;
     private final Operation operation;
     private final String attempt;
     private final LeafRouter router;
@@ -38,7 +38,7 @@
 
     RunningOperation(
             OnceOnlyRequest request,
-            CallerOperation asked,
+            CallerOperation callerOperation,
             Operation operation,
             String attempt,
             LeafRouter router,
@@ -48,7 +48,7 @@
             HostMetrics metrics,
             Consumer<QueryResult> done) {
         this.request = request;
-        this.asked = asked;
+        this.callerOperation = callerOperation;
         this.operation = operation;
         this.attempt = attempt;
         this.router = router;
@@ -61,19 +61,19 @@
 
     /** How the claim is asked for. */
     @FunctionalInterface
-    interface Claiming {
+    interface Claimer {
         void claim(Consumer<ClaimResult> decided);
     }
 
-    void start(Claiming claiming) {
-        handle(nowNanos -> request.start(), claiming);
+    void start(Claimer claimer) {
+        handle(nowNanos -> request.start(), claimer);
     }
 
-    private void claimed(ClaimResult verdict) {
-        handle(nowNanos -> request.onClaimResult(verdict, nowNanos));
+    private void onClaimResult(ClaimResult result) {
+        handle(nowNanos -> request.onClaimResult(result, nowNanos));
     }
 
-    private void ended(LeafOutcome outcome) {
+    private void onOutcome(LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
             handle(nowNanos -> request.onReply(replied.reply(), nowNanos));
         } else if (outcome instanceof LeafOutcome.Failed failed) {
@@ -82,24 +82,24 @@
         }
     }
 
-    private void handle(Decision decision) {
-        handle(decision, decided -> {});
+    private void handle(Event event) {
+        handle(event, decided -> {});
     }
 
-    private void handle(Decision decision, Claiming claiming) {
+    private void handle(Event event, Claimer claimer) {
         lock.lock();
         try {
-            for (OnceOnlyAction action : decision.at(clock.nowNanos())) {
-                carryOut(action, claiming);
+            for (OnceOnlyAction action : event.handle(clock.nowNanos())) {
+                execute(action, claimer);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private void carryOut(OnceOnlyAction action, Claiming claiming) {
+    private void execute(OnceOnlyAction action, Claimer claimer) {
         if (action instanceof OnceOnlyAction.Claim) {
-            claiming.claim(this::claimed);
+            claimer.claim(this::onClaimResult);
         } else if (action instanceof OnceOnlyAction.Dispatch dispatch) {
             dispatch(dispatch);
         } else if (action instanceof OnceOnlyAction.CancelDispatch cancel) {
@@ -122,27 +122,27 @@
     private void dispatch(OnceOnlyAction.Dispatch dispatch) {
         LeafRequest call = new LeafRequest(
                 dispatch.callId(),
-                asked.requestId().value(),
+                callerOperation.requestId().value(),
                 dispatch.upstream(),
-                SHARD_OF_A_POOL,
+                POOL_SHARD,
                 0,
                 operation.priority(),
                 dispatch.deadlineNanos(),
                 operation.name(),
-                asked.body());
-        router.send(call, this::ended);
+                callerOperation.body());
+        router.send(call, this::onOutcome);
     }
 
     private void recordRan(ByteString answer) {
-        boolean fits = answer.size() <= OnceOnlyRunner.LONGEST_KEPT_ANSWER_BYTES;
+        boolean fits = answer.size() <= OnceOnlyRunner.MAX_STORED_ANSWER_BYTES;
         String reason = fits ? "" : "the answer of " + answer.size() + " bytes was too long to be kept";
         record(OutcomeKind.RAN, fits ? answer : ByteString.EMPTY, reason);
     }
 
     private void record(OutcomeKind kind, ByteString answer, String reason) {
         RecordOutcome outcome = RecordOutcome.newBuilder()
-                .setService(asked.service().toString())
-                .setRequestId(asked.requestId().value())
+                .setService(callerOperation.service().toString())
+                .setRequestId(callerOperation.requestId().value())
                 .setAttempt(attempt)
                 .setKind(kind)
                 .setAnswer(answer)
@@ -153,7 +153,7 @@
 
     /** One event of the request at a time. */
     @FunctionalInterface
-    private interface Decision {
-        List<OnceOnlyAction> at(long nowNanos);
+    private interface Event {
+        List<OnceOnlyAction> handle(long nowNanos);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
@@ -19,7 +19,7 @@
  */
 final class RunningQuery {
     private final Query query;
-    private final CallerQuery asked;
+    private final CallerQuery callerQuery;
     private final Priority priority;
     private final LeafRouter router;
     private final Workers workers;
@@ -30,7 +30,7 @@
 
     RunningQuery(
             Query query,
-            CallerQuery asked,
+            CallerQuery callerQuery,
             Priority priority,
             LeafRouter router,
             Workers workers,
@@ -38,7 +38,7 @@
             HostMetrics metrics,
             Consumer<QueryResult> done) {
         this.query = query;
-        this.asked = asked;
+        this.callerQuery = callerQuery;
         this.priority = priority;
         this.router = router;
         this.workers = workers;
@@ -51,7 +51,7 @@
         handle(query::start);
     }
 
-    void callerGone() {
+    void onCallerGone() {
         handle(query::onCallerGone);
     }
 
@@ -59,7 +59,7 @@
         handle(query::wake);
     }
 
-    private void ended(int attempt, LeafOutcome outcome) {
+    private void onOutcome(int attempt, LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
             handle(nowNanos -> query.onReply(attempt, replied.reply(), nowNanos));
         } else if (outcome instanceof LeafOutcome.Failed failed) {
@@ -68,18 +68,18 @@
         }
     }
 
-    private void handle(Decision decision) {
+    private void handle(Event event) {
         lock.lock();
         try {
-            for (QueryAction action : decision.at(clock.nowNanos())) {
-                carryOut(action);
+            for (QueryAction action : event.handle(clock.nowNanos())) {
+                execute(action);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private void carryOut(QueryAction action) {
+    private void execute(QueryAction action) {
         if (action instanceof QueryAction.SendLeaf send) {
             send(send);
         } else if (action instanceof QueryAction.CancelLeaf cancel) {
@@ -98,20 +98,20 @@
     private void send(QueryAction.SendLeaf send) {
         LeafRequest request = new LeafRequest(
                 send.callId(),
-                asked.requestId().value(),
+                callerQuery.requestId().value(),
                 send.upstream(),
                 send.shard(),
                 send.indexVersion(),
                 priority,
                 send.deadlineNanos(),
                 "",
-                asked.body());
-        router.send(request, outcome -> ended(send.attempt(), outcome));
+                callerQuery.body());
+        router.send(request, outcome -> onOutcome(send.attempt(), outcome));
     }
 
     /** One event of the query at a time. */
     @FunctionalInterface
-    private interface Decision {
-        List<QueryAction> at(long nowNanos);
+    private interface Event {
+        List<QueryAction> handle(long nowNanos);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
@@ -38,9 +38,9 @@
     public void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
             case RAFT -> node.receive(message.getRaft());
-            case HEARD_MEMBERS -> fleet.takeHeard(message.getHeardMembers(), clock.nowNanos());
-            case JOIN_REQUEST -> join(message.getJoinRequest());
-            case PROPOSE -> propose(message.getPropose().getCommand(), reply);
+            case HEARD_MEMBERS -> fleet.mergeContacts(message.getHeardMembers(), clock.nowNanos());
+            case JOIN_REQUEST -> handleJoin(message.getJoinRequest());
+            case PROPOSE -> handlePropose(message.getPropose().getCommand(), reply);
             case CONTROL_READ ->
                 node.read(message.getControlRead())
                         .subscribe()
@@ -80,9 +80,9 @@
     }
 
     /** Admits a host that wants to vote, or passes its wish on to the leader. */
-    private void join(JoinRequest request) {
+    private void handleJoin(JoinRequest request) {
         if (node.isLeader()) {
-            node.admit(request.getVoter());
+            node.addLearner(request.getVoter());
         } else {
             node.leader()
                     .ifPresent(
@@ -90,7 +90,7 @@
         }
     }
 
-    private void propose(ByteString bytes, Consumer<Envelope.Builder> reply) {
+    private void handlePropose(ByteString bytes, Consumer<Envelope.Builder> reply) {
         Command command;
         try {
             command = Command.parseFrom(bytes);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
@@ -34,9 +34,9 @@
  */
 public final class ControlProcess {
     private static final EventLog EVENTS = EventLog.of(ControlProcess.class);
-    private static final long SHARE_HEARD_MILLIS = 1_000;
-    private static final long JOIN_MILLIS = 300;
-    private static final long SUMMARY_MILLIS = 10_000;
+    private static final long REPORT_CONTACTS_INTERVAL_MILLIS = 1_000;
+    private static final long JOIN_RETRY_INTERVAL_MILLIS = 300;
+    private static final long LOG_COUNTERS_INTERVAL_MILLIS = 10_000;
 
     private final ControlSettings settings;
     private final MetricRegistry metrics;
@@ -70,14 +70,14 @@
         this.metrics = metrics;
         this.seeds = settings.seeds();
         this.incarnation = incarnation;
-        this.identity = VoterIdentity.loadOrStore(settings.dataFolder(), freshIdentity(settings, random));
-        PeerTraffic traffic = new PeerTraffic(metrics, this::isElsewhere);
+        this.identity = VoterIdentity.loadOrStore(settings.dataFolder(), newIdentity(settings, random));
+        PeerTraffic traffic = new PeerTraffic(metrics, this::isInOtherRegion);
         this.network = PeerNetwork.byAddress(identity.name(), group, LinkPolicy.OPEN, traffic);
         this.store = new FileLogStore(settings.dataFolder());
         this.node = new ControlNode(
                 identity.name(),
-                identity.firstVoters(),
-                settings.lossesBorne(),
+                identity.initialVoters(),
+                settings.tolerableFailures(),
                 RaftTimings.DEFAULT,
                 store,
                 network,
@@ -104,9 +104,22 @@
         node.start();
         group.next()
                 .scheduleWithFixedDelay(
-                        this::everySecond, SHARE_HEARD_MILLIS, SHARE_HEARD_MILLIS, TimeUnit.MILLISECONDS);
-        group.next().scheduleWithFixedDelay(this::joinIfAlone, JOIN_MILLIS, JOIN_MILLIS, TimeUnit.MILLISECONDS);
-        group.next().scheduleWithFixedDelay(this::logCounters, SUMMARY_MILLIS, SUMMARY_MILLIS, TimeUnit.MILLISECONDS);
+                        this::reportContactsOrEnd,
+                        REPORT_CONTACTS_INTERVAL_MILLIS,
+                        REPORT_CONTACTS_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        this::requestToJoinIfNeeded,
+                        JOIN_RETRY_INTERVAL_MILLIS,
+                        JOIN_RETRY_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        this::logCounters,
+                        LOG_COUNTERS_INTERVAL_MILLIS,
+                        LOG_COUNTERS_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
         EVENTS.info("started")
                 .with("host", settings.name())
                 .with("voter", identity.name())
@@ -114,7 +127,7 @@
     }
 
     /** The seeds of a first start are the first voters; every other host with an empty disk has to join them. */
-    private static VoterIdentity freshIdentity(ControlSettings settings, RandomGenerator random) {
+    private static VoterIdentity newIdentity(ControlSettings settings, RandomGenerator random) {
         String address = settings.peerAddress().toString();
         if (settings.firstStart() && settings.seeds().contains(address)) {
             return new VoterIdentity(address, settings.seeds());
@@ -123,8 +136,8 @@
     }
 
     /** Asks to be sent the log, and to vote in time, as long as no leader does so. */
-    private void joinIfAlone() {
-        if (node.isInTouch()) {
+    private void requestToJoinIfNeeded() {
+        if (node.isUpToDate()) {
             return;
         }
         ImmutableSet.<String>builder()
@@ -173,25 +186,25 @@
         network.stop();
     }
 
-    private void everySecond() {
+    private void reportContactsOrEnd() {
         if (!stopping && !node.isRunning()) {
             // An agreed command cannot be read: only another version of the program can go on from there.
             EVENTS.warning("role_ended").with("host", settings.name()).write();
             onRoleEnded.run();
             return;
         }
-        fleet.shareHeard(self());
+        fleet.reportContacts(hostRecord());
     }
 
     private void logCounters() {
         EVENTS.info("counters").with("counters", CounterSummary.of(metrics)).write();
     }
 
-    private boolean isElsewhere(String host) {
-        return fleet != null && fleet.isElsewhere(PeerNetwork.addressOf(host));
+    private boolean isInOtherRegion(String host) {
+        return fleet != null && fleet.isInOtherRegion(PeerNetwork.addressOf(host));
     }
 
-    private HostRecord self() {
+    private HostRecord hostRecord() {
         return HostRecord.newBuilder()
                 .setName(settings.name())
                 .setPeerAddress(settings.peerAddress().toString())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlSettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlSettings.java
@@ -18,7 +18,7 @@
  * @param controlAddress where leafs and operators reach it
  * @param seeds the peer addresses of the control hosts that are known beforehand
  * @param firstStart true if the whole system starts for the first time, so that the seeds are the first voters
- * @param lossesBorne how many control hosts may be lost at once
+ * @param tolerableFailures how many control hosts may be lost at once
  * @param dataFolder where its files are
  */
 public record ControlSettings(
@@ -29,7 +29,7 @@
         HostAndPort controlAddress,
         ImmutableSortedSet<String> seeds,
         boolean firstStart,
-        int lossesBorne,
+        int tolerableFailures,
         Path dataFolder) {
     /** Refuses settings without a seed. */
     public ControlSettings {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -49,13 +49,13 @@
     private static final Logger LOGGER = System.getLogger(FleetControl.class.getName());
     private static final EventLog EVENTS = EventLog.of(FleetControl.class);
     /** A leaf waits a second for its acknowledgement, so a decision must come sooner. */
-    private static final Duration REPORT_WAIT = Duration.ofMillis(850);
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(850);
     /** An operator moves on after a second without an answer. */
-    private static final Duration CHANGE_WAIT = Duration.ofMillis(900);
+    private static final Duration CHANGE_TIMEOUT = Duration.ofMillis(900);
 
-    private static final Duration READ_WAIT = Duration.ofMillis(800);
+    private static final Duration READ_TIMEOUT = Duration.ofMillis(800);
     /** A caller waits for the answer, so it comes within a few round trips or not at all. */
-    private static final Duration VERSION_WAIT = Duration.ofMillis(450);
+    private static final Duration VERSION_READ_TIMEOUT = Duration.ofMillis(450);
     /** More than the entry hosts that follow one control host, each of which asks once at a time. */
     private static final int MAX_VERSION_QUERIES = 10_000;
 
@@ -64,10 +64,10 @@
     private final PeerNetwork network;
     private final MetricRegistry metrics;
     private final InstantSource wallClock;
-    private final MembershipMonitor watch = new MembershipMonitor();
+    private final MembershipMonitor membership = new MembershipMonitor();
     private final ShardAccessPolicy shardAccess = new ShardAccessPolicy();
     private volatile ImmutableList<String> knownControlHosts = ImmutableList.of();
-    private volatile ImmutableSet<String> hostsElsewhere = ImmutableSet.of();
+    private volatile ImmutableSet<String> hostsInOtherRegions = ImmutableSet.of();
     private final SharedReads<Consumer<VersionQueryResult>> versionReads = new SharedReads<>(MAX_VERSION_QUERIES);
     private boolean wasLeader;
 
@@ -87,30 +87,30 @@
 
     /** Takes the report of a leaf. */
     public Uni<FleetOutcome> reportLeaf(LeafRecord report) {
-        return node.withTables((tables, inTouch, nowNanos) -> {
-                    synchronized (watch) {
-                        watch.recordLeafContact(report.getId(), nowNanos);
+        return node.withTables((tables, upToDate, nowNanos) -> {
+                    synchronized (membership) {
+                        membership.recordLeafContact(report.getId(), nowNanos);
                     }
-                    if (!inTouch) {
+                    if (!upToDate) {
                         return Optional.of(FleetOutcome.NOT_TAKEN);
                     }
                     return tables.wouldChange(report)
                             ? Optional.<FleetOutcome>empty()
                             : Optional.of(FleetOutcome.ACKNOWLEDGED);
                 })
-                .chain(known -> known.isPresent()
-                        ? Uni.createFrom().item(known.get())
-                        : propose(Command.newBuilder().setReportLeaf(report).build(), REPORT_WAIT)
-                                .invoke(outcome -> sayReported(report, outcome)))
+                .chain(knownOutcome -> knownOutcome.isPresent()
+                        ? Uni.createFrom().item(knownOutcome.get())
+                        : propose(Command.newBuilder().setReportLeaf(report).build(), REPORT_TIMEOUT)
+                                .invoke(outcome -> logLeafReport(report, outcome)))
                 .onFailure()
-                .recoverWithItem(FleetControl::stopped)
+                .recoverWithItem(FleetControl::onRoleStopped)
                 .invoke(outcome -> count("fleet_leaf_report_", outcome));
     }
 
     /**
      * Writes a line about what a leaf reports anew; the log of agreement takes few enough that none need be left out.
      */
-    private static void sayReported(LeafRecord report, FleetOutcome outcome) {
+    private static void logLeafReport(LeafRecord report, FleetOutcome outcome) {
         EVENTS.info("leaf_reported")
                 .with("leaf", report.getId())
                 .with("service", report.getService())
@@ -126,7 +126,7 @@
                 .setPutConfiguration(
                         PutConfiguration.newBuilder().setVersion(version).setDocument(compressedDocument))
                 .build();
-        return propose(command, CHANGE_WAIT).invoke(outcome -> {
+        return propose(command, CHANGE_TIMEOUT).invoke(outcome -> {
             count("fleet_configuration_", outcome);
             EVENTS.info("configuration_put")
                     .with("configuration", version)
@@ -137,17 +137,17 @@
 
     /** Takes what a host saw of requests that end leafs, and tells whether it was agreed on. */
     public Uni<Boolean> reportHarm(HarmReport report) {
-        return node.withTables(
-                        (tables, inTouch, nowNanos) -> inTouch && !tables.harm().wouldChange(report))
+        return node.withTables((tables, upToDate, nowNanos) ->
+                        upToDate && !tables.harm().wouldChange(report))
                 .chain(isKnown -> isKnown
                         ? Uni.createFrom().item(FleetOutcome.ACKNOWLEDGED)
                         : propose(
                                 Command.newBuilder()
                                         .setReportHarm(report.toBuilder().setAtMillis(wallClock.millis()))
                                         .build(),
-                                REPORT_WAIT))
+                                REPORT_TIMEOUT))
                 .onFailure()
-                .recoverWithItem(FleetControl::stopped)
+                .recoverWithItem(FleetControl::onRoleStopped)
                 .invoke(outcome -> count("fleet_harm_report_", outcome))
                 .map(outcome -> outcome == FleetOutcome.ACKNOWLEDGED);
     }
@@ -157,7 +157,7 @@
         Command command = Command.newBuilder()
                 .setTakeTrial(trial.toBuilder().setAtMillis(wallClock.millis()))
                 .build();
-        return client.propose(command, REPORT_WAIT)
+        return client.propose(command, REPORT_TIMEOUT)
                 .map(result -> result instanceof ProposalResult.Applied applied
                         ? Optional.of(applied.result().getKind() == CommandResult.Kind.ACCEPTED)
                         : Optional.<Boolean>empty())
@@ -182,7 +182,7 @@
         Command command = Command.newBuilder()
                 .setSetZoneDrain(SetZoneDrain.newBuilder().setZone(zone).setDrained(drained))
                 .build();
-        return propose(command, CHANGE_WAIT).invoke(outcome -> {
+        return propose(command, CHANGE_TIMEOUT).invoke(outcome -> {
             count("fleet_zone_drain_", outcome);
             EVENTS.info("zone_drain_set")
                     .with("zone", zone)
@@ -198,26 +198,26 @@
                         ControlRead.newBuilder()
                                 .setKind(ControlRead.Kind.ROUTING)
                                 .build(),
-                        READ_WAIT)
+                        READ_TIMEOUT)
                 .map(result -> result.getCurrent() ? Optional.of(result.getRoutingDocument()) : Optional.empty());
     }
 
     /** Returns the version of the newest configuration, as confirmed from now on; hosts that ask meanwhile share it. */
     public Uni<VersionQueryResult> newestVersion() {
         return Uni.createFrom().emitter(emitter -> {
-            boolean waits;
+            boolean queued;
             synchronized (versionReads) {
-                waits = versionReads.await(emitter::complete);
+                queued = versionReads.await(emitter::complete);
             }
-            if (waits) {
-                readVersionIfAsked();
+            if (queued) {
+                readVersionIfRequested();
             } else {
                 emitter.complete(VersionQueryResult.getDefaultInstance());
             }
         });
     }
 
-    private void readVersionIfAsked() {
+    private void readVersionIfRequested() {
         synchronized (versionReads) {
             if (!versionReads.begin()) {
                 return;
@@ -227,26 +227,26 @@
                         ControlRead.newBuilder()
                                 .setKind(ControlRead.Kind.ROUTING_VERSION)
                                 .build(),
-                        VERSION_WAIT)
+                        VERSION_READ_TIMEOUT)
                 .subscribe()
-                .with(result -> versionRead(result.getCurrent(), result.getRoutingVersion()), failure -> {
+                .with(result -> onVersionRead(result.getCurrent(), result.getRoutingVersion()), failure -> {
                     LOGGER.log(Logger.Level.DEBUG, "the newest version was not read: {0}", failure.getMessage());
-                    versionRead(false, 0);
+                    onVersionRead(false, 0);
                 });
     }
 
-    private void versionRead(boolean current, long version) {
-        ImmutableList<Consumer<VersionQueryResult>> answered;
+    private void onVersionRead(boolean current, long version) {
+        ImmutableList<Consumer<VersionQueryResult>> waiters;
         synchronized (versionReads) {
-            answered = versionReads.takeWaiters();
+            waiters = versionReads.takeWaiters();
             versionReads.end();
         }
         VersionQueryResult result = VersionQueryResult.newBuilder()
                 .setCurrent(current)
                 .setVersion(version)
                 .build();
-        answered.forEach(taker -> taker.accept(result));
-        readVersionIfAsked();
+        waiters.forEach(waiter -> waiter.accept(result));
+        readVersionIfRequested();
     }
 
     /** Answers a host that follows the tables; if it takes part already, notes that it lives. */
@@ -255,23 +255,23 @@
             return node.pullTables(pull);
         }
         HostRecord host = pull.getSelf();
-        return node.withTables((tables, inTouch, nowNanos) -> {
-                    synchronized (watch) {
-                        watch.recordHostContact(host.getName(), pull.getQueriesAMinute(), nowNanos);
+        return node.withTables((tables, upToDate, nowNanos) -> {
+                    synchronized (membership) {
+                        membership.recordHostContact(host.getName(), pull.getQueriesAMinute(), nowNanos);
                     }
-                    return inTouch && tables.wouldChange(host);
+                    return upToDate && tables.wouldChange(host);
                 })
-                .invoke(isNews -> {
-                    if (isNews) {
-                        announce(host);
+                .invoke(changesTables -> {
+                    if (changesTables) {
+                        reportHost(host);
                     }
                 })
                 .chain(unused -> node.pullTables(pull));
     }
 
     /** Adds a host to the tables, or changes what they say of it. */
-    public void announce(HostRecord host) {
-        propose(Command.newBuilder().setReportHost(host).build(), REPORT_WAIT)
+    public void reportHost(HostRecord host) {
+        propose(Command.newBuilder().setReportHost(host).build(), REPORT_TIMEOUT)
                 .subscribe()
                 .with(
                         outcome ->
@@ -280,9 +280,9 @@
     }
 
     /** Takes what another control host has heard of. */
-    public void takeHeard(HeardMembers report, long nowNanos) {
-        synchronized (watch) {
-            watch.merge(report, nowNanos);
+    public void mergeContacts(HeardMembers report, long nowNanos) {
+        synchronized (membership) {
+            membership.merge(report, nowNanos);
         }
     }
 
@@ -291,50 +291,50 @@
      *
      * @param own what the tables should say of this host
      */
-    public void shareHeard(HostRecord own) {
-        node.withTables((tables, inTouch, nowNanos) -> {
-                    synchronized (watch) {
-                        watch.recordHostContact(own.getName(), 0, nowNanos);
+    public void reportContacts(HostRecord own) {
+        node.withTables((tables, upToDate, nowNanos) -> {
+                    synchronized (membership) {
+                        membership.recordHostContact(own.getName(), 0, nowNanos);
                         knownControlHosts = tables.presentHosts().stream()
                                 .filter(host -> !host.getControlAddress().isEmpty())
                                 .map(HostRecord::getPeerAddress)
                                 .collect(ImmutableList.toImmutableList());
-                        hostsElsewhere = tables.presentHosts().stream()
+                        hostsInOtherRegions = tables.presentHosts().stream()
                                 .filter(host -> !host.getRegion().equals(own.getRegion()))
                                 .map(HostRecord::getPeerAddress)
                                 .collect(ImmutableSet.toImmutableSet());
-                        if (inTouch && tables.wouldChange(own)) {
-                            announce(own);
+                        if (upToDate && tables.wouldChange(own)) {
+                            reportHost(own);
                         }
-                        boolean leads = node.isLeader();
-                        if (leads && !wasLeader) {
-                            watch.reset(tables, nowNanos);
+                        boolean leading = node.isLeader();
+                        if (leading && !wasLeader) {
+                            membership.reset(tables, nowNanos);
                         }
-                        wasLeader = leads;
-                        HeardMembers report = watch.takeReport();
-                        if (!leads) {
-                            node.leader().ifPresent(leader -> send(leader, report));
+                        wasLeader = leading;
+                        HeardMembers report = membership.takeReport();
+                        if (!leading) {
+                            node.leader().ifPresent(leader -> sendContacts(leader, report));
                             return ForgetMembers.getDefaultInstance();
                         }
-                        reviewShardAccess(tables, nowNanos);
-                        return watch.silentMembers(tables, nowNanos);
+                        updateShardAccess(tables, nowNanos);
+                        return membership.silentMembers(tables, nowNanos);
                     }
                 })
                 .subscribe()
-                .with(this::forget, failure -> LOGGER.log(Logger.Level.DEBUG, "the control role has stopped"));
+                .with(this::markGone, failure -> LOGGER.log(Logger.Level.DEBUG, "the control role has stopped"));
     }
 
     /** As the leader, has the way to the leafs of shards changed if the rate of queries asks for it. */
-    private void reviewShardAccess(ReplicatedTables tables, long nowNanos) {
+    private void updateShardAccess(ReplicatedTables tables, long nowNanos) {
         int entryHosts = (int)
                 tables.presentHosts().stream().filter(HostRecord::getEntry).count();
-        OptionalInt queriesAMinute = watch.queriesPerMinute(tables);
+        OptionalInt queriesPerMinute = membership.queriesPerMinute(tables);
         shardAccess
-                .decide(tables.throughHolders(), entryHosts, queriesAMinute, nowNanos)
+                .decide(tables.throughHolders(), entryHosts, queriesPerMinute, nowNanos)
                 .ifPresent(throughHolders -> {
                     EVENTS.info("shard_access_changes")
                             .with("throughHolders", throughHolders)
-                            .with("queriesAMinute", queriesAMinute.orElse(0))
+                            .with("queriesAMinute", queriesPerMinute.orElse(0))
                             .with("entryHosts", entryHosts)
                             .write();
                     propose(
@@ -342,7 +342,7 @@
                                             .setSetShardAccess(
                                                     SetShardAccess.newBuilder().setThroughHolders(throughHolders))
                                             .build(),
-                                    REPORT_WAIT)
+                                    REPORT_TIMEOUT)
                             .subscribe()
                             .with(
                                     outcome -> {},
@@ -353,12 +353,12 @@
 
     /** Returns the leaf as the tables of this host have it. */
     public Uni<Optional<LeafRecord>> findLeaf(String id) {
-        return node.withTables((tables, inTouch, nowNanos) -> tables.leaf(id));
+        return node.withTables((tables, upToDate, nowNanos) -> tables.leaf(id));
     }
 
     /** Returns the control host nearest to a zone: in it, else in its region, if the tables have one. */
     public Uni<Optional<HostRecord>> nearestControl(String zone, String region) {
-        return node.withTables((tables, inTouch, nowNanos) -> {
+        return node.withTables((tables, upToDate, nowNanos) -> {
             Optional<HostRecord> inRegion = Optional.empty();
             for (HostRecord host : tables.presentHosts()) {
                 boolean serves = !host.getControlAddress().isEmpty() && host.getPhase() == HostRecord.Phase.READY;
@@ -379,17 +379,17 @@
     }
 
     /** Returns true if the host at a peer address was in another region, as of the last second. */
-    public boolean isElsewhere(String peerAddress) {
-        return hostsElsewhere.contains(peerAddress);
+    public boolean isInOtherRegion(String peerAddress) {
+        return hostsInOtherRegions.contains(peerAddress);
     }
 
-    private void send(String leader, HeardMembers report) {
+    private void sendContacts(String leader, HeardMembers report) {
         if (report.getLeafIdsCount() + report.getHostNamesCount() > 0) {
             network.send(leader, Envelope.newBuilder().setHeardMembers(report));
         }
     }
 
-    private void forget(ForgetMembers silent) {
+    private void markGone(ForgetMembers silent) {
         if (silent.getLeafIdsCount() + silent.getHostsCount() == 0) {
             return;
         }
@@ -397,17 +397,17 @@
                 .with("leafs", String.join(" ", silent.getLeafIdsList()))
                 .with("hosts", silent.getHostsCount())
                 .write();
-        propose(Command.newBuilder().setForgetMembers(silent).build(), REPORT_WAIT)
+        propose(Command.newBuilder().setForgetMembers(silent).build(), REPORT_TIMEOUT)
                 .subscribe()
                 .with(outcome -> {}, failure -> LOGGER.log(Logger.Level.WARNING, "forgetting failed", failure));
     }
 
-    private Uni<FleetOutcome> propose(Command command, Duration wait) {
-        return client.propose(command, wait).map(result -> {
+    private Uni<FleetOutcome> propose(Command command, Duration timeout) {
+        return client.propose(command, timeout).map(result -> {
             if (result instanceof ProposalResult.Applied) {
                 return FleetOutcome.ACKNOWLEDGED;
             }
-            return result instanceof ProposalResult.NotTaken ? FleetOutcome.NOT_TAKEN : FleetOutcome.UNDECIDED;
+            return result instanceof ProposalResult.Rejected ? FleetOutcome.NOT_TAKEN : FleetOutcome.UNDECIDED;
         });
     }
 
@@ -415,7 +415,7 @@
         metrics.counter(prefix + outcome.name().toLowerCase(Locale.ROOT)).inc();
     }
 
-    private static FleetOutcome stopped(Throwable failure) {
+    private static FleetOutcome onRoleStopped(Throwable failure) {
         LOGGER.log(Logger.Level.DEBUG, "a report came while the control role stops: {0}", failure.getMessage());
         return FleetOutcome.NOT_TAKEN;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
@@ -18,10 +18,10 @@
 
     private static final int LENGTH_BYTES = 4;
 
-    private final Supplier<ChannelHandler> last;
+    private final Supplier<ChannelHandler> messageHandler;
 
-    FramePipeline(Supplier<ChannelHandler> last) {
-        this.last = last;
+    FramePipeline(Supplier<ChannelHandler> messageHandler) {
+        this.messageHandler = messageHandler;
     }
 
     @Override
@@ -32,6 +32,6 @@
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
                 .addLast(new ProtobufEncoder())
-                .addLast(last.get());
+                .addLast(messageHandler.get());
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
@@ -48,36 +48,36 @@
     static final Duration PROBE_PERIOD = Duration.ofMillis(500);
 
     /** Two probes and a round trip between regions without a sign of life. */
-    private static final long SILENCE_NANOS = Duration.ofMillis(1_300).toNanos();
+    private static final long SILENCE_TIMEOUT_NANOS = Duration.ofMillis(1_300).toNanos();
 
     /** Long enough to connect to another region even on a host that has just started and is busy. */
-    private static final Duration CONNECTION_WAIT = Duration.ofMillis(500);
+    private static final Duration MAX_CONNECTION_WAIT = Duration.ofMillis(500);
     /** Requests beyond these are not sent while a connection is made. */
-    private static final int MOST_AWAITING = 256;
+    private static final int MAX_WAITING_TASKS = 256;
 
-    private static final long RECONNECT_NANOS = Duration.ofMillis(200).toNanos();
+    private static final long RECONNECT_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
     private final String self;
     private final HostEntry remote;
     private final EventLoopGroup group;
-    private final LinkPolicy links;
+    private final LinkPolicy linkPolicy;
     private final PeerTraffic traffic;
     private final AtomicLong nextCorrelation = new AtomicLong(1);
-    private final Map<Long, Pending> pending = new ConcurrentHashMap<>();
+    private final Map<Long, PendingRequest> pending = new ConcurrentHashMap<>();
     private volatile @Nullable Channel channel;
     private volatile Optional<Long> unansweredSinceNanos = Optional.empty();
     /** What waits for a connection that is being made; each is an object of its own, so that it can be taken out. */
-    private final List<Consumer<@Nullable Channel>> awaiting = new ArrayList<>();
+    private final List<Consumer<@Nullable Channel>> waitingTasks = new ArrayList<>();
 
     private boolean connecting;
     private boolean closed;
-    private long lastAttemptNanos = System.nanoTime() - RECONNECT_NANOS;
+    private long lastAttemptNanos = System.nanoTime() - RECONNECT_INTERVAL_NANOS;
 
-    PeerConnection(String self, HostEntry remote, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
+    PeerConnection(String self, HostEntry remote, EventLoopGroup group, LinkPolicy linkPolicy, PeerTraffic traffic) {
         this.self = self;
         this.remote = remote;
         this.group = group;
-        this.links = links;
+        this.linkPolicy = linkPolicy;
         this.traffic = traffic;
     }
 
@@ -87,13 +87,13 @@
      */
     void send(Envelope.Builder message) {
         Channel open = openChannel();
-        if (open != null || !awaitConnection(made -> sendOn(made, message))) {
+        if (open != null || !awaitConnection(connected -> sendOn(connected, message))) {
             sendOn(activeChannel(), message);
         }
     }
 
     private void sendOn(@Nullable Channel open, Envelope.Builder message) {
-        if (open != null && open.isWritable() && !links.isPartitioned(remote.name())) {
+        if (open != null && open.isWritable() && !linkPolicy.isPartitioned(remote.name())) {
             write(open, message.setSender(self).build());
         }
     }
@@ -122,23 +122,23 @@
     /** Has a task run once there is a connection, or with none if there is none soon; false if none is being made. */
     private boolean awaitConnection(Consumer<@Nullable Channel> task) {
         synchronized (this) {
-            if (!connecting || awaiting.size() >= MOST_AWAITING) {
+            if (!connecting || waitingTasks.size() >= MAX_WAITING_TASKS) {
                 return false;
             }
-            awaiting.add(task);
+            waitingTasks.add(task);
         }
         group.next()
                 .schedule(
                         () -> {
-                            boolean stillWaits;
+                            boolean stillWaiting;
                             synchronized (this) {
-                                stillWaits = awaiting.remove(task);
+                                stillWaiting = waitingTasks.remove(task);
                             }
-                            if (stillWaits) {
+                            if (stillWaiting) {
                                 task.accept(null);
                             }
                         },
-                        CONNECTION_WAIT.toNanos(),
+                        MAX_CONNECTION_WAIT.toNanos(),
                         TimeUnit.NANOSECONDS);
         return true;
     }
@@ -149,18 +149,18 @@
             Duration timeout,
             Consumer<Envelope> progress,
             UniEmitter<? super Envelope> emitter) {
-        if (open == null || !open.isWritable() || links.isPartitioned(remote.name())) {
+        if (open == null || !open.isWritable() || linkPolicy.isPartitioned(remote.name())) {
             emitter.fail(new PeerFailure(PeerFailure.Kind.NOT_SENT, "no connection to " + remote.name()));
             return;
         }
         long correlation = nextCorrelation.getAndIncrement();
-        ScheduledFuture<?> giveUp = open.eventLoop()
+        ScheduledFuture<?> timeoutTask = open.eventLoop()
                 .schedule(
                         () -> fail(correlation, PeerFailure.Kind.SENT, "no reply in " + timeout),
                         timeout.toNanos(),
                         TimeUnit.NANOSECONDS);
-        pending.put(correlation, new Pending(emitter, open, giveUp, progress));
-        if (giveUp.isDone()) {
+        pending.put(correlation, new PendingRequest(emitter, open, timeoutTask, progress));
+        if (timeoutTask.isDone()) {
             fail(correlation, PeerFailure.Kind.NOT_SENT, "no time was left for a reply");
             return;
         }
@@ -178,9 +178,9 @@
     }
 
     private void write(Channel open, Envelope message) {
-        awaitSignOfLife();
-        traffic.sent(remote.name(), message);
-        Duration delay = links.delay(remote.name());
+        startSilenceTimer();
+        traffic.recordSent(remote.name(), message);
+        Duration delay = linkPolicy.delay(remote.name());
         if (delay.isZero()) {
             open.writeAndFlush(message);
         } else {
@@ -204,7 +204,7 @@
 
     private void connect() {
         synchronized (this) {
-            boolean tooSoon = System.nanoTime() - lastAttemptNanos < RECONNECT_NANOS;
+            boolean tooSoon = System.nanoTime() - lastAttemptNanos < RECONNECT_INTERVAL_NANOS;
             if (connecting || closed || tooSoon) {
                 return;
             }
@@ -216,19 +216,19 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                .handler(new FramePipeline(Replies::new))
+                .handler(new FramePipeline(ReplyHandler::new))
                 .connect(new InetSocketAddress(
                         remote.peerAddress().getHost(), remote.peerAddress().getPort()))
-                .addListener((ChannelFuture future) -> connected(future));
+                .addListener((ChannelFuture future) -> onConnected(future));
     }
 
-    private void connected(ChannelFuture future) {
+    private void onConnected(ChannelFuture future) {
         boolean keep;
-        List<Consumer<@Nullable Channel>> waited;
+        List<Consumer<@Nullable Channel>> tasks;
         synchronized (this) {
             connecting = false;
-            waited = List.copyOf(awaiting);
-            awaiting.clear();
+            tasks = List.copyOf(waitingTasks);
+            waitingTasks.clear();
             keep = future.isSuccess() && !closed;
             if (keep) {
                 unansweredSinceNanos = Optional.empty();
@@ -238,7 +238,7 @@
         if (!keep && future.isSuccess()) {
             future.channel().close();
         }
-        waited.forEach(task -> task.accept(keep ? future.channel() : null));
+        tasks.forEach(task -> task.accept(keep ? future.channel() : null));
     }
 
     /**
@@ -251,12 +251,12 @@
         if (open == null || !open.isActive() || unanswered.isEmpty()) {
             return;
         }
-        if (System.nanoTime() - unanswered.get() > SILENCE_NANOS) {
+        if (System.nanoTime() - unanswered.get() > SILENCE_TIMEOUT_NANOS) {
             EVENTS.info("connection_silent").with("host", remote.name()).write();
             open.close();
             return;
         }
-        if (!links.isPartitioned(remote.name())) {
+        if (!linkPolicy.isPartitioned(remote.name())) {
             open.writeAndFlush(Envelope.newBuilder()
                     .setSender(self)
                     .setPing(Ping.getDefaultInstance())
@@ -265,57 +265,57 @@
     }
 
     /** Notes that something is written, from when on silence counts unless it counts already. */
-    private void awaitSignOfLife() {
+    private void startSilenceTimer() {
         if (unansweredSinceNanos.isEmpty()) {
             unansweredSinceNanos = Optional.of(System.nanoTime());
         }
     }
 
     private void fail(long correlation, PeerFailure.Kind kind, String reason) {
-        Pending waiting = pending.remove(correlation);
-        if (waiting != null) {
-            waiting.giveUp().cancel(false);
-            waiting.emitter().fail(new PeerFailure(kind, remote.name() + ": " + reason));
+        PendingRequest request = pending.remove(correlation);
+        if (request != null) {
+            request.timeoutTask().cancel(false);
+            request.emitter().fail(new PeerFailure(kind, remote.name() + ": " + reason));
         }
     }
 
     /**
      * A request that waits for its reply.
      *
-     * @param giveUp fails it when its time is over; cancelled with its end, so that it wakes nobody later
+     * @param timeoutTask fails it when its time is over; cancelled with its end, so that it wakes nobody later
      */
-    private record Pending(
+    private record PendingRequest(
             UniEmitter<? super Envelope> emitter,
             Channel channel,
-            ScheduledFuture<?> giveUp,
+            ScheduledFuture<?> timeoutTask,
             Consumer<Envelope> progress) {}
 
     /** Completes the requests of one connection. */
-    private final class Replies extends SimpleChannelInboundHandler<Envelope> {
+    private final class ReplyHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-            if (links.isPartitioned(remote.name())) {
+            if (linkPolicy.isPartitioned(remote.name())) {
                 return;
             }
             unansweredSinceNanos = Optional.empty();
             if (message.hasStageProgress()) {
-                Pending working = pending.get(message.getCorrelationId());
-                if (working != null) {
-                    working.progress().accept(message);
+                PendingRequest request = pending.get(message.getCorrelationId());
+                if (request != null) {
+                    request.progress().accept(message);
                 }
                 return;
             }
-            Pending waiting = pending.remove(message.getCorrelationId());
-            if (waiting != null) {
-                waiting.giveUp().cancel(false);
-                waiting.emitter().complete(message);
+            PendingRequest request = pending.remove(message.getCorrelationId());
+            if (request != null) {
+                request.timeoutTask().cancel(false);
+                request.emitter().complete(message);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            pending.forEach((correlation, waiting) -> {
-                if (waiting.channel() == context.channel()) {
+            pending.forEach((correlation, request) -> {
+                if (request.channel() == context.channel()) {
                     fail(correlation, PeerFailure.Kind.SENT, "the connection was lost");
                 }
             });
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
@@ -23,14 +23,14 @@
  */
 public final class PeerNetwork {
     /** Separates the address in a host's name from what tells apart several hosts that had it. */
-    public static final char TAG = '#';
+    public static final char TAG_SEPARATOR = '#';
 
     private final String self;
     private final EventLoopGroup group;
-    private final LinkPolicy links;
+    private final LinkPolicy linkPolicy;
     private final PeerTraffic traffic;
-    private final boolean findsByAddress;
-    private final ScheduledFuture<?> probing;
+    private final boolean resolvesByAddress;
+    private final ScheduledFuture<?> probeTask;
     private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
 
     /**
@@ -40,39 +40,43 @@
      * @param hosts all hosts
      */
     public PeerNetwork(
-            String self, ImmutableList<HostEntry> hosts, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
-        this(self, false, group, links, traffic);
+            String self,
+            ImmutableList<HostEntry> hosts,
+            EventLoopGroup group,
+            LinkPolicy linkPolicy,
+            PeerTraffic traffic) {
+        this(self, false, group, linkPolicy, traffic);
         for (HostEntry host : hosts) {
             if (!host.name().equals(self)) {
-                connections.put(host.name(), new PeerConnection(self, host, group, links, traffic));
+                connections.put(host.name(), new PeerConnection(self, host, group, linkPolicy, traffic));
             }
         }
     }
 
     private PeerNetwork(
-            String self, boolean findsByAddress, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
+            String self, boolean resolvesByAddress, EventLoopGroup group, LinkPolicy linkPolicy, PeerTraffic traffic) {
         this.self = self;
-        this.findsByAddress = findsByAddress;
+        this.resolvesByAddress = resolvesByAddress;
         this.group = group;
-        this.links = links;
+        this.linkPolicy = linkPolicy;
         this.traffic = traffic;
         long periodNanos = PeerConnection.PROBE_PERIOD.toNanos();
         // One task for all connections: each with its own would wake a host with dozens of them all the time.
-        this.probing =
+        this.probeTask =
                 group.next().scheduleWithFixedDelay(this::probeAll, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
     }
 
     /**
      * Creates a network in which a host's name is the address that it listens at for other hosts, so that hosts need
-     * not be known beforehand. What follows a {@link #TAG} in a name is not part of the address.
+     * not be known beforehand. What follows a {@link #TAG_SEPARATOR} in a name is not part of the address.
      */
-    public static PeerNetwork byAddress(String self, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
-        return new PeerNetwork(self, true, group, links, traffic);
+    public static PeerNetwork byAddress(String self, EventLoopGroup group, LinkPolicy linkPolicy, PeerTraffic traffic) {
+        return new PeerNetwork(self, true, group, linkPolicy, traffic);
     }
 
     /** Returns the address that a host's name is or begins with. */
     public static String addressOf(String host) {
-        int tag = host.indexOf(TAG);
+        int tag = host.indexOf(TAG_SEPARATOR);
         return tag < 0 ? host : host.substring(0, tag);
     }
 
@@ -104,7 +108,7 @@
     public Uni<Envelope> request(String host, Envelope.Builder message, Duration timeout, Consumer<Envelope> progress) {
         Optional<PeerConnection> connection = find(host);
         if (connection.isEmpty()) {
-            return notKnown(host);
+            return unknownHost(host);
         }
         return connection.get().request(message, timeout, progress);
     }
@@ -120,21 +124,21 @@
             String host, Supplier<Envelope.Builder> message, Duration timeout, Consumer<Envelope> progress) {
         Optional<PeerConnection> connection = find(host);
         if (connection.isEmpty()) {
-            return notKnown(host);
+            return unknownHost(host);
         }
         return connection.get().requestWhenConnected(message, timeout, progress);
     }
 
     /** Closes the connection to a host that is gone; it is made again if it is needed after all. */
     public void disconnect(String host) {
-        if (findsByAddress) {
+        if (resolvesByAddress) {
             Optional.ofNullable(connections.remove(host)).ifPresent(PeerConnection::close);
         }
     }
 
     /** Closes every connection; requests in flight fail. */
     public void stop() {
-        probing.cancel(false);
+        probeTask.cancel(false);
         connections.values().forEach(PeerConnection::close);
     }
 
@@ -142,13 +146,13 @@
         connections.values().forEach(PeerConnection::probe);
     }
 
-    private static Uni<Envelope> notKnown(String host) {
+    private static Uni<Envelope> unknownHost(String host) {
         return Uni.createFrom().failure(new PeerFailure(PeerFailure.Kind.NOT_SENT, host + " is not a known host"));
     }
 
     private Optional<PeerConnection> find(String host) {
         PeerConnection known = connections.get(host);
-        if (known != null || !findsByAddress || host.equals(self) || host.isEmpty()) {
+        if (known != null || !resolvesByAddress || host.equals(self) || host.isEmpty()) {
             return Optional.ofNullable(known);
         }
         return Optional.of(connections.computeIfAbsent(host, this::create));
@@ -156,6 +160,6 @@
 
     private PeerConnection create(String host) {
         HostAndPort address = HostAndPort.fromString(addressOf(host));
-        return new PeerConnection(self, new HostEntry(host, "", address, false), group, links, traffic);
+        return new PeerConnection(self, new HostEntry(host, "", address, false), group, linkPolicy, traffic);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
@@ -26,18 +26,22 @@
     private final HostAndPort address;
     private final PeerHandler handler;
     private final EventLoopGroup group;
-    private final LinkPolicy links;
+    private final LinkPolicy linkPolicy;
     private final PeerTraffic traffic;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private @Nullable Channel listening;
 
     /** Creates a server that does not yet listen. */
     public PeerServer(
-            HostAndPort address, PeerHandler handler, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
+            HostAndPort address,
+            PeerHandler handler,
+            EventLoopGroup group,
+            LinkPolicy linkPolicy,
+            PeerTraffic traffic) {
         this.address = address;
         this.handler = handler;
         this.group = group;
-        this.links = links;
+        this.linkPolicy = linkPolicy;
         this.traffic = traffic;
     }
 
@@ -53,7 +57,7 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new FramePipeline(Inbound::new));
+                .childHandler(new FramePipeline(InboundHandler::new));
         listening = bootstrap
                 .bind(new InetSocketAddress(address.getHost(), address.getPort()))
                 .sync()
@@ -70,7 +74,7 @@
     }
 
     /** Hands the messages of one connection to the handler and writes the replies back to it. */
-    private final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+    private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channels.add(context.channel());
@@ -78,7 +82,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-            if (links.isPartitioned(message.getSender())) {
+            if (linkPolicy.isPartitioned(message.getSender())) {
                 return;
             }
             if (message.hasPing()) {
@@ -88,10 +92,10 @@
             Channel channel = context.channel();
             long correlation = message.getCorrelationId();
             handler.handle(message, reply -> {
-                if (!links.isPartitioned(message.getSender())) {
+                if (!linkPolicy.isPartitioned(message.getSender())) {
                     Envelope built =
                             reply.setReply(true).setCorrelationId(correlation).build();
-                    traffic.sent(message.getSender(), built);
+                    traffic.recordSent(message.getSender(), built);
                     channel.writeAndFlush(built);
                 }
             });
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
@@ -17,16 +17,16 @@
  * predicate that it was given is.
  */
 public final class PeerTraffic {
-    private static final int FRAME_BYTES = 4;
+    private static final int FRAME_HEADER_BYTES = 4;
 
     private final LongAdder leafBytes = new LongAdder();
     private final LongAdder leafMessages = new LongAdder();
     private final LongAdder controlBytes = new LongAdder();
     private final LongAdder controlMessages = new LongAdder();
 
-    private final Predicate<String> leavesRegion;
+    private final Predicate<String> isInOtherRegion;
     private final Map<Envelope.BodyCase, Counter> bytesByKind = new EnumMap<>(Envelope.BodyCase.class);
-    private final Map<Envelope.BodyCase, Counter> farBytesByKind = new EnumMap<>(Envelope.BodyCase.class);
+    private final Map<Envelope.BodyCase, Counter> crossRegionBytesByKind = new EnumMap<>(Envelope.BodyCase.class);
 
     /** Creates counts that are shown nowhere by kind. */
     public PeerTraffic() {
@@ -36,14 +36,14 @@
     /**
      * Creates counts that are kept in a registry as well, a counter for each kind of message.
      *
-     * @param leavesRegion true of the name of a host in another region
+     * @param isInOtherRegion true of the name of a host in another region
      */
-    public PeerTraffic(MetricRegistry metrics, Predicate<String> leavesRegion) {
-        this.leavesRegion = leavesRegion;
+    public PeerTraffic(MetricRegistry metrics, Predicate<String> isInOtherRegion) {
+        this.isInOtherRegion = isInOtherRegion;
         for (Envelope.BodyCase kind : Envelope.BodyCase.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT);
             bytesByKind.put(kind, metrics.counter("peer_bytes_" + name));
-            farBytesByKind.put(kind, metrics.counter("peer_far_bytes_" + name));
+            crossRegionBytesByKind.put(kind, metrics.counter("peer_far_bytes_" + name));
         }
     }
 
@@ -52,11 +52,11 @@
      *
      * @param host the name of the host that it is sent to
      */
-    void sent(String host, Envelope message) {
-        long bytes = (long) message.getSerializedSize() + FRAME_BYTES;
+    void recordSent(String host, Envelope message) {
+        long bytes = (long) message.getSerializedSize() + FRAME_HEADER_BYTES;
         add(bytesByKind.get(message.getBodyCase()), bytes);
-        if (leavesRegion.test(host)) {
-            add(farBytesByKind.get(message.getBodyCase()), bytes);
+        if (isInOtherRegion.test(host)) {
+            add(crossRegionBytesByKind.get(message.getBodyCase()), bytes);
         }
         if (message.hasLeafCall() || message.hasLeafResult() || message.hasLeafCancel()) {
             leafBytes.add(bytes);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/Workers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/Workers.java
@@ -33,7 +33,7 @@
     /** Runs a task on a worker. After {@link #stop} it is dropped. */
     public void run(Runnable task) {
         try {
-            pool.execute(() -> guarded(task));
+            pool.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException stopped) {
             LOGGER.log(Logger.Level.DEBUG, "a task came after the workers stopped");
         }
@@ -59,11 +59,11 @@
         pool.shutdownNow();
     }
 
-    private static void guarded(Runnable task) {
+    private static void runAndLogFailure(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException fault) {
-            LOGGER.log(Logger.Level.ERROR, "a task failed; this is a fault of the program, please report it", fault);
+        } catch (RuntimeException failure) {
+            LOGGER.log(Logger.Level.ERROR, "a task failed; this is a fault of the program, please report it", failure);
         }
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/ControlNodeTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/ControlNodeTest.java
@@ -34,13 +34,13 @@
     private static final String SELF = "voter";
 
     private final EventLoopGroup group = new NioEventLoopGroup(1);
-    private final AtomicBoolean full = new AtomicBoolean();
+    private final AtomicBoolean diskFull = new AtomicBoolean();
     private ControlNode node;
 
     @BeforeEach
     void start(@TempDir Path folder) throws DiskFault {
         FileLogStore store = new FileLogStore(folder, channel -> {
-            if (full.get()) {
+            if (diskFull.get()) {
                 throw new IOException("no space left");
             }
         });
@@ -67,22 +67,22 @@
     }
 
     @Test
-    void aFullDiskRefusesChangesAndKeepsWhatWasAcknowledged() {
-        assertThat(put(1)).isInstanceOf(ProposalResult.Applied.class);
-        full.set(true);
-        assertThat(put(2)).isNotInstanceOf(ProposalResult.Applied.class);
-        await(() -> !node.isInTouch());
+    void aFullDiskRejectsChangesAndLosesNoAcknowledgedOne() {
+        assertThat(putConfiguration(1)).isInstanceOf(ProposalResult.Applied.class);
+        diskFull.set(true);
+        assertThat(putConfiguration(2)).isNotInstanceOf(ProposalResult.Applied.class);
+        await(() -> !node.isUpToDate());
         assertThat(node.isRunning()).isTrue();
-        assertThat(read().getCurrent()).isFalse();
-        full.set(false);
+        assertThat(readConfiguration().getCurrent()).isFalse();
+        diskFull.set(false);
         await(node::isLeader);
-        await(() -> read().getCurrent());
-        assertThat(read().getRoutingVersion()).isAtLeast(1);
-        assertThat(put(3)).isInstanceOf(ProposalResult.Applied.class);
-        assertThat(read().getRoutingVersion()).isEqualTo(3);
+        await(() -> readConfiguration().getCurrent());
+        assertThat(readConfiguration().getRoutingVersion()).isAtLeast(1);
+        assertThat(putConfiguration(3)).isInstanceOf(ProposalResult.Applied.class);
+        assertThat(readConfiguration().getRoutingVersion()).isEqualTo(3);
     }
 
-    private ProposalResult put(long version) {
+    private ProposalResult putConfiguration(long version) {
         return node.propose(Command.newBuilder()
                         .setPutConfiguration(PutConfiguration.newBuilder()
                                 .setVersion(version)
@@ -92,7 +92,7 @@
                 .atMost(WAIT);
     }
 
-    private ControlReadResult read() {
+    private ControlReadResult readConfiguration() {
         return node.read(ControlRead.newBuilder()
                         .setKind(ControlRead.Kind.ROUTING)
                         .build())
@@ -101,9 +101,9 @@
     }
 
     private static void await(BooleanSupplier condition) {
-        long giveUpNanos = System.nanoTime() + WAIT.toNanos();
+        long deadlineNanos = System.nanoTime() + WAIT.toNanos();
         while (!condition.getAsBoolean()) {
-            assertWithMessage("in time").that(System.nanoTime() < giveUpNanos).isTrue();
+            assertWithMessage("in time").that(System.nanoTime() < deadlineNanos).isTrue();
             try {
                 Thread.sleep(10);
             } catch (InterruptedException interrupted) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
@@ -32,7 +32,7 @@
     private Path folder;
 
     @BeforeEach
-    void store() throws DiskFault {
+    void createStore() throws DiskFault {
         try (FileLogStore store = new FileLogStore(folder)) {
             store.initialize();
             assertThat(store.load()).isEqualTo(StoredState.EMPTY);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void givesBackWhatWasStored() throws DiskFault {
+    void loadReturnsWhatWasStored() throws DiskFault {
         StoredState stored = load();
         assertThat(stored.hardState()).isEqualTo(HARD_STATE);
         assertThat(stored.entries()).hasSize(9);
@@ -50,7 +50,7 @@
 
     /** A process may die between its write and its sync; what the next one reads must not be lost by a later crash. */
     @Test
-    void whatIsReadIsSyncedBeforeItCounts() throws DiskFault {
+    void theLogIsSyncedWhenItIsLoaded() throws DiskFault {
         AtomicInteger syncs = new AtomicInteger();
         try (FileLogStore store = new FileLogStore(folder, channel -> syncs.incrementAndGet())) {
             assertThat(store.load().entries()).hasSize(9);
@@ -60,7 +60,7 @@
 
     /** Agreed documents hold the keys of callers. */
     @Test
-    void onlyTheOwnerReadsWhatIsStored() throws Exception {
+    void filesAreReadableByTheOwnerOnly() throws Exception {
         Files.writeString(folder.resolve("log.new"), "left by a crash");
         Files.setPosixFilePermissions(folder.resolve("log.new"), PosixFilePermissions.fromString("rw-r--r--"));
         try (FileLogStore store = new FileLogStore(folder)) {
@@ -78,20 +78,20 @@
 
     @Test
     void aStoreThatFailedCanBeLoadedAgain() throws DiskFault {
-        AtomicBoolean full = new AtomicBoolean();
+        AtomicBoolean diskFull = new AtomicBoolean();
         FileLogStore.FileSync sync = channel -> {
-            if (full.get()) {
+            if (diskFull.get()) {
                 throw new IOException("no space left");
             }
         };
         FileLogStore store = new FileLogStore(folder, sync);
         store.load();
-        full.set(true);
+        diskFull.set(true);
         assertThrows(DiskFault.class, () -> store.store(List.of(persist(Optional.empty(), 10, 10))));
         assertThrows(DiskFault.class, () -> store.store(List.of(persist(Optional.empty(), 10, 10))));
         store.close();
         assertThrows(DiskFault.class, store::load);
-        full.set(false);
+        diskFull.set(false);
         assertThat(store.load().entries().size()).isAtLeast(9);
         store.store(List.of(persist(Optional.empty(), 11, 11)));
         store.close();
@@ -122,7 +122,7 @@
 
     /** A flipped bit in anything that was synced before the last batch is named and refused. */
     @Test
-    void corruptionIsNamedAndRefused() throws IOException {
+    void corruptionIsRefusedWithTheNameOfTheFile() throws IOException {
         byte[] whole = Files.readAllBytes(log());
         int synced = sizeAfterFirstBatch();
         for (int position = 0; position < synced; position++) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
@@ -14,15 +14,15 @@
 
 /** Every host of a fleet asks for the tables at once after a start, before the control hosts have elected a leader. */
 final class TableSubscriptionsTest {
-    private static final long MILLI = Duration.ofMillis(1).toNanos();
-    private static final long HOLD = 700 * MILLI;
+    private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
+    private static final long MAX_WAIT_NANOS = 700 * MILLI_NANOS;
 
     private final ReplicatedTables tables = new ReplicatedTables();
     private final TableSubscriptions subscriptions = new TableSubscriptions();
-    private final List<TableDelta> answers = new ArrayList<>();
+    private final List<TableDelta> deltas = new ArrayList<>();
 
     @BeforeEach
-    void fill() {
+    void addHost() {
         tables.applyReport(HostRecord.newBuilder()
                 .setName("host")
                 .setPhase(HostRecord.Phase.READY)
@@ -30,41 +30,41 @@
     }
 
     @Test
-    void aHostThatKnowsNothingIsAnsweredOnceALeaderIsHeard() {
-        ask(0);
-        subscriptions.answerDue(tables, false, MILLI);
-        assertThat(answers).isEmpty();
-        subscriptions.answerDue(tables, true, 2 * MILLI);
-        assertThat(answers.get(0).getCurrent()).isTrue();
-        assertThat(answers.get(0).getHostsCount()).isEqualTo(1);
+    void aHostWithoutTablesIsAnsweredOnceThereIsALeader() {
+        addPull(0);
+        subscriptions.completeDue(tables, false, MILLI_NANOS);
+        assertThat(deltas).isEmpty();
+        subscriptions.completeDue(tables, true, 2 * MILLI_NANOS);
+        assertThat(deltas.get(0).getCurrent()).isTrue();
+        assertThat(deltas.get(0).getHostsCount()).isEqualTo(1);
     }
 
     @Test
-    void withoutALeaderItIsToldNothingAtLast() {
-        ask(0);
-        subscriptions.answerDue(tables, false, HOLD);
-        assertThat(answers.get(0).getCurrent()).isFalse();
-        assertThat(answers.get(0).getHostsCount()).isEqualTo(0);
+    void withoutALeaderAHostWithoutTablesGetsAnEmptyAnswer() {
+        addPull(0);
+        subscriptions.completeDue(tables, false, MAX_WAIT_NANOS);
+        assertThat(deltas.get(0).getCurrent()).isFalse();
+        assertThat(deltas.get(0).getHostsCount()).isEqualTo(0);
     }
 
     /** A leaf that leaves must be known everywhere, also where the leader is not heard. */
     @Test
-    void aHostThatFollowsIsToldNewsInAnyCase() {
+    void aHostWithTablesIsSentChangesEvenWithoutALeader() {
         long known = tables.revision();
         tables.applyReport(HostRecord.newBuilder()
                 .setName("another")
                 .setPhase(HostRecord.Phase.READY)
                 .build());
-        ask(known);
-        subscriptions.answerDue(tables, false, MILLI);
-        assertThat(answers.get(0).getCurrent()).isFalse();
-        assertThat(answers.get(0).getHostsCount()).isEqualTo(1);
+        addPull(known);
+        subscriptions.completeDue(tables, false, MILLI_NANOS);
+        assertThat(deltas.get(0).getCurrent()).isFalse();
+        assertThat(deltas.get(0).getHostsCount()).isEqualTo(1);
     }
 
-    private void ask(long knownRevision) {
+    private void addPull(long knownRevision) {
         Uni.createFrom()
                 .<TableDelta>emitter(emitter -> subscriptions.add(knownRevision, emitter, 0))
                 .subscribe()
-                .with(answers::add);
+                .with(deltas::add);
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/VoterIdentityTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/VoterIdentityTest.java
@@ -20,14 +20,14 @@
     private Path folder;
 
     @Test
-    void aNameStaysWithItsDisk() throws DiskFault {
+    void theStoredIdentityIsKept() throws DiskFault {
         VoterIdentity.loadOrStore(folder, FIRST);
         VoterIdentity other = new VoterIdentity("10.0.0.1:1#2", ImmutableSortedSet.of());
         assertThat(VoterIdentity.loadOrStore(folder, other)).isEqualTo(FIRST);
     }
 
     @Test
-    void anEmptyDiskTakesTheNewName() throws DiskFault {
+    void anEmptyFolderGetsTheNewIdentity() throws DiskFault {
         VoterIdentity joiner =
                 new VoterIdentity(VoterName.generate("10.0.0.1:1", new SplittableRandom(1)), ImmutableSortedSet.of());
         assertThat(VoterIdentity.loadOrStore(folder.resolve("new"), joiner)).isEqualTo(joiner);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aFileThatSaysNothingIsRefusedWithARemedy() throws IOException {
+    void anEmptyFileIsRefusedWithARemedy() throws IOException {
         Files.createFile(folder.resolve("identity"));
         DiskFault fault = assertThrows(DiskFault.class, () -> VoterIdentity.loadOrStore(folder, FIRST));
         assertThat(fault).hasMessageThat().contains("clear the folder");
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerConnectionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerConnectionTest.java
@@ -35,26 +35,26 @@
 
     /** A cut says nothing: the other end accepts, and then neither reads nor closes. */
     @Test
-    void aConnectionOnWhichNothingComesBackIsClosedAndMadeAgain() throws Exception {
+    void aSilentConnectionIsClosedAndReopened() throws Exception {
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread = new Thread(() -> acceptAll(silent, accepted), "silent");
             thread.setDaemon(true);
             thread.start();
             String host = "127.0.0.1:" + silent.getLocalPort();
-            sendFor(host, Duration.ofSeconds(5));
+            sendRepeatedly(host, Duration.ofSeconds(5));
             assertThat(accepted.get()).isAtLeast(2);
         }
     }
 
     @Test
-    void aConnectionThatAnswersIsKept() throws Exception {
+    void aConnectionThatRepliesIsKept() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
         AtomicInteger messages = new AtomicInteger();
         PeerServer server = new PeerServer(
                 address, (message, reply) -> messages.incrementAndGet(), group, LinkPolicy.OPEN, new PeerTraffic());
         server.start();
-        sendFor(address.toString(), Duration.ofSeconds(3));
+        sendRepeatedly(address.toString(), Duration.ofSeconds(3));
         assertThat(messages.get()).isAtLeast(20);
         assertThat(network.request(
                                 address.toString(),
@@ -69,7 +69,7 @@
 
     /** Silence counts from what was written and not answered, not from the last time that there was anything to say. */
     @Test
-    void aConnectionThatWasIdleForLongIsNotTakenForSilent() throws Exception {
+    void anIdleConnectionIsNotTreatedAsSilent() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
         PeerServer server = new PeerServer(
                 address,
@@ -83,7 +83,7 @@
                 LinkPolicy.OPEN,
                 new PeerTraffic());
         server.start();
-        sendFor(address.toString(), Duration.ofMillis(300));
+        sendRepeatedly(address.toString(), Duration.ofMillis(300));
         for (int round = 0; round < 3; round++) {
             Thread.sleep(1_600);
             Envelope reply = network.request(
@@ -99,7 +99,7 @@
 
     /** After a start of every host each link is opened by the first request that needs it. */
     @Test
-    void aRequestMayWaitForItsConnection() throws Exception {
+    void aRequestWaitsForItsConnection() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
         PeerServer server = new PeerServer(
                 address,
@@ -115,27 +115,27 @@
 
     /** A message that tells how much time is left must not grow old while its connection is made. */
     @Test
-    void aMessageThatWaitsForItsConnectionIsMadeWhenItIsSent() throws Exception {
+    void aMessageIsBuiltWhenItsConnectionIsOpen() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
         PeerServer server = new PeerServer(address, (message, reply) -> {}, group, LinkPolicy.OPEN, new PeerTraffic());
         server.start();
-        CountDownLatch made = new CountDownLatch(1);
-        boolean madeAhead = group.submit(() -> {
+        CountDownLatch built = new CountDownLatch(1);
+        boolean builtEarly = group.submit(() -> {
                     network.requestWhenConnected(
                                     address.toString(),
                                     () -> {
-                                        made.countDown();
+                                        built.countDown();
                                         return Envelope.newBuilder().setStageCall(StageCall.getDefaultInstance());
                                     },
                                     Duration.ofSeconds(2),
                                     progress -> {})
                             .subscribe()
                             .with(reply -> {}, failure -> {});
-                    return made.getCount() == 0;
+                    return built.getCount() == 0;
                 })
                 .get();
-        assertThat(madeAhead).isFalse();
-        assertThat(made.await(5, TimeUnit.SECONDS)).isTrue();
+        assertThat(builtEarly).isFalse();
+        assertThat(built.await(5, TimeUnit.SECONDS)).isTrue();
         server.stop();
     }
 
@@ -152,9 +152,9 @@
     }
 
     @Test
-    void aRequestToAHostThatIsGoneIsNotSentAndSaysSoAtOnce() throws Exception {
-        String nobody = "127.0.0.1:" + freePort();
-        CompletionException failure = assertThrows(CompletionException.class, () -> call(nobody));
+    void aRequestToAnUnreachableHostFailsAsNotSent() throws Exception {
+        String unreachable = "127.0.0.1:" + freePort();
+        CompletionException failure = assertThrows(CompletionException.class, () -> call(unreachable));
         assertThat(failure).hasCauseThat().isInstanceOf(PeerFailure.class);
         assertThat(failure).hasCauseThat().hasMessageThat().contains("no connection");
     }
@@ -170,13 +170,14 @@
     }
 
     @Test
-    void whatFollowsTheTagIsNotPartOfTheAddress() throws Exception {
+    void theTagOfANameIsNotPartOfTheAddress() throws Exception {
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread = new Thread(() -> acceptAll(listening, accepted), "tagged");
             thread.setDaemon(true);
             thread.start();
-            sendFor("127.0.0.1:" + listening.getLocalPort() + PeerNetwork.TAG + "7", Duration.ofMillis(500));
+            sendRepeatedly(
+                    "127.0.0.1:" + listening.getLocalPort() + PeerNetwork.TAG_SEPARATOR + "7", Duration.ofMillis(500));
             assertThat(accepted.get()).isEqualTo(1);
         }
     }
@@ -187,7 +188,7 @@
         }
     }
 
-    private void sendFor(String host, Duration length) throws InterruptedException {
+    private void sendRepeatedly(String host, Duration length) throws InterruptedException {
         long endNanos = System.nanoTime() + length.toNanos();
         while (System.nanoTime() < endNanos) {
             network.send(host, Envelope.newBuilder().setRaft(RaftMessage.getDefaultInstance()));
