--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerWakesTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerWakesTest.java
@@ -20,20 +20,20 @@
 
 /** How often a host wakes for its links when nothing happens on them: each wake costs it processor time. */
 final class PeerWakesTest {
-    private static final int LINKS = 30;
-    private static final Duration BETWEEN_LINKS = Duration.ofMillis(15);
+    private static final int CONNECTIONS = 30;
+    private static final Duration CONNECT_INTERVAL = Duration.ofMillis(15);
     /** As of most requests: a reply that came must not leave anything behind that wakes the host then. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(1_500);
+    private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_500);
 
     /** The half second for which a request may wait for its connection, and some room. */
-    private static final Duration SETTLED = Duration.ofMillis(700);
+    private static final Duration SETTLE_TIME = Duration.ofMillis(700);
 
-    private static final Duration QUIET = Duration.ofSeconds(2);
+    private static final Duration IDLE_TIME = Duration.ofSeconds(2);
     /** One task for all links each half second, and twice as much for what the loop does besides. */
-    private static final int MOST_WAKES = 12;
+    private static final int MAX_WAKEUPS = 12;
 
-    private final AtomicInteger wakes = new AtomicInteger();
-    private final EventLoopGroup others = new NioEventLoopGroup(1);
+    private final AtomicInteger wakeups = new AtomicInteger();
+    private final EventLoopGroup serverGroup = new NioEventLoopGroup(1);
     private final EventLoopGroup group = new NioEventLoopGroup(
             1, new DefaultThreadFactory("counted"), SelectorProvider.provider(), this::countingStrategy);
     private final PeerNetwork network = PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic());
@@ -42,25 +42,26 @@
     void stop() {
         network.stop();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        others.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        serverGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     @Test
-    void linksOnWhichNothingIsDueLetTheHostSleep() throws Exception {
+    void idleConnectionsRarelyWakeTheEventLoop() throws Exception {
         HostAndPort address;
         try (ServerSocket any = new ServerSocket(0)) {
             address = HostAndPort.fromParts("127.0.0.1", any.getLocalPort());
         }
-        PeerServer server = new PeerServer(address, (message, reply) -> {}, others, LinkPolicy.OPEN, new PeerTraffic());
+        PeerServer server =
+                new PeerServer(address, (message, reply) -> {}, serverGroup, LinkPolicy.OPEN, new PeerTraffic());
         server.start();
-        for (int link = 0; link < LINKS; link++) {
-            ping(address.toString() + PeerNetwork.TAG + link);
-            Thread.sleep(BETWEEN_LINKS.toMillis());
+        for (int connection = 0; connection < CONNECTIONS; connection++) {
+            ping(address.toString() + PeerNetwork.TAG_SEPARATOR + connection);
+            Thread.sleep(CONNECT_INTERVAL.toMillis());
         }
-        Thread.sleep(SETTLED.toMillis());
-        int before = wakes.get();
-        Thread.sleep(QUIET.toMillis());
-        assertThat(wakes.get() - before).isAtMost(MOST_WAKES);
+        Thread.sleep(SETTLE_TIME.toMillis());
+        int before = wakeups.get();
+        Thread.sleep(IDLE_TIME.toMillis());
+        assertThat(wakeups.get() - before).isAtMost(MAX_WAKEUPS);
         server.stop();
     }
 
@@ -68,17 +69,17 @@
         Envelope reply = network.requestWhenConnected(
                         host,
                         () -> Envelope.newBuilder().setPing(Ping.getDefaultInstance()),
-                        REPLY_WAIT,
+                        REPLY_TIMEOUT,
                         progress -> {})
                 .await()
-                .atMost(REPLY_WAIT);
+                .atMost(REPLY_TIMEOUT);
         assertThat(reply.hasPing()).isTrue();
     }
 
     private SelectStrategy countingStrategy() {
         SelectStrategy plain = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
         return (supplier, hasTasks) -> {
-            wakes.incrementAndGet();
+            wakeups.incrementAndGet();
             return plain.calculateStrategy(supplier, hasTasks);
         };
     }
