--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
@@ -21,14 +21,14 @@
 import org.bramblerack.wire.ProposeResult;
 
 /**
- * How any host reaches the control hosts: it finds the leader and offers it commands and reads.
+ * Finds the leader of the control hosts and sends it commands and reads.
  *
- * <p>A command is offered again until it is decided or the time is up; that is safe, because commands carry
- * identifiers. If no leader was heard of for {@link #LEADER_CONTACT_TIMEOUT} a command is refused at once. Safe for use
- * by many threads.
+ * <p>A command is proposed again until it is decided or the time is up. That is safe because commands carry
+ * identifiers. If no leader was contacted within {@link #LEADER_CONTACT_TIMEOUT}, a command is rejected at once. Safe
+ * for use by many threads.
  */
 public final class ControlClient {
-    /** How long after a leader was last heard of commands are still tried. */
+    /** How long commands are still tried after the last contact with a leader. */
     public static final Duration LEADER_CONTACT_TIMEOUT = Duration.ofMillis(1_500);
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(40);
@@ -43,7 +43,12 @@
     private volatile Optional<String> leader = Optional.empty();
     private volatile long lastLeaderContactNanos;
 
-    /** Creates a client; the local role is given if this host has it. */
+    /**
+     * Creates a client.
+     *
+     * @param voters the control hosts to contact until others are known
+     * @param local the control role of this host, if it has one
+     */
     public ControlClient(
             String self,
             ImmutableSortedSet<String> voters,
@@ -58,13 +63,13 @@
         this.lastLeaderContactNanos = clock.nowNanos();
     }
 
-    /** Returns true if a leader was heard of lately. */
+    /** Returns true if a leader was contacted recently. */
     public boolean hasLeaderContact() {
         return localLeader().isPresent()
                 || clock.nowNanos() - lastLeaderContactNanos < LEADER_CONTACT_TIMEOUT.toNanos();
     }
 
-    /** Offers a command until it is decided or the time is up. */
+    /** Proposes a command until it is decided or the time is up. */
     public Uni<ProposalResult> propose(Command command, Duration timeout) {
         if (!hasLeaderContact()) {
             return Uni.createFrom().item(new ProposalResult.Rejected("no leader is known"));
@@ -73,13 +78,13 @@
         return proposeUntil(command, deadlineNanos, false);
     }
 
-    /** Reads the agreed state from the leader; a result that is not current tells nothing but a hint of the leader. */
+    /** Reads the replicated state from the leader. A result that is not current holds no data but may name a leader. */
     public Uni<ControlReadResult> read(ControlRead request, Duration timeout) {
         long deadlineNanos = clock.nowNanos() + timeout.toNanos();
         return readUntil(request, deadlineNanos);
     }
 
-    /** Asks a control host, the leader if it is known, for changes of the configuration. */
+    /** Requests changes of the configuration from the leader, or from any control host if no leader is known. */
     public Uni<ConfigurationDelta> pull(ConfigurationPull pull, Duration timeout) {
         String target = target();
         Uni<ConfigurationDelta> reply = local.isPresent() && target.equals(self)
@@ -188,7 +193,7 @@
                 });
     }
 
-    /** Returns the leader that the local role knows of; it hears sooner of a change than a client does. */
+    /** Returns the leader that the local role knows, which learns of a change earlier than this client. */
     private Optional<String> localLeader() {
         return local.flatMap(ControlNode::leader);
     }
@@ -202,7 +207,7 @@
         return voters.get(Math.floorMod(nextVoterIndex.getAndIncrement(), voters.size()));
     }
 
-    /** Returns the voters as the local role knows them, or those that the system began with. */
+    /** Returns the voters that the local role knows, or the initial ones. */
     private ImmutableList<String> voters() {
         return local.map(ControlNode::voters)
                 .filter(known -> !known.isEmpty())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
@@ -37,16 +37,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The control role of a process: drives the replicated log and the state that it builds.
+ * The control role of a process: drives the replicated log and the state machine behind it.
  *
- * <p>One thread owns the log, the state and the files; all events are handed to it. Events that come together share one
- * sync. If the disk fails the role ends and the rest of the process goes on. Public methods are safe for use by many
- * threads.
+ * <p>One thread owns the log, the state and the files; all events are queued to it. Events that are queued together
+ * share one disk sync. If the disk fails, the role serves nothing until the disk can be read and written again, and the
+ * rest of the process continues. Public methods are safe for use by many threads.
  */
 public final class ControlNode {
     private static final Logger LOGGER = System.getLogger(ControlNode.class.getName());
     private static final EventLog EVENTS = EventLog.of(ControlNode.class);
-    /** How long after a failed write the disk is tried again: a full disk of the platform stays full for seconds. */
+    /** How long to wait after a failed write before the disk is tried again. */
     private static final Duration DISK_RETRY_INTERVAL = Duration.ofMillis(250);
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(15);
@@ -81,8 +81,8 @@
     /**
      * Creates the role; nothing is read or sent before {@link #start}.
      *
-     * @param initialVoters the voters that the system began with; empty for a host that came later
-     * @param tolerableFailures how many voters may be lost at once
+     * @param initialVoters the voters that the cluster started with; empty for a host that joins later
+     * @param tolerableFailures how many voters may fail at the same time
      */
     public ControlNode(
             String self,
@@ -108,9 +108,9 @@
     }
 
     /**
-     * Reads what was stored and begins to take part.
+     * Loads the stored state and starts the thread of the role.
      *
-     * @throws DiskFault if what was stored cannot be trusted
+     * @throws DiskFault if the stored state is missing or corrupt
      */
     public synchronized void start() throws DiskFault {
         startFrom(store.load());
@@ -131,14 +131,14 @@
         openConnections();
     }
 
-    /** Opens the links to the other voters: the first message on a link that is not open is lost. */
+    /** Opens the connections to the other voters, because a message may be lost if its connection is not open. */
     private void openConnections() {
         voters.stream()
                 .filter(voter -> !voter.equals(self))
                 .forEach(voter -> network.send(voter, Envelope.newBuilder().setPing(Ping.getDefaultInstance())));
     }
 
-    /** Stops taking part, waits for the thread to end, and closes the files. */
+    /** Stops the role, waits for its thread to end, and closes the files. */
     public synchronized void stop() {
         running = false;
         Thread started = thread;
@@ -154,27 +154,30 @@
         thread = null;
     }
 
-    /** Returns true until the role was stopped, or ended because an agreed command cannot be read. */
+    /** Returns true until the role was stopped, or ended because a committed command cannot be parsed. */
     public boolean isRunning() {
         return running;
     }
 
-    /** Returns true if this host leads, or heard of late from a leader and has applied what it said was agreed. */
+    /**
+     * Returns true if this host leads, or if it had recent contact with a leader and has applied everything up to the
+     * leader's commit index.
+     */
     public boolean isUpToDate() {
         return upToDate;
     }
 
-    /** Returns the leader that this host knows of. */
+    /** Returns the leader that this host knows, if any. */
     public Optional<String> leader() {
         return leader;
     }
 
-    /** Returns the voters that this host knows of. */
+    /** Returns the voters that this host knows. */
     public ImmutableSortedSet<String> voters() {
         return voters;
     }
 
-    /** Takes the wish of a host to get the log and to vote; only a leader grants it. */
+    /** Starts replication to a host that requests to join; no effect if this host is not the leader. */
     public void addLearner(String host) {
         enqueue((raft, nowNanos) -> {
             raft.addLearner(host, nowNanos);
@@ -182,12 +185,12 @@
         });
     }
 
-    /** Takes a message of another voter. */
+    /** Handles a message of another voter. */
     public void receive(RaftMessage message) {
         enqueue((raft, nowNanos) -> raft.receive(message, nowNanos));
     }
 
-    /** Offers a command; it is taken only if this host leads. */
+    /** Proposes a command, which is rejected if this host is not the leader. */
     public Uni<ProposalResult> propose(Command command) {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued = enqueue((raft, nowNanos) -> {
@@ -200,7 +203,7 @@
         });
     }
 
-    /** Reads the agreed state; the result says whether it is current. */
+    /** Reads the replicated state; the result says whether it is current. */
     public Uni<ControlReadResult> read(ControlRead request) {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued = enqueue((raft, nowNanos) -> {
@@ -216,7 +219,7 @@
         });
     }
 
-    /** Answers a host that asks for changes of the configuration. */
+    /** Returns the changes of the configuration that a host requests, and records the revision that it has in force. */
     public Uni<ConfigurationDelta> pull(ConfigurationPull pull) {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued = enqueue((raft, nowNanos) -> {
@@ -233,7 +236,7 @@
         });
     }
 
-    /** Answers a host that follows the tables of the fleet, once they have changed or a moment has passed. */
+    /** Returns the changes of the fleet's tables that a host requests, once there are any or after a bounded wait. */
     public Uni<TableDelta> pullTables(TablePull pull) {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued = enqueue((raft, nowNanos) -> {
@@ -247,10 +250,10 @@
     }
 
     /**
-     * Looks at the agreed tables as they were applied here.
+     * Reads the tables as this host has applied them.
      *
-     * @param reader takes the tables, to be read only, and whether this host is in touch with a leader
-     * @return what the reader returns, or a failure if the role has stopped
+     * @param reader gets the tables and whether this host is up to date; must not modify them
+     * @return the reader's result, or a failure if the role has stopped
      */
     public <T> Uni<T> withTables(TableReader<T> reader) {
         return Uni.createFrom().emitter(emitter -> {
@@ -279,7 +282,7 @@
                 runBatchOrRecoverDisk();
             }
         } catch (InterruptedException stopped) {
-            LOGGER.log(Logger.Level.DEBUG, "the control role stops");
+            LOGGER.log(Logger.Level.DEBUG, "the control role was interrupted to stop");
         } catch (UnreadableCommandException fault) {
             LOGGER.log(Logger.Level.ERROR, "the control role of {0} ended: {1}", self, fault.getMessage());
         } finally {
@@ -303,8 +306,8 @@
     }
 
     /**
-     * Takes no part until what is stored can be read and synced again, and goes on from that, as after a restart: what
-     * the failed write left behind is unknown until then.
+     * Stops serving until the stored state can be loaded and synced again, and continues from it as after a restart,
+     * because it is unknown how much of the failed write reached the disk.
      */
     private void awaitDiskRecovery() throws InterruptedException {
         serving = false;
@@ -319,7 +322,7 @@
                 EVENTS.info("disk_recovered").with("voter", self).write();
                 return;
             } catch (DiskFault stillFailing) {
-                LOGGER.log(Logger.Level.DEBUG, "the disk of {0}: {1}", self, stillFailing.getMessage());
+                LOGGER.log(Logger.Level.DEBUG, "the disk of {0} still fails: {1}", self, stillFailing.getMessage());
             }
         }
     }
@@ -401,7 +404,7 @@
             return state.apply(entry);
         } catch (InvalidProtocolBufferException malformed) {
             throw new UnreadableCommandException(
-                    "an agreed command cannot be read; run the program version that wrote it");
+                    "a committed command cannot be parsed; run the program version that wrote it");
         }
     }
 
@@ -444,13 +447,13 @@
         subscriptions.completeAll();
     }
 
-    /** Something for the thread of the role to do. */
+    /** A task for the thread of the role. */
     @FunctionalInterface
     private interface Event {
         List<RaftAction> run(RaftNode raft, long nowNanos);
     }
 
-    /** Ends the role. */
+    /** Ends the role because a committed command cannot be parsed. */
     private static final class UnreadableCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskFault.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskFault.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * The files of the control role cannot be trusted or written any more. It ends the role; it is never retried.
+ * A file of the control role cannot be read or written, or is corrupt.
  *
  * <p>Immutable and safe for use by many threads.
  */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskRoom.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskRoom.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.bramblerack.daemon.event.EventLog;
 
-/** Looks from time to time whether the disk has room for new commands. Owned by the thread of the control role. */
+/** Checks periodically whether the disk has space for new commands. Owned by the thread of the control role. */
 final class DiskRoom {
     private static final EventLog EVENTS = EventLog.of(DiskRoom.class);
     private static final Duration CHECK_INTERVAL = Duration.ofSeconds(2);
@@ -18,12 +18,12 @@
         this.self = self;
     }
 
-    /** Returns true if no new commands should be taken. */
+    /** Returns true if new commands must be rejected because the disk is nearly full. */
     boolean isNearlyFull() {
         return nearlyFull;
     }
 
-    /** Looks if it is time to; a change leaves a line. */
+    /** Checks the disk if {@link #CHECK_INTERVAL} has passed, and logs a change. */
     void checkIfDue(long nowNanos) {
         if (nowNanos - lastCheckNanos < CHECK_INTERVAL.toNanos()) {
             return;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
@@ -26,15 +26,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the log in one file and the snapshot in another, in one folder, which {@link #initialize} makes once.
+ * Stores the log in one file and the snapshot in another, in a folder that {@link #initialize} creates once.
  *
- * <p>A file begins with a mark that names its format and version. Records are framed with a checksum. Each batch begins
- * with a record that says up to where the file was synced before it. When the file is read, a bad record after the last
- * such place is a write that never completed, and is cut off; a bad record before it is corruption, and refused. Whole
- * files are replaced by writing another, syncing it, renaming it and syncing the folder.
+ * <p>A file begins with magic bytes that name its format and version. Each record is framed with its length and
+ * checksum. Each batch begins with a record of the offset up to which the file was synced before it. On load, a bad
+ * record after the last such offset belongs to an incomplete write and is truncated; a bad record before it is
+ * corruption and the file is refused. A whole file is replaced by writing a temporary file, syncing it, renaming it and
+ * syncing the folder.
  *
- * <p>Invariant: {@link #store} returns only after everything given to it is synced; after a failure nothing more is
- * written. Not safe for use by several threads.
+ * <p>Invariant: {@link #store} returns only after everything passed to it is synced. After a failure nothing is written
+ * until the store is loaded again. Not safe for use by several threads.
  */
 public final class FileLogStore implements LogStore {
     private static final Logger LOGGER = System.getLogger(FileLogStore.class.getName());
@@ -55,15 +56,15 @@
     private boolean failed;
     private long syncedBytes;
 
-    /** Creates a store in a folder; nothing is read or written yet. */
+    /** Creates a store; nothing is read or written yet. */
     public FileLogStore(Path folder) {
         this(folder, channel -> channel.force(true));
     }
 
     /**
-     * Creates a store that is told how to sync, for tests.
+     * Creates a store with a replaceable sync, for tests.
      *
-     * @param sync makes everything written to a file last
+     * @param sync forces the content of a file to the disk
      */
     FileLogStore(Path folder, FileSync sync) {
         this.sync = sync;
@@ -73,8 +74,8 @@
     }
 
     /**
-     * Makes the state of a voter that never voted. A voter that lost its disk must not come back this way: it could
-     * vote twice.
+     * Creates the state of a voter that has never voted. A voter that lost its disk must not be initialized under its
+     * old name, because it could vote twice in a term.
      *
      * @throws DiskFault if there is a state already, or it cannot be written
      */
@@ -87,11 +88,11 @@
             writeLog(HardState.getDefaultInstance(), ImmutableList.of());
         } catch (IOException failure) {
             throw new DiskFault(
-                    "cannot write to " + folder + ": " + failure + "; check the disk and its rights", failure);
+                    "cannot write to " + folder + ": " + failure + "; check the disk and its permissions", failure);
         }
     }
 
-    /** Returns true if the folder holds a voter's state. */
+    /** Returns true if the folder contains a voter's state. */
     public boolean exists() {
         return Files.exists(logFile) || Files.exists(snapshotFile);
     }
@@ -111,14 +112,15 @@
         } catch (DiskFault fault) {
             throw fault;
         } catch (IOException failure) {
-            throw new DiskFault("cannot read " + folder + ": " + failure + "; check the disk and its rights", failure);
+            throw new DiskFault(
+                    "cannot read " + folder + ": " + failure + "; check the disk and its permissions", failure);
         }
     }
 
     @Override
     public void store(List<RaftAction> actions) throws DiskFault {
         if (failed) {
-            throw new DiskFault("the store in " + folder + " failed before; load it again once the disk is sound");
+            throw new DiskFault("the store in " + folder + " failed before; load it again once the disk works");
         }
         try {
             boolean unsynced = false;
@@ -215,7 +217,7 @@
 
     private void replace(Path target, byte[] magic, List<byte[]> records) throws IOException {
         Path temporary = folder.resolve(target.getFileName() + ".new");
-        // One that a crash left behind may be open to more readers.
+        // A temporary file that a crash left behind may be readable by others.
         Files.deleteIfExists(temporary);
         try (FileChannel channel = FileChannel.open(temporary, CREATE_ONLY, ownerOnlyAttributes())) {
             writeFully(channel, ByteBuffer.wrap(magic));
@@ -231,8 +233,8 @@
     }
 
     /**
-     * Returns the rights of new files: what is agreed on may hold secrets. None where the file system has no such
-     * rights.
+     * Returns the permissions of new files: readable by the owner only, because committed documents may contain
+     * secrets. Empty where the file system has no POSIX permissions.
      */
     private FileAttribute<?>[] ownerOnlyAttributes() {
         return folder.getFileSystem().supportedFileAttributeViews().contains("posix")
@@ -243,7 +245,8 @@
     private void openLog() throws IOException {
         FileChannel opened = FileChannel.open(logFile, StandardOpenOption.WRITE);
         try {
-            // What an earlier process wrote and did not sync is read as if it were stored, so it must be from now on.
+            // Records that an earlier process wrote without syncing have just been read, so they must be durable from
+            // now on.
             sync.sync(opened);
             opened.position(opened.size());
         } catch (IOException failure) {
@@ -280,7 +283,7 @@
         }
     }
 
-    /** Cuts off a batch that was never synced, or refuses the file if the bad record was synced once. */
+    /** Truncates an incomplete batch at the end of the log, or refuses the file if the bad record had been synced. */
     private void truncateTornTail(ByteBuffer file, int badOffset) throws IOException {
         for (int offset = badOffset + 1; offset + RecordFrame.HEADER_BYTES <= file.limit(); offset++) {
             byte[] record = RecordFrame.read(file, offset);
@@ -290,7 +293,7 @@
         }
         LOGGER.log(
                 Logger.Level.WARNING,
-                "cut {0} bytes of a write that never completed off {1} at offset {2}",
+                "truncated {0} bytes of an incomplete write from {1} at offset {2}",
                 file.limit() - badOffset,
                 logFile,
                 badOffset);
@@ -339,7 +342,7 @@
         }
     }
 
-    /** Makes what was written to a file last. */
+    /** Forces the content of a file to the disk. */
     @FunctionalInterface
     interface FileSync {
         void sync(FileChannel channel) throws IOException;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
@@ -8,10 +8,10 @@
 import org.bramblerack.wire.HostRevision;
 
 /**
- * Which revision each host has in force, as it said when it asked for changes.
+ * The configuration revision that each host reported to have in force when it last requested changes.
  *
- * <p>Kept by each control host for what it heard itself; a new leader learns it anew. Not safe for use by several
- * threads.
+ * <p>Each control host records only the reports it received itself; the hosts report to a new leader in turn. Not safe
+ * for use by several threads.
  */
 final class InForceRevisions {
     private final Map<String, HostReport> reports = new TreeMap<>();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
@@ -11,10 +11,10 @@
 import org.bramblerack.wire.SnapshotRecord;
 
 /**
- * Rebuilds what a voter had stored from the records of its log, read in order.
+ * Rebuilds the state of a voter from its snapshot and the records of its log, read in order.
  *
- * <p>Entries that the snapshot covers are skipped. If the log holds another entry than the snapshot at the snapshot's
- * index, the log's entries were never committed and all are dropped. Not safe for use by several threads.
+ * <p>Entries that the snapshot covers are skipped. If the log's entry at the snapshot's index has another term, the
+ * log's entries were never committed and all are dropped. Not safe for use by several threads.
  */
 final class LogReplay {
     private final SnapshotRecord snapshot;
@@ -31,7 +31,7 @@
             case ENTRY -> append(record.getEntry());
             case TRUNCATE_FROM -> entries.removeIf(entry -> entry.getIndex() >= record.getTruncateFrom());
             default -> {
-                // A mark of a synced batch carries no state.
+                // A record of the synced offset carries no state.
             }
         }
     }
@@ -49,7 +49,7 @@
     private void append(LogEntry entry) throws DiskFault {
         if (!entries.isEmpty()
                 && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
-            throw new DiskFault("the log lacks the entries before index " + entry.getIndex()
+            throw new DiskFault("entries are missing from the log before index " + entry.getIndex()
                     + "; remove this member from the voters, clear its folder, and add it anew");
         }
         entries.add(entry);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogStore.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogStore.java
@@ -4,26 +4,27 @@
 import org.bramblerack.process.agreement.RaftAction;
 import org.bramblerack.process.agreement.StoredState;
 
-/** Where a voter keeps what must last. Not safe for use by several threads. */
+/** The durable storage of a voter's log and snapshot. Not safe for use by several threads. */
 public interface LogStore extends AutoCloseable {
     /**
-     * Reads what was stored.
+     * Loads the stored state.
      *
-     * @throws DiskFault if it cannot be trusted
+     * @throws DiskFault if it is missing, corrupt or cannot be read
      */
     StoredState load() throws DiskFault;
 
     /**
-     * Stores the persists and snapshots among the actions, in order, and returns once all are synced.
+     * Stores the {@link RaftAction.Persist} and {@link RaftAction.SaveSnapshot} actions in order, and returns once all
+     * are synced.
      *
-     * @throws DiskFault if anything of it failed; the store must be closed and loaded before it is used again
+     * @throws DiskFault if any of it failed; the store must be closed and loaded before it is used again
      */
     void store(List<RaftAction> actions) throws DiskFault;
 
     /** Returns the size of the log since the last snapshot, in bytes. */
     long logBytes();
 
-    /** Returns true if the disk has so little room left that no new commands should be taken. */
+    /** Returns true if so little disk space is left that new commands should be rejected. */
     boolean isNearlyFull();
 
     @Override
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/PendingCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/PendingCalls.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 
 /**
- * The proposals and reads that wait for the agreement, each under a token of its own.
+ * The proposals and reads that wait for a quorum, each under its own token.
  *
- * <p>Invariant: each call ends exactly once. Owned by the thread of the control role.
+ * <p>Invariant: each call is completed exactly once. Owned by the thread of the control role.
  */
 final class PendingCalls {
     private final Map<Long, UniEmitter<? super ProposalResult>> proposals = new HashMap<>();
     private final Map<Long, Read> reads = new HashMap<>();
     private long lastToken;
 
-    /** Returns a token that no other call has. */
+    /** Returns a new unique token. */
     long nextToken() {
         return ++lastToken;
     }
 
-    /** Notes a proposal that was taken into the log. */
+    /** Adds a proposal that was appended to the log. */
     void addProposal(long token, UniEmitter<? super ProposalResult> emitter) {
         proposals.put(token, emitter);
     }
 
-    /** Notes a read that waits for a round of the voters. */
+    /** Adds a read that waits for a read round of the voters. */
     void addRead(long token, Runnable ready, Runnable failed) {
         reads.put(token, new Read(ready, failed));
     }
 
-    /** Ends a proposal, if it is one of this role's. */
+    /** Completes a proposal; no effect if the token belongs to no pending proposal. */
     void complete(long token, ProposalResult result) {
         UniEmitter<? super ProposalResult> emitter = proposals.remove(token);
         if (emitter != null) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Ends a read whose round has come back. */
+    /** Completes a read whose read round a quorum confirmed. */
     void completeRead(long token) {
         Read read = reads.remove(token);
         if (read != null) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Ends a read that cannot be answered for certain. */
+    /** Fails a read that no quorum confirmed. */
     void failRead(long token) {
         Read read = reads.remove(token);
         if (read != null) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Ends every call without a result; proposals may have been stored. */
+    /** Fails every pending call. Proposals are undecided, because their entries may have been stored. */
     void failAll(String reason) {
         new ArrayList<>(proposals.keySet()).forEach(token -> complete(token, new ProposalResult.Undecided(reason)));
         new ArrayList<>(reads.keySet()).forEach(this::failRead);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ProposalResult.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ProposalResult.java
@@ -2,14 +2,14 @@
 
 import org.bramblerack.wire.CommandResult;
 
-/** What came of a command offered to the agreement. */
+/** The result of a proposed command. */
 public sealed interface ProposalResult {
-    /** It was agreed and applied. */
+    /** The command was committed and applied. */
     record Applied(CommandResult result) implements ProposalResult {}
 
-    /** It was not taken, and never will be. */
+    /** The command was not appended to the log and will not be. */
     record Rejected(String reason) implements ProposalResult {}
 
-    /** It may or may not be agreed; offering it again is safe, as commands carry identifiers. */
+    /** The command may or may not be committed; proposing it again is safe, as commands carry identifiers. */
     record Undecided(String reason) implements ProposalResult {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/RecordFrame.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/RecordFrame.java
@@ -4,7 +4,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame around each record of a file: its length, the CRC-32C of its bytes, its bytes.
+ * The framing of a record in a file: its length, the CRC-32C of its bytes, and its bytes.
  *
  * <p>Stateless and safe for use by many threads.
  */
@@ -20,7 +20,7 @@
         return framed.flip();
     }
 
-    /** Returns the record that begins at an offset, or null if no whole and correct one does. */
+    /** Returns the record that begins at an offset, or null if there is no complete record with a valid checksum. */
     static byte @org.jspecify.annotations.Nullable [] read(ByteBuffer file, int offset) {
         if (offset + HEADER_BYTES > file.limit()) {
             return null;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ReplicatedState.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ReplicatedState.java
@@ -14,36 +14,37 @@
 import org.bramblerack.wire.LogEntry;
 
 /**
- * The state that the agreed commands build, and the answers that are read from it.
+ * The state machine of the replicated log, and the reads from it.
  *
- * <p>Invariant: it is changed by agreed entries and snapshots alone; what hosts say of the configuration that they have
- * in force is kept beside it and is not agreed. Owned by the thread of the control role.
+ * <p>Invariant: only committed entries and snapshots change the replicated state. The revisions that hosts report to
+ * have in force are kept beside it and are not replicated. Owned by the thread of the control role.
  */
 final class ReplicatedState {
     private final ControlState state = new ControlState();
     private final InForceRevisions inForce = new InForceRevisions();
     private long lastSnapshotBytes;
 
-    /** Returns the tables of the fleet, to be read only. */
+    /** Returns the tables of the fleet. Callers must not modify them. */
     ReplicatedTables tables() {
         return state.tables();
     }
 
-    /** Applies an agreed entry; one without a command changes nothing. */
+    /** Applies a committed entry; an entry without a command changes nothing. */
     CommandResult apply(LogEntry entry) throws InvalidProtocolBufferException {
         return entry.getCommand().isEmpty()
                 ? CommandResult.getDefaultInstance()
                 : state.apply(Command.parseFrom(entry.getCommand()));
     }
 
-    /** Puts a snapshot in place of everything. */
+    /** Replaces the whole state by a snapshot. */
     void restore(ByteString snapshot) {
         try {
             state.restore(ControlSnapshot.parseFrom(snapshot));
             lastSnapshotBytes = snapshot.size();
         } catch (InvalidProtocolBufferException malformed) {
             throw new IllegalStateException(
-                    "a checked snapshot cannot be read; use the version that wrote it", malformed);
+                    "the snapshot has a valid checksum but cannot be parsed; run the program version that wrote it",
+                    malformed);
         }
     }
 
@@ -53,12 +54,12 @@
         return snapshot;
     }
 
-    /** Returns how long the last snapshot is that was taken or restored. */
+    /** Returns the size in bytes of the last snapshot that was taken or restored. */
     long lastSnapshotBytes() {
         return lastSnapshotBytes;
     }
 
-    /** Notes what a host that asks for changes says that it has in force. */
+    /** Records the revision that a host reports to have in force when it requests changes. */
     void recordInForce(ConfigurationPull pull, long nowNanos) {
         inForce.record(pull, nowNanos);
     }
@@ -66,7 +67,7 @@
     /**
      * Returns the changes of the configuration since a revision.
      *
-     * @param confirmed whether a leader confirmed that they are all
+     * @param confirmed whether a leader confirmed that the changes are complete
      */
     ConfigurationDelta changesSince(long knownRevision, boolean confirmed, String leader) {
         return ConfigurationDelta.newBuilder()
@@ -77,7 +78,7 @@
                 .build();
     }
 
-    /** Returns what an operator or a host asks for; whether it is current is for the caller to say. */
+    /** Returns the result of a read from the state of this host; the caller sets whether it is current. */
     ControlReadResult.Builder read(ControlRead request, long nowNanos) {
         ControlReadResult.Builder result = ControlReadResult.newBuilder().setRevision(state.revision());
         switch (request.getKind()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
@@ -3,16 +3,16 @@
 import org.bramblerack.process.members.ReplicatedTables;
 
 /**
- * Reads the agreed tables on the thread that owns them.
+ * Reads the replicated tables on the thread that owns them.
  *
- * @param <T> what it returns
+ * @param <T> the type of the result
  */
 @FunctionalInterface
 public interface TableReader<T> {
     /**
-     * Reads the tables; must not change or keep them.
+     * Reads the tables, and must not modify or keep them.
      *
-     * @param upToDate true if this host leads, or heard of late from a leader
+     * @param upToDate true if this host leads, or had recent contact with a leader and has applied its commits
      */
     T read(ReplicatedTables tables, boolean upToDate, long nowNanos);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
@@ -9,23 +9,27 @@
 import org.bramblerack.wire.TableDelta;
 
 /**
- * The hosts that wait for changes of the agreed tables.
+ * The pulls of hosts that wait for changes of the replicated tables.
  *
- * <p>Each is answered as soon as there is a change that it does not know, and after a moment even without one, so that
- * it can tell a quiet control host from a dead one. A host that knows nothing yet can do nothing with tables that may
- * be old, so it is answered once this host hears a leader: after a start of the whole fleet every host asks, and whole
- * tables for each of them, again and again, would keep the control hosts from electing. Not safe for use by several
- * threads.
+ * <p>A pull is completed as soon as there is a change that its host does not have. Without a change it is completed
+ * after a bounded wait, so that the host can distinguish an idle control host from a failed one. A host that has just
+ * started has no tables yet and cannot use outdated ones, so its pull waits until this host has contact with a leader.
+ * Otherwise, after a start of the whole fleet, sending full tables to every host repeatedly would delay the election.
+ * Not safe for use by several threads.
  */
 final class TableSubscriptions {
-    /** How long a request without news is held back: well within the time in which a change must be in force. */
+    /**
+     * The longest wait of a pull without changes, well within the time in which a change must be in force everywhere.
+     */
     private static final long MAX_WAIT_NANOS = Duration.ofMillis(700).toNanos();
 
-    /** How long a host that has just started waits here for a leader: an election's time; another may hear one. */
+    /**
+     * The longest wait of a host without tables for a leader, about one election; it then tries another control host.
+     */
     private static final long MAX_WAIT_WITHOUT_LEADER_NANOS =
             Duration.ofMillis(250).toNanos();
 
-    /** The revision that a host knows which has just started. */
+    /** The known revision of a host that has just started. */
     private static final long NO_REVISION = 0;
 
     private final List<PendingPull> pendingPulls = new ArrayList<>();
@@ -34,7 +38,7 @@
         pendingPulls.add(new PendingPull(knownRevision, emitter, nowNanos));
     }
 
-    /** Answers those for whom there is news, and those who have waited long enough. */
+    /** Completes the pulls for which there are changes, and those that have waited long enough. */
     void completeDue(ReplicatedTables tables, boolean upToDate, long nowNanos) {
         Iterator<PendingPull> pulls = pendingPulls.iterator();
         while (pulls.hasNext()) {
@@ -60,7 +64,7 @@
                 .build();
     }
 
-    /** Answers everybody with nothing, as a role does that stops. */
+    /** Completes all pulls without changes, because the role stops. */
     void completeAll() {
         pendingPulls.forEach(each -> each.emitter().complete(TableDelta.getDefaultInstance()));
         pendingPulls.clear();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/VoterIdentity.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/VoterIdentity.java
@@ -14,19 +14,19 @@
 import java.util.List;
 
 /**
- * The name under which a control host votes, and the voters that the system began with, kept beside its log.
+ * The name under which a control host votes, and the initial voters, stored beside its log.
  *
- * <p>Invariant: a name lives and dies with the disk that holds it, so that a host that lost its disk never votes under
- * the name that it had. Immutable and safe for use by many threads.
+ * <p>Invariant: a name is bound to the disk that stores it, so that a host that lost its disk never votes under its old
+ * name. Immutable and safe for use by many threads.
  *
  * @param name the host's name among the voters
- * @param initialVoters the voters that the system began with; empty for a host that came later
+ * @param initialVoters the voters that the cluster started with; empty for a host that joins later
  */
 public record VoterIdentity(String name, ImmutableSortedSet<String> initialVoters) {
     private static final String FILE = "identity";
 
     /**
-     * Reads the identity that a folder holds, or stores the given one there first.
+     * Loads the identity stored in a folder, or stores the given one if there is none.
      *
      * @throws DiskFault if the folder cannot be read or written
      */
@@ -41,7 +41,7 @@
             return parse(Files.readString(file), file);
         } catch (IOException failure) {
             throw new DiskFault(
-                    "cannot read or write " + file + ": " + failure + "; check the disk and its rights", failure);
+                    "cannot read or write " + file + ": " + failure + "; check the disk and its permissions", failure);
         }
     }
 
@@ -70,7 +70,7 @@
     private static VoterIdentity parse(String text, Path file) throws DiskFault {
         List<String> lines = Splitter.on('\n').omitEmptyStrings().splitToList(text);
         if (lines.isEmpty()) {
-            throw new DiskFault(file + " is empty; clear the folder, and the host comes back under a new name");
+            throw new DiskFault(file + " is empty; clear the folder, then the host joins under a new name");
         }
         return new VoterIdentity(lines.get(0), ImmutableSortedSet.copyOf(lines.subList(1, lines.size())));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/package-info.java
@@ -1,4 +1,4 @@
-/** The control role: drives the replicated log, its files and its state. */
+/** The control role: the replicated log, its files and its state machine. */
 @NullMarked
 package org.bramblerack.daemon.control;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
@@ -18,9 +18,10 @@
 import org.bramblerack.wire.Claim;
 
 /**
- * Writes what callers and operators get, as JSON.
+ * Writes the responses to callers and operators as JSON.
  *
- * <p>A payload that is JSON is written as it is, any other as base 64. Stateless and safe for use by many threads.
+ * <p>A payload that is valid JSON is written unchanged, any other in base 64. Stateless and safe for use by many
+ * threads.
  */
 final class AnswerWriter {
     private static final JsonFactory FACTORY = new JsonFactory();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/CallerBodies.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/CallerBodies.java
@@ -20,7 +20,7 @@
 import org.bramblerack.version.ServiceName;
 
 /**
- * Reads the JSON bodies of callers strictly, within bounds of depth and length.
+ * Parses the JSON bodies of callers' requests strictly, with bounded depth and length.
  *
  * <p>Stateless and safe for use by many threads.
  */
@@ -44,7 +44,7 @@
 
     private CallerBodies() {}
 
-    /** Reads the body of a query. */
+    /** Parses the body of a query. */
     static Either<Refusal, CallerQuery> readQuery(ServiceName service, byte[] body) {
         try {
             JsonNode root = parse(body, QUERY_FIELDS);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Reads the body of a once-only request. */
+    /** Parses the body of a once-only request. */
     static Either<Refusal, CallerOperation> readOperation(ServiceName service, String operation, byte[] body) {
         try {
             JsonNode root = parse(body, OPERATION_FIELDS);
@@ -144,7 +144,7 @@
         return name.length() <= 40 ? name : name.substring(0, 40) + "...";
     }
 
-    /** Ends the reading of a body; carries the reason and the remedy. */
+    /** A body is invalid; carries the reason and the remedy. */
     private static final class InvalidBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
@@ -27,10 +27,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The HTTP interface to callers and operators, as {@code docs/API.md} describes it.
+ * The HTTP interface for callers and operators, described in {@code docs/API.md}.
  *
- * <p>A request that cannot be understood gets a typed refusal and ends nothing else. Bodies, headers and the depth of
- * JSON are bounded. Started once, stopped once; safe for use by many threads.
+ * <p>A request that cannot be parsed gets a typed refusal and affects no other request. The sizes of bodies and headers
+ * and the depth of JSON are bounded. Started once and stopped once; safe for use by many threads.
  */
 public final class EntryServer {
     private static final Logger LOGGER = System.getLogger(EntryServer.class.getName());
@@ -57,7 +57,7 @@
     private final Supplier<Boolean> ready;
     private @Nullable HttpServer server;
 
-    /** Creates a server that does not yet listen. */
+    /** Creates a server that does not listen yet. */
     public EntryServer(
             Vertx vertx,
             HostAndPort address,
@@ -79,7 +79,7 @@
         this.ready = ready;
     }
 
-    /** Begins to listen. */
+    /** Starts to listen. */
     public synchronized void start() {
         HttpServerOptions options = new HttpServerOptions()
                 .setHost(address.getHost())
@@ -207,7 +207,10 @@
         }
     }
 
-    /** A claim whose attempt should have ended long ago has an unknown outcome until evidence comes. */
+    /**
+     * Returns the outcome of a claim. A claim still in progress after its deadline and {@link #OVERDUE_GRACE} has an
+     * unknown outcome.
+     */
     private String outcomeOf(Claim claim) {
         long endedMillis = claim.getAtMillis() + claim.getDeadlineMillis() + OVERDUE_GRACE.toMillis();
         boolean overdue = claim.getKind() == OutcomeKind.IN_PROGRESS && wallClock.millis() > endedMillis;
@@ -262,7 +265,10 @@
         if (context.statusCode() == STATUS_TOO_LARGE) {
             refuseTooLarge(context);
         } else if (context.failure() != null) {
-            LOGGER.log(Logger.Level.ERROR, "a request failed; this is a fault of the program", context.failure());
+            LOGGER.log(
+                    Logger.Level.ERROR,
+                    "a request failed with an unexpected exception; please report it as a bug",
+                    context.failure());
             refuse(context, Refusal.of(RefusalKind.INTERNAL, "the host failed; please report it"));
         } else {
             refuse(context, Refusal.of(RefusalKind.BAD_REQUEST, "the request is malformed; correct it"));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/HostMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/HostMetrics.java
@@ -18,9 +18,10 @@
 import org.bramblerack.request.RefusalKind;
 
 /**
- * The counters, timers and gauges of one process; {@code docs/METRICS.md} says what each means and what to do about it.
+ * The counters, timers and gauges of one process, described in {@code docs/METRICS.md}.
  *
- * <p>Every counter exists from the start, so that one that never counted shows as 0. Safe for use by many threads.
+ * <p>Every counter of an enum exists from the start, so that it is shown as 0 before its first count. Safe for use by
+ * many threads.
  */
 public final class HostMetrics {
     private final MetricRegistry registry = new MetricRegistry();
@@ -29,7 +30,7 @@
     private final Map<RefusalKind, Counter> refusals = new EnumMap<>(RefusalKind.class);
     private final Map<LeafFailure, Counter> failures = new EnumMap<>(LeafFailure.class);
 
-    /** Creates the metrics of a process that did nothing yet. */
+    /** Creates the metrics with all counts at 0. */
     public HostMetrics() {
         for (QueryCounter counter : QueryCounter.values()) {
             queries.put(counter, registry.counter("query." + counter.code()));
@@ -43,43 +44,43 @@
         new DropwizardExports(registry).register(collectors);
     }
 
-    /** Counts something on the query path. */
+    /** Increments a counter of the query path. */
     public void count(QueryCounter counter) {
         increment(queries.get(counter));
     }
 
-    /** Counts a refusal. */
+    /** Increments the counter of a kind of refusal. */
     public void count(RefusalKind kind) {
         increment(refusals.get(kind));
     }
 
-    /** Counts a failed leaf attempt. */
+    /** Increments the counter of a kind of failed leaf calls. */
     public void count(LeafFailure failure) {
         increment(failures.get(failure));
     }
 
-    /** Counts something by its name. */
+    /** Increments the counter of a name, creating it if necessary. */
     public void count(String name) {
         registry.counter(name).inc();
     }
 
-    /** Returns the timer of a name. */
+    /** Returns the timer of a name, creating it if necessary. */
     public Timer timer(String name) {
         return registry.timer(name);
     }
 
-    /** Returns the present count of a query counter. */
+    /** Returns the current count of a query counter. */
     public long countOf(QueryCounter counter) {
         Counter known = queries.get(counter);
         return known == null ? 0 : known.getCount();
     }
 
-    /** Shows a present value under a name. */
+    /** Registers a gauge under a name. */
     public void gauge(String name, LongSupplier value) {
         registry.register(name, (Gauge<Long>) value::getAsLong);
     }
 
-    /** Returns everything in the text format of Prometheus, version 0.0.4. */
+    /** Returns all metrics in the Prometheus text format, version 0.0.4. */
     public String toText() {
         StringWriter text = new StringWriter();
         try {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
@@ -25,10 +25,11 @@
 import org.bramblerack.wire.LeafCancel;
 
 /**
- * Sends leaf calls to the hosts that hold the connections, this host among them.
+ * Sends leaf calls to the hosts that hold the connections, which may include this host.
  *
- * <p>Invariant: a call goes to a second holder only if the first certainly did not take it, so an upstream never gets a
- * call twice from here. Every call is completed exactly once, on a worker. Safe for use by many threads.
+ * <p>Invariant: a call is sent to a second holder only if the first certainly did not accept it, so this host never
+ * sends an upstream the same call twice. Every call is completed exactly once, on a worker. Safe for use by many
+ * threads.
  */
 public final class LeafRouter {
     private static final Duration REPLY_GRACE = Duration.ofMillis(40);
@@ -42,7 +43,7 @@
     private final MonotonicClock clock;
     private final Map<String, String> holderOfCall = new ConcurrentHashMap<>();
 
-    /** Creates a router. */
+    /** Creates a router that takes the holders of an upstream from the directory. */
     public LeafRouter(
             String self,
             ServiceDirectory directory,
@@ -71,7 +72,7 @@
         sendThrough(holderOrder, 0, request, done);
     }
 
-    /** Cancels a call wherever it is. */
+    /** Cancels a call at the holder that it was sent to; no effect if it has ended. */
     public void cancel(String callId, UpstreamName upstream) {
         String holder = holderOfCall.get(callId);
         if (holder == null) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
@@ -29,12 +29,12 @@
 import org.bramblerack.wire.ControlReadResult;
 
 /**
- * Runs the once-only requests of callers: claims them, hands them over, and records their outcomes.
+ * Runs the once-only requests of callers: claims them, dispatches them to upstreams, and records their outcomes.
  *
  * <p>Safe for use by many threads.
  */
 public final class OnceOnlyRunner {
-    /** The longest answer that is kept for resends, in bytes. */
+    /** The maximum size in bytes of an answer that is stored for resends. */
     public static final int MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
     private static final Duration LOOK_UP_TIMEOUT = Duration.ofSeconds(2);
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Runs a once-only request, or finds out what came of it.
+     * Runs a once-only request, or returns the outcome of an earlier attempt.
      *
      * @param done gets the result, once
      */
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Looks up what came of a once-only request. */
+    /** Looks up the claim of a once-only request; the callback gets nothing if no leader could confirm the result. */
     public void lookUp(String service, String requestId, Consumer<Optional<ControlReadResult>> done) {
         ControlRead read = ControlRead.newBuilder()
                 .setKind(ControlRead.Kind.CLAIM)
@@ -111,7 +111,7 @@
                         failure -> workers.run(() -> done.accept(Optional.empty())));
     }
 
-    /** Returns how many requests are in flight or have an outcome to be recorded. */
+    /** Returns the number of requests that are in flight or whose outcome is not recorded yet. */
     public int inFlight() {
         return inFlight.get() + recorder.pendingCount();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
@@ -37,15 +37,16 @@
 import org.bramblerack.wire.PartnerDeclaration;
 
 /**
- * What operators do over HTTP: apply a declaration, see the status of hosts and services, see the history.
+ * The HTTP interface for operators: applies declarations, and shows the status of hosts and services and the history of
+ * changes.
  *
- * <p>A credential is compared by its digest in constant time and is never logged or shown. Safe for use by many
+ * <p>Credentials are compared by their digests in constant time and are never logged or shown. Safe for use by many
  * threads.
  */
 public final class OperatorApi {
-    /** Names the change, so that a resend after a lost answer is the same change. */
+    /** The header with the identifier of the change, which makes a resend after a lost answer idempotent. */
     public static final String CHANGE_ID_HEADER = "X-Change-Id";
-    /** The revision of the partner's declaration that the change replaces; 0 if there is none. */
+    /** The header with the revision of the partner's declaration that the change replaces; 0 if there is none. */
     public static final String EXPECTED_REVISION_HEADER = "X-Expected-Revision";
 
     private static final Duration APPLY_TIMEOUT = Duration.ofSeconds(10);
@@ -61,7 +62,11 @@
     private final Supplier<Duration> sinceConfirmed;
     private final Supplier<StoppingState> stopping;
 
-    /** Creates the interface. */
+    /**
+     * Creates the interface.
+     *
+     * @param sinceConfirmed returns the time since a leader last confirmed this host's configuration
+     */
     public OperatorApi(
             Settings settings,
             ServiceDirectory directory,
@@ -329,7 +334,7 @@
         EntryServer.sendRefusal(context, refusal, Optional.empty(), ImmutableList.of());
     }
 
-    /** Writes a result of a read. */
+    /** Converts the result of a read to JSON. */
     @FunctionalInterface
     private interface ResultWriter {
         byte[] write(ControlReadResult result);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
@@ -10,10 +10,10 @@
 import org.bramblerack.wire.RecordOutcome;
 
 /**
- * Has the outcomes of once-only requests agreed, trying again until they are.
+ * Commits the outcomes of once-only requests to the replicated log, retrying until it succeeds.
  *
- * <p>Recording twice is harmless, so that nothing is lost but what a stopped process had not recorded; such a request
- * stays in progress and is then shown as unknown. Safe for use by many threads.
+ * <p>Recording an outcome twice is harmless. If the process stops first, the request stays in progress and is later
+ * reported as unknown. Safe for use by many threads.
  */
 final class OutcomeRecorder {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
@@ -30,7 +30,7 @@
         this.metrics = metrics;
     }
 
-    /** Has an outcome agreed and then runs the callback. */
+    /** Commits an outcome and then runs the callback. */
     void record(RecordOutcome outcome, Runnable recorded) {
         pendingCount.incrementAndGet();
         attempt(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
@@ -7,9 +7,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A query between its arrival and its end.
+ * A query from its arrival to its end.
  *
- * <p>Invariant: it ends once, be it by a result or because its caller went away. Safe for use by many threads.
+ * <p>Invariant: it ends once, by a result or because its caller disconnected. Safe for use by many threads.
  */
 final class QueryCall {
     private final CallerQuery query;
@@ -54,7 +54,7 @@
         done.accept(result);
     }
 
-    /** Returns true to the first who ends the query. */
+    /** Ends the query; returns true for the first call only. */
     boolean tryEnd() {
         return ended.compareAndSet(false, true);
     }
@@ -75,7 +75,7 @@
         return running != null;
     }
 
-    /** Stops the work for the query, if it has begun. */
+    /** Cancels the query if it has started. */
     void cancel() {
         RunningQuery query = running;
         if (query != null) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryResult.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryResult.java
@@ -4,14 +4,18 @@
 import org.bramblerack.request.Answer;
 import org.bramblerack.request.Refusal;
 
-/** What a caller gets. */
+/** The result of a caller's query or once-only request. */
 public sealed interface QueryResult {
-    /** The answer to a query. */
+    /** A query was answered. */
     record Answered(Answer answer) implements QueryResult {}
 
-    /** A once-only request ran; replayed is true if it ran before and this is its recorded answer. */
+    /**
+     * A once-only request ran.
+     *
+     * @param replayed true if this is the recorded answer of an earlier run
+     */
     record Ran(ByteString answer, boolean replayed) implements QueryResult {}
 
-    /** The request is refused. */
+    /** The request was refused. */
     record Refused(Refusal refusal) implements QueryResult {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
@@ -23,10 +23,10 @@
 import org.bramblerack.version.ShardMap;
 
 /**
- * Admits the queries of callers and runs them.
+ * Admits and runs the queries of callers.
  *
- * <p>Safe for use by many threads: the lock of the admission is the first of the lock order and is never held while a
- * query is run.
+ * <p>Safe for use by many threads: the admission lock is the first in the lock order and is never held while a query
+ * runs.
  */
 public final class QueryRunner {
     private static final long MAX_FINALIZE_MARGIN_NANOS = Duration.ofMillis(3).toNanos();
@@ -43,7 +43,7 @@
     private final ReentrantLock admissionLock = new ReentrantLock();
     private final Map<String, QueryCall> calls = new ConcurrentHashMap<>();
 
-    /** Creates a runner that has at most the given number of queries in flight. */
+    /** Creates a runner with a maximum number of queries in flight. */
     public QueryRunner(
             ServiceDirectory directory,
             LeafRouter router,
@@ -63,9 +63,9 @@
         this.admission = new Admission(maxQueries);
     }
 
-    /** A query that was handed in. */
+    /** A submitted query. */
     public interface Handle {
-        /** Ends the query, because its caller went away. */
+        /** Cancels the query because its caller disconnected. */
         void onCallerGone();
     }
 
@@ -103,7 +103,7 @@
         return () -> workers.run(() -> onCallerGone(call));
     }
 
-    /** Returns how many queries wait or are in flight. */
+    /** Returns the number of queries that are queued or in flight. */
     public int inFlight() {
         admissionLock.lock();
         try {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RequestIds.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RequestIds.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Makes identifiers that no other life of any host makes.
+ * Generates identifiers that are unique across hosts and their incarnations.
  *
  * <p>Safe for use by many threads.
  */
@@ -12,10 +12,10 @@
     private final AtomicLong next = new AtomicLong();
 
     /**
-     * Creates a source of identifiers.
+     * Creates a generator.
      *
      * @param host this host's name
-     * @param incarnation grows with every start of this host
+     * @param incarnation a number that grows with every start of this host
      */
     public RequestIds(String host, long incarnation) {
         this.prefix = host + "." + Long.toString(incarnation, Character.MAX_RADIX) + ".";
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -16,10 +16,10 @@
 import org.bramblerack.wire.RecordOutcome;
 
 /**
- * Carries out the decisions of one attempt at a once-only request.
+ * Executes the actions of one attempt at a once-only request.
  *
- * <p>Safe for use by many threads: every event takes the request's lock, the first of the lock order. The result is
- * delivered exactly once, outside of the lock.
+ * <p>Safe for use by many threads: every event holds the request's lock, the first in the lock order. The result is
+ * delivered exactly once, without the lock held.
  */
 final class RunningOperation {
     private static final int POOL_SHARD = 0;
@@ -59,7 +59,7 @@
         this.done = done;
     }
 
-    /** How the claim is asked for. */
+    /** Proposes the claim of the request. */
     @FunctionalInterface
     interface Claimer {
         void claim(Consumer<ClaimResult> decided);
@@ -151,7 +151,7 @@
         recorder.record(outcome, () -> workers.run(() -> handle(nowNanos -> request.onRecorded())));
     }
 
-    /** One event of the request at a time. */
+    /** An event of the request, handled under its lock. */
     @FunctionalInterface
     private interface Event {
         List<OnceOnlyAction> handle(long nowNanos);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
@@ -12,10 +12,10 @@
 import org.bramblerack.version.Priority;
 
 /**
- * Carries out the decisions of one query.
+ * Executes the actions of one query.
  *
- * <p>Safe for use by many threads: every event takes the query's lock, the first of the lock order after the
- * admission's. The result is delivered exactly once, outside of the lock.
+ * <p>Safe for use by many threads: every event holds the query's lock, which follows the admission lock in the lock
+ * order. The result is delivered exactly once, without the lock held.
  */
 final class RunningQuery {
     private final Query query;
@@ -109,7 +109,7 @@
         router.send(request, outcome -> onOutcome(send.attempt(), outcome));
     }
 
-    /** One event of the query at a time. */
+    /** An event of the query, handled under its lock. */
     @FunctionalInterface
     private interface Event {
         List<QueryAction> handle(long nowNanos);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/StoppingState.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/StoppingState.java
@@ -1,11 +1,11 @@
 package org.bramblerack.daemon.entry;
 
-/** How far a process has come with a planned stop. */
+/** The progress of a planned stop. */
 public enum StoppingState {
-    /** It runs. */
+    /** The host runs normally. */
     RUNNING,
-    /** It says that it is leaving and still takes requests, because the balancer lags. */
+    /** The host reports that it is leaving and still accepts requests until the load balancer stops sending them. */
     LEAVING,
-    /** It takes no new requests and finishes those in flight. */
+    /** The host accepts no new requests and finishes those in flight. */
     FINISHING
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry role: the HTTP interface to callers and operators, and the queries in flight. */
+/** The entry role: the HTTP interface for callers and operators, and the execution of their requests. */
 @NullMarked
 package org.bramblerack.daemon.entry;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/Compression.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/Compression.java
@@ -7,28 +7,32 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Compresses the documents that hosts store and send one another. Stateless and safe for use by many threads. */
+/** Compresses the documents that hosts store and send to each other. Stateless and safe for use by many threads. */
 public final class Compression {
     private Compression() {}
 
-    /** Compresses a document. */
+    /** Compresses a document with zlib. */
     public static ByteString deflate(byte[] document) {
         ByteString.Output compressed = ByteString.newOutput();
         try (DeflaterOutputStream deflater = new DeflaterOutputStream(compressed)) {
             deflater.write(document);
         } catch (IOException impossible) {
-            throw new UncheckedIOException("memory cannot be written to", impossible);
+            throw new UncheckedIOException("failed to write to an in-memory buffer", impossible);
         }
         return compressed.toByteString();
     }
 
-    /** Restores a document. */
+    /**
+     * Decompresses a document.
+     *
+     * @throws UncheckedIOException if the bytes are not a complete zlib stream
+     */
     public static byte[] inflate(ByteString compressed) {
         ByteArrayOutputStream document = new ByteArrayOutputStream(4 * compressed.size());
         try (InflaterInputStream inflater = new InflaterInputStream(compressed.newInput())) {
             inflater.transferTo(document);
         } catch (IOException malformed) {
-            throw new UncheckedIOException("a stored document is not a compressed one", malformed);
+            throw new UncheckedIOException("failed to decompress a stored document", malformed);
         }
         return document.toByteArray();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
@@ -17,7 +17,7 @@
 import org.bramblerack.wire.TakeTrialResult;
 
 /**
- * Hands each message of another host to the part of the control role that it concerns. Safe for use by many threads.
+ * Passes each message from another host to the part of the control role that handles it. Safe for use by many threads.
  */
 final class ControlPeers implements PeerHandler {
     private static final Logger LOGGER = System.getLogger(ControlPeers.class.getName());
@@ -51,10 +51,10 @@
                         .with(
                                 delta -> reply.accept(Envelope.newBuilder().setTableDelta(delta)),
                                 failure ->
-                                        // The other host asks elsewhere once it hears nothing.
+                                        // The other host tries another control host when its request times out.
                                         LOGGER.log(
                                                 Logger.Level.DEBUG,
-                                                "tables are not told, the role has stopped: {0}",
+                                                "a table pull was not answered because the control role has stopped: {0}",
                                                 failure.getMessage()));
             case VERSION_QUERY ->
                 fleet.newestVersion()
@@ -74,12 +74,12 @@
                                 .setHarmReportResult(
                                         HarmReportResult.newBuilder().setTaken(taken))));
             default -> {
-                // A message of a newer program: not understood, so not answered.
+                // A message kind of a newer release: ignored.
             }
         }
     }
 
-    /** Admits a host that wants to vote, or passes its wish on to the leader. */
+    /** Starts replication to a host that requests to join, or forwards its request to the leader. */
     private void handleJoin(JoinRequest request) {
         if (node.isLeader()) {
             node.addLearner(request.getVoter());
@@ -95,7 +95,10 @@
         try {
             command = Command.parseFrom(bytes);
         } catch (InvalidProtocolBufferException malformed) {
-            LOGGER.log(Logger.Level.WARNING, "a command of another host cannot be read: {0}", malformed.getMessage());
+            LOGGER.log(
+                    Logger.Level.WARNING,
+                    "rejected a proposed command that cannot be parsed: {0}",
+                    malformed.getMessage());
             reply.accept(Envelope.newBuilder()
                     .setProposeResult(ProposeResult.newBuilder().setStatus(ProposeResult.Status.REFUSED)));
             return;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
@@ -28,9 +28,9 @@
 import org.bramblerack.wire.JoinRequest;
 
 /**
- * A process of the control role: wires its parts together, starts and stops them.
+ * A process with the control role: creates, starts and stops its parts.
  *
- * <p>Started once, stopped once.
+ * <p>Started once and stopped once.
  */
 public final class ControlProcess {
     private static final EventLog EVENTS = EventLog.of(ControlProcess.class);
@@ -53,9 +53,9 @@
     private volatile boolean stopping;
 
     /**
-     * Creates a process that does nothing yet but to find out who it is.
+     * Creates a process that has loaded or created its identity and does nothing else yet.
      *
-     * @param incarnation tells this start of the host from others
+     * @param incarnation distinguishes this start of the host from others
      * @throws DiskFault if its data folder cannot be used
      */
     public ControlProcess(
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Reads what was stored, listens, and takes part in the agreement.
+     * Loads the stored state, listens, and joins the cluster.
      *
      * @throws InterruptedException if the thread is interrupted meanwhile
-     * @throws DiskFault if what was stored cannot be trusted
+     * @throws DiskFault if the stored state is corrupt or cannot be read
      */
     public void start() throws InterruptedException, DiskFault {
         if (!store.exists()) {
@@ -126,7 +126,10 @@
                 .write();
     }
 
-    /** The seeds of a first start are the first voters; every other host with an empty disk has to join them. */
+    /**
+     * Returns the identity for an empty disk. At the first start of the cluster its seeds are the initial voters; every
+     * other host has to join them.
+     */
     private static VoterIdentity newIdentity(ControlSettings settings, RandomGenerator random) {
         String address = settings.peerAddress().toString();
         if (settings.firstStart() && settings.seeds().contains(address)) {
@@ -135,7 +138,7 @@
         return new VoterIdentity(VoterName.generate(address, random), ImmutableSortedSet.of());
     }
 
-    /** Asks to be sent the log, and to vote in time, as long as no leader does so. */
+    /** Requests replication and, later, a vote from the known control hosts while this host is not up to date. */
     private void requestToJoinIfNeeded() {
         if (node.isUpToDate()) {
             return;
@@ -153,12 +156,12 @@
                                 .setJoinRequest(JoinRequest.newBuilder().setVoter(identity.name()))));
     }
 
-    /** Returns what it does for leafs and operators. */
+    /** Returns the service for leaves, operators and entry hosts. */
     public FleetControl fleet() {
         return fleet;
     }
 
-    /** Takes over from changed settings what may change while the process runs: the seeds. */
+    /** Applies the settings that may change while the process runs, which are the seeds. */
     public void reload(ControlSettings changed) {
         seeds = changed.seeds();
         EVENTS.info("settings_reloaded")
@@ -167,17 +170,17 @@
                 .write();
     }
 
-    /** Returns the event loop, for listeners that share it. */
+    /** Returns the event loop, so that listeners can share it. */
     public EventLoopGroup eventLoop() {
         return group;
     }
 
-    /** Sets what to do if the role ends by itself, because an agreed command cannot be read. */
+    /** Sets the task to run if the role ends because a committed command cannot be parsed. */
     public void onRoleEnded(Runnable task) {
         onRoleEnded = task;
     }
 
-    /** Stops taking part. */
+    /** Stops the role, the listener and the connections. */
     public void stop() {
         stopping = true;
         EVENTS.info("stopping").with("host", settings.name()).write();
@@ -188,7 +191,7 @@
 
     private void reportContactsOrEnd() {
         if (!stopping && !node.isRunning()) {
-            // An agreed command cannot be read: only another version of the program can go on from there.
+            // A committed command cannot be parsed; only another release of the program can continue from there.
             EVENTS.warning("role_ended").with("host", settings.name()).write();
             onRoleEnded.run();
             return;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlSettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlSettings.java
@@ -14,12 +14,12 @@
  * @param name the host's name
  * @param zone its availability zone
  * @param region its region
- * @param peerAddress where other hosts reach it; the voter's name as well
- * @param controlAddress where leafs and operators reach it
- * @param seeds the peer addresses of the control hosts that are known beforehand
- * @param firstStart true if the whole system starts for the first time, so that the seeds are the first voters
- * @param tolerableFailures how many control hosts may be lost at once
- * @param dataFolder where its files are
+ * @param peerAddress the address for other hosts, which is also the name of an initial voter
+ * @param controlAddress the address for leaves and operators
+ * @param seeds the peer addresses of the control hosts that are configured
+ * @param firstStart true if the cluster starts for the first time, with the seeds as initial voters
+ * @param tolerableFailures how many control hosts may fail at the same time
+ * @param dataFolder the folder of its files
  */
 public record ControlSettings(
         String name,
@@ -31,8 +31,8 @@
         boolean firstStart,
         int tolerableFailures,
         Path dataFolder) {
-    /** Refuses settings without a seed. */
+    /** Validates that there is at least one seed. */
     public ControlSettings {
-        checkArgument(!seeds.isEmpty(), "no control host is named; name one at least");
+        checkArgument(!seeds.isEmpty(), "the settings name no seed; name at least one control host");
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -39,24 +39,24 @@
 import org.bramblerack.wire.VersionQueryResult;
 
 /**
- * What a control host does for leafs, operators and entry hosts.
+ * The service of a control host for leaves, operators and entry hosts.
  *
- * <p>A report that says nothing new is acknowledged by this host alone, as long as it hears a leader; everything else
- * is acknowledged only once it is agreed. The last-heard times of members are this host's own and are shared with the
- * leader, which forgets members that nobody hears. Safe for use by many threads.
+ * <p>A report that changes nothing is acknowledged by this host alone while it is up to date; any other is acknowledged
+ * only after it is committed. Each control host records its own last contact with members and reports it to the leader,
+ * which removes silent members. Safe for use by many threads.
  */
 public final class FleetControl {
     private static final Logger LOGGER = System.getLogger(FleetControl.class.getName());
     private static final EventLog EVENTS = EventLog.of(FleetControl.class);
-    /** A leaf waits a second for its acknowledgement, so a decision must come sooner. */
+    /** Less than the second that a leaf waits for the acknowledgement. */
     private static final Duration REPORT_TIMEOUT = Duration.ofMillis(850);
-    /** An operator moves on after a second without an answer. */
+    /** Less than the second that an operator's request waits for the answer. */
     private static final Duration CHANGE_TIMEOUT = Duration.ofMillis(900);
 
     private static final Duration READ_TIMEOUT = Duration.ofMillis(800);
-    /** A caller waits for the answer, so it comes within a few round trips or not at all. */
+    /** A few round trips; a caller's request waits for the result. */
     private static final Duration VERSION_READ_TIMEOUT = Duration.ofMillis(450);
-    /** More than the entry hosts that follow one control host, each of which asks once at a time. */
+    /** More than the entry hosts that follow one control host, each of which has one query at a time. */
     private static final int MAX_VERSION_QUERIES = 10_000;
 
     private final ControlNode node;
@@ -71,7 +71,7 @@
     private final SharedReads<Consumer<VersionQueryResult>> versionReads = new SharedReads<>(MAX_VERSION_QUERIES);
     private boolean wasLeader;
 
-    /** Creates the service; nothing happens before it is called. */
+    /** Creates the service. */
     public FleetControl(
             ControlNode node,
             ControlClient client,
@@ -85,7 +85,7 @@
         this.wallClock = wallClock;
     }
 
-    /** Takes the report of a leaf. */
+    /** Handles the report of a leaf. */
     public Uni<FleetOutcome> reportLeaf(LeafRecord report) {
         return node.withTables((tables, upToDate, nowNanos) -> {
                     synchronized (membership) {
@@ -107,9 +107,7 @@
                 .invoke(outcome -> count("fleet_leaf_report_", outcome));
     }
 
-    /**
-     * Writes a line about what a leaf reports anew; the log of agreement takes few enough that none need be left out.
-     */
+    /** Logs a report that changed something; these are rare enough not to be rate-limited. */
     private static void logLeafReport(LeafRecord report, FleetOutcome outcome) {
         EVENTS.info("leaf_reported")
                 .with("leaf", report.getId())
@@ -120,7 +118,7 @@
                 .write();
     }
 
-    /** Takes a whole configuration that was checked before. */
+    /** Proposes a whole configuration, which must have been validated. */
     public Uni<FleetOutcome> putConfiguration(long version, ByteString compressedDocument) {
         Command command = Command.newBuilder()
                 .setPutConfiguration(
@@ -135,7 +133,10 @@
         });
     }
 
-    /** Takes what a host saw of requests that end leafs, and tells whether it was agreed on. */
+    /**
+     * Handles a host's report on requests under which leaves ended; returns true if the report is committed or already
+     * known.
+     */
     public Uni<Boolean> reportHarm(HarmReport report) {
         return node.withTables((tables, upToDate, nowNanos) ->
                         upToDate && !tables.harm().wouldChange(report))
@@ -152,7 +153,7 @@
                 .map(outcome -> outcome == FleetOutcome.ACKNOWLEDGED);
     }
 
-    /** Tells whether an arrival of a request on trial may be sent to leafs, if that can be agreed on. */
+    /** Requests a trial of a suspect request. Returns whether it is granted, or nothing if that was not decided. */
     public Uni<Optional<Boolean>> takeTrial(TakeTrial trial) {
         Command command = Command.newBuilder()
                 .setTakeTrial(trial.toBuilder().setAtMillis(wallClock.millis()))
@@ -177,7 +178,7 @@
         return granted.get() ? "granted" : "refused";
     }
 
-    /** Has the leafs of an availability zone get no work, or takes that back; either may be said again. */
+    /** Starts or ends the drain of an availability zone, whose leaves receive no requests meanwhile. Idempotent. */
     public Uni<FleetOutcome> drainZone(String zone, boolean drained) {
         Command command = Command.newBuilder()
                 .setSetZoneDrain(SetZoneDrain.newBuilder().setZone(zone).setDrained(drained))
@@ -192,7 +193,7 @@
         });
     }
 
-    /** Returns the compressed document of the newest configuration, if it is certain that it is the newest. */
+    /** Returns the compressed document of the newest configuration, or nothing if a leader could not confirm it. */
     public Uni<Optional<ByteString>> newestConfiguration() {
         return client.read(
                         ControlRead.newBuilder()
@@ -202,7 +203,7 @@
                 .map(result -> result.getCurrent() ? Optional.of(result.getRoutingDocument()) : Optional.empty());
     }
 
-    /** Returns the version of the newest configuration, as confirmed from now on; hosts that ask meanwhile share it. */
+    /** Returns the version of the newest configuration, confirmed after this call. Concurrent requests share a read. */
     public Uni<VersionQueryResult> newestVersion() {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued;
@@ -249,7 +250,7 @@
         readVersionIfRequested();
     }
 
-    /** Answers a host that follows the tables; if it takes part already, notes that it lives. */
+    /** Returns the changes of the tables that a host requests, and records the contact if the host is a member. */
     public Uni<TableDelta> pull(TablePull pull) {
         if (!pull.hasSelf()) {
             return node.pullTables(pull);
@@ -269,17 +270,17 @@
                 .chain(unused -> node.pullTables(pull));
     }
 
-    /** Adds a host to the tables, or changes what they say of it. */
+    /** Proposes to add a host to the tables or to update its record. */
     public void reportHost(HostRecord host) {
         propose(Command.newBuilder().setReportHost(host).build(), REPORT_TIMEOUT)
                 .subscribe()
                 .with(
-                        outcome ->
-                                LOGGER.log(Logger.Level.DEBUG, "the report of host {0}: {1}", host.getName(), outcome),
-                        failure -> LOGGER.log(Logger.Level.WARNING, "the report of a host failed", failure));
+                        outcome -> LOGGER.log(
+                                Logger.Level.DEBUG, "the report of host {0} ended with {1}", host.getName(), outcome),
+                        failure -> LOGGER.log(Logger.Level.WARNING, "a host's report could not be proposed", failure));
     }
 
-    /** Takes what another control host has heard of. */
+    /** Merges the contacts that another control host reports. */
     public void mergeContacts(HeardMembers report, long nowNanos) {
         synchronized (membership) {
             membership.merge(report, nowNanos);
@@ -287,9 +288,9 @@
     }
 
     /**
-     * Tells the leader what was heard of; as the leader, forgets who is silent. Call it every second.
+     * Reports the recorded contacts to the leader or, on the leader, removes silent members. Call it every second.
      *
-     * @param own what the tables should say of this host
+     * @param own the record that the tables should have of this host
      */
     public void reportContacts(HostRecord own) {
         node.withTables((tables, upToDate, nowNanos) -> {
@@ -321,10 +322,16 @@
                     }
                 })
                 .subscribe()
-                .with(this::markGone, failure -> LOGGER.log(Logger.Level.DEBUG, "the control role has stopped"));
+                .with(
+                        this::markGone,
+                        failure -> LOGGER.log(
+                                Logger.Level.DEBUG, "contacts were not reported: the control role has stopped"));
     }
 
-    /** As the leader, has the way to the leafs of shards changed if the rate of queries asks for it. */
+    /**
+     * On the leader, switches between direct calls to the leaves of shards and calls through holders if the rate of
+     * queries requires it.
+     */
     private void updateShardAccess(ReplicatedTables tables, long nowNanos) {
         int entryHosts = (int)
                 tables.presentHosts().stream().filter(HostRecord::getEntry).count();
@@ -347,16 +354,18 @@
                             .with(
                                     outcome -> {},
                                     failure -> LOGGER.log(
-                                            Logger.Level.WARNING, "a change of the way to shards failed", failure));
+                                            Logger.Level.WARNING,
+                                            "a change of the shard access could not be proposed",
+                                            failure));
                 });
     }
 
-    /** Returns the leaf as the tables of this host have it. */
+    /** Returns the record of a leaf in the tables of this host. */
     public Uni<Optional<LeafRecord>> findLeaf(String id) {
         return node.withTables((tables, upToDate, nowNanos) -> tables.leaf(id));
     }
 
-    /** Returns the control host nearest to a zone: in it, else in its region, if the tables have one. */
+    /** Returns a ready control host in a zone, or else in its region, if the tables have one. */
     public Uni<Optional<HostRecord>> nearestControl(String zone, String region) {
         return node.withTables((tables, upToDate, nowNanos) -> {
             Optional<HostRecord> inRegion = Optional.empty();
@@ -373,12 +382,12 @@
         });
     }
 
-    /** Returns the peer addresses of the other control hosts in the tables, as of the last second. */
+    /** Returns the peer addresses of the control hosts in the tables, at most a second old. */
     public ImmutableList<String> knownControlHosts() {
         return knownControlHosts;
     }
 
-    /** Returns true if the host at a peer address was in another region, as of the last second. */
+    /** Returns true if the host at a peer address is in another region, by tables at most a second old. */
     public boolean isInOtherRegion(String peerAddress) {
         return hostsInOtherRegions.contains(peerAddress);
     }
@@ -399,7 +408,10 @@
                 .write();
         propose(Command.newBuilder().setForgetMembers(silent).build(), REPORT_TIMEOUT)
                 .subscribe()
-                .with(outcome -> {}, failure -> LOGGER.log(Logger.Level.WARNING, "forgetting failed", failure));
+                .with(
+                        outcome -> {},
+                        failure -> LOGGER.log(
+                                Logger.Level.WARNING, "the removal of silent members could not be proposed", failure));
     }
 
     private Uni<FleetOutcome> propose(Command command, Duration timeout) {
@@ -416,7 +428,10 @@
     }
 
     private static FleetOutcome onRoleStopped(Throwable failure) {
-        LOGGER.log(Logger.Level.DEBUG, "a report came while the control role stops: {0}", failure.getMessage());
+        LOGGER.log(
+                Logger.Level.DEBUG,
+                "rejected a report because the control role has stopped: {0}",
+                failure.getMessage());
         return FleetOutcome.NOT_TAKEN;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetOutcome.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetOutcome.java
@@ -1,13 +1,13 @@
 package org.bramblerack.daemon.fleet;
 
-/** What a leaf or an operator is told of a report or a change. */
+/** The outcome of a report or a change that a leaf or an operator sent. */
 public enum FleetOutcome {
-    /** It is agreed and will last. */
+    /** It is committed and durable. */
     ACKNOWLEDGED,
 
-    /** It was not taken here; another control host may take it. */
+    /** It was rejected here; another control host may accept it. */
     NOT_TAKEN,
 
-    /** Whether it was taken is not known; sending it again is safe. */
+    /** It is unknown whether it was committed; sending it again is safe. */
     UNDECIDED
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** The control role as leafs, operators and entry hosts use it: reports, configurations, and the tables they follow. */
+/** The service of the control role for leaves, operators and entry hosts: reports, configurations and tables. */
 @NullMarked
 package org.bramblerack.daemon.fleet;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
@@ -11,9 +11,12 @@
 import java.util.function.Supplier;
 import org.bramblerack.wire.Envelope;
 
-/** Sets up a connection that carries length-prefixed protobuf frames. Immutable and safe for use by many threads. */
+/**
+ * Sets up the channel handlers of a connection that carries length-prefixed protobuf frames. Immutable and safe for use
+ * by many threads.
+ */
 final class FramePipeline extends ChannelInitializer<SocketChannel> {
-    /** The largest frame that is accepted, in bytes; a longer one ends the connection. */
+    /** The maximum frame size in bytes; a longer frame closes the connection. */
     static final int MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/LinkPolicy.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/LinkPolicy.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * What happens to messages on the way to another host; the ordinary policy passes them on.
+ * Drops or delays messages to other hosts; the default policy does neither.
  *
- * <p>Tests and benchmarks use other policies to delay messages or to cut hosts off. Implementations must be safe for
+ * <p>Tests and benchmarks use other policies to inject latency and network partitions. Implementations must be safe for
  * use by many threads.
  */
 public interface LinkPolicy {
-    /** Passes every message on at once. */
+    /** Delivers every message without delay. */
     LinkPolicy OPEN = new LinkPolicy() {
         @Override
         public boolean isPartitioned(String host) {
@@ -25,6 +25,6 @@
     /** Returns true if messages to and from a host are dropped. */
     boolean isPartitioned(String host);
 
-    /** Returns how long a message to a host is held back. */
+    /** Returns the delay of messages to a host. */
     Duration delay(String host);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
@@ -29,30 +29,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The connection to one other host, made when it is first needed and made again after it was lost.
+ * The connection to one other host, opened when it is first needed and reopened after it was lost.
  *
- * <p>A connection on which something was written and nothing came back for a while is closed, since a cut says nothing
- * and a connection that outlived one may take long to carry anything again.
+ * <p>A connection that receives nothing for {@link #SILENCE_TIMEOUT_NANOS} after a write is closed, because a network
+ * partition closes no connection, and one that outlived a partition may recover slowly.
  *
  * <p>Invariants: every request is completed exactly once, by its reply or by a {@link PeerFailure} that says whether it
- * was handed over. What waits to be written is bounded: beyond that, requests are not sent. Attempts to connect are
- * spaced out.
+ * was sent. The write buffer is bounded, and requests beyond it fail as not sent. Attempts to connect are spaced by
+ * {@link #RECONNECT_INTERVAL_NANOS}.
  *
- * <p>Safe for use by many threads. The lock of this object guards only the state of connecting; nothing is called under
- * it.
+ * <p>Safe for use by many threads. The lock of this object guards only the connecting state, and no callback is invoked
+ * while it is held.
  */
 final class PeerConnection {
     private static final EventLog EVENTS = EventLog.of(PeerConnection.class);
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-    /** How often each connection is to be probed. */
+    /** The interval at which {@link #probe} is to be called. */
     static final Duration PROBE_PERIOD = Duration.ofMillis(500);
 
-    /** Two probes and a round trip between regions without a sign of life. */
+    /** Two probe periods and a round trip between regions. */
     private static final long SILENCE_TIMEOUT_NANOS = Duration.ofMillis(1_300).toNanos();
 
-    /** Long enough to connect to another region even on a host that has just started and is busy. */
+    /** Long enough to connect to another region from a host that has just started and is busy. */
     private static final Duration MAX_CONNECTION_WAIT = Duration.ofMillis(500);
-    /** Requests beyond these are not sent while a connection is made. */
+    /** Further messages are not sent while a connection is being opened. */
     private static final int MAX_WAITING_TASKS = 256;
 
     private static final long RECONNECT_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
@@ -66,7 +66,7 @@
     private final Map<Long, PendingRequest> pending = new ConcurrentHashMap<>();
     private volatile @Nullable Channel channel;
     private volatile Optional<Long> unansweredSinceNanos = Optional.empty();
-    /** What waits for a connection that is being made; each is an object of its own, so that it can be taken out. */
+    /** The tasks that wait for the connection being opened. Each is a distinct object, so that it can be removed. */
     private final List<Consumer<@Nullable Channel>> waitingTasks = new ArrayList<>();
 
     private boolean connecting;
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Sends a message that asks for no reply; it may be lost. If there is no connection, it waits a moment for one that
-     * is being made: otherwise the first request for a vote after a start would always be lost.
+     * Sends a message without a reply, which may be lost. Waits briefly for a connection that is being opened, because
+     * otherwise the first request for a vote after a start would always be lost.
      */
     void send(Envelope.Builder message) {
         Channel open = openChannel();
@@ -98,15 +98,15 @@
         }
     }
 
-    /** Sends a message that asks for a reply. The request is made when the result is subscribed to. */
+    /** Sends a message that expects a reply, when the result is subscribed to. */
     Uni<Envelope> request(Envelope.Builder message, Duration timeout, Consumer<Envelope> progress) {
         return Uni.createFrom().emitter(emitter -> requestOn(openChannel(), message, timeout, progress, emitter));
     }
 
     /**
-     * Sends a message that asks for a reply; if there is no connection, it waits a moment for one that is being made.
+     * Sends a message that expects a reply; waits briefly for a connection that is being opened.
      *
-     * @param message makes the message when it is sent, so that the times in it are those of then
+     * @param message builds the message when it is sent, so that the remaining times in it are correct
      */
     Uni<Envelope> requestWhenConnected(
             Supplier<Envelope.Builder> message, Duration timeout, Consumer<Envelope> progress) {
@@ -119,7 +119,10 @@
         });
     }
 
-    /** Has a task run once there is a connection, or with none if there is none soon; false if none is being made. */
+    /**
+     * Runs a task once the connection is open, or with null if it is not open in time. Returns false, without running
+     * the task, if no connection is being opened or too many tasks wait.
+     */
     private boolean awaitConnection(Consumer<@Nullable Channel> task) {
         synchronized (this) {
             if (!connecting || waitingTasks.size() >= MAX_WAITING_TASKS) {
@@ -196,7 +199,7 @@
         return open;
     }
 
-    /** Returns the connection if there is one: it may have been made by its own thread a moment ago. */
+    /** Returns the channel if it is active. The event loop may have opened it since the last check. */
     private @Nullable Channel activeChannel() {
         Channel open = channel;
         return open != null && open.isActive() ? open : null;
@@ -242,8 +245,8 @@
     }
 
     /**
-     * Asks for a sign of life if something was written and nothing came since, and closes a connection that has not
-     * given one for long. To be called every {@link #PROBE_PERIOD}.
+     * Sends a ping if nothing was received since the first unanswered write, and closes the connection after
+     * {@link #SILENCE_TIMEOUT_NANOS}. Call it every {@link #PROBE_PERIOD}.
      */
     void probe() {
         Channel open = channel;
@@ -264,7 +267,7 @@
         }
     }
 
-    /** Notes that something is written, from when on silence counts unless it counts already. */
+    /** Starts the silence timeout at a write unless it is running. */
     private void startSilenceTimer() {
         if (unansweredSinceNanos.isEmpty()) {
             unansweredSinceNanos = Optional.of(System.nanoTime());
@@ -282,7 +285,8 @@
     /**
      * A request that waits for its reply.
      *
-     * @param timeoutTask fails it when its time is over; cancelled with its end, so that it wakes nobody later
+     * @param timeoutTask fails the request at its timeout; cancelled when the request ends, so that it causes no later
+     *     wakeup
      */
     private record PendingRequest(
             UniEmitter<? super Envelope> emitter,
@@ -290,7 +294,7 @@
             ScheduledFuture<?> timeoutTask,
             Consumer<Envelope> progress) {}
 
-    /** Completes the requests of one connection. */
+    /** Completes the pending requests of one connection. */
     private final class ReplyHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerFailure.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerFailure.java
@@ -1,30 +1,30 @@
 package org.bramblerack.daemon.peer;
 
 /**
- * Why a request to another host got no reply.
+ * A request to another host that got no reply.
  *
  * <p>Immutable and safe for use by many threads.
  */
 public final class PeerFailure extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is known of the request. */
+    /** Whether the request was sent. */
     public enum Kind {
-        /** It was never handed over. */
+        /** The request was not sent. */
         NOT_SENT,
-        /** It was handed over, and the connection was lost or the time ran out. */
+        /** The request was sent, and the connection was lost or the request timed out. */
         SENT
     }
 
     private final Kind kind;
 
-    /** Creates a failure; it carries no stack trace, as it is an ordinary event. */
+    /** Creates a failure without a stack trace, as it is an ordinary event. */
     public PeerFailure(Kind kind, String message) {
         super(message, null, false, false);
         this.kind = kind;
     }
 
-    /** Returns what is known of the request. */
+    /** Returns whether the request was sent. */
     public Kind kind() {
         return kind;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
@@ -18,11 +18,11 @@
 /**
  * The connections of this host to all others.
  *
- * <p>The hosts are either listed when the network is created, or found by their addresses as they are needed. Safe for
- * use by many threads.
+ * <p>The hosts are either listed when the network is created, or resolved by their addresses when they are needed. Safe
+ * for use by many threads.
  */
 public final class PeerNetwork {
-    /** Separates the address in a host's name from what tells apart several hosts that had it. */
+    /** Separates the address in a host's name from the suffix that distinguishes hosts with the same address. */
     public static final char TAG_SEPARATOR = '#';
 
     private final String self;
@@ -34,7 +34,7 @@
     private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
 
     /**
-     * Creates the network; connections are made as they are needed.
+     * Creates the network; connections are opened when they are needed.
      *
      * @param self this host's name
      * @param hosts all hosts
@@ -61,37 +61,37 @@
         this.linkPolicy = linkPolicy;
         this.traffic = traffic;
         long periodNanos = PeerConnection.PROBE_PERIOD.toNanos();
-        // One task for all connections: each with its own would wake a host with dozens of them all the time.
+        // One task for all connections, as a task for each would wake the host far more often.
         this.probeTask =
                 group.next().scheduleWithFixedDelay(this::probeAll, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Creates a network in which a host's name is the address that it listens at for other hosts, so that hosts need
-     * not be known beforehand. What follows a {@link #TAG_SEPARATOR} in a name is not part of the address.
+     * Creates a network in which a host's name is its peer address, so that hosts need not be configured. The part of a
+     * name from {@link #TAG_SEPARATOR} on does not belong to the address.
      */
     public static PeerNetwork byAddress(String self, EventLoopGroup group, LinkPolicy linkPolicy, PeerTraffic traffic) {
         return new PeerNetwork(self, true, group, linkPolicy, traffic);
     }
 
-    /** Returns the address that a host's name is or begins with. */
+    /** Returns the address part of a host's name. */
     public static String addressOf(String host) {
         int tag = host.indexOf(TAG_SEPARATOR);
         return tag < 0 ? host : host.substring(0, tag);
     }
 
-    /** Returns the names of the other hosts, as far as they are known. */
+    /** Returns the names of the other hosts that are known. */
     public ImmutableList<String> others() {
         return ImmutableList.copyOf(connections.keySet());
     }
 
-    /** Sends a message that asks for no reply; it may be lost. */
+    /** Sends a message without a reply, which may be lost. */
     public void send(String host, Envelope.Builder message) {
         find(host).ifPresent(connection -> connection.send(message));
     }
 
     /**
-     * Sends a message that asks for a reply.
+     * Sends a message that expects a reply.
      *
      * @return the reply, or a {@link PeerFailure}
      */
@@ -100,9 +100,9 @@
     }
 
     /**
-     * Sends a message that asks for a reply.
+     * Sends a message that expects a reply.
      *
-     * @param progress takes what the other host says of its progress before the reply
+     * @param progress gets the progress messages that arrive before the reply
      * @return the reply, or a {@link PeerFailure}
      */
     public Uni<Envelope> request(String host, Envelope.Builder message, Duration timeout, Consumer<Envelope> progress) {
@@ -114,10 +114,10 @@
     }
 
     /**
-     * Sends a message that asks for a reply, after a moment if the connection is just being made.
+     * Sends a message that expects a reply; waits briefly for a connection that is being opened.
      *
-     * @param message makes the message when it is sent, so that the times in it are those of then
-     * @param progress takes what the other host says of its progress before the reply
+     * @param message builds the message when it is sent, so that the remaining times in it are correct
+     * @param progress gets the progress messages that arrive before the reply
      * @return the reply, or a {@link PeerFailure}
      */
     public Uni<Envelope> requestWhenConnected(
@@ -129,14 +129,14 @@
         return connection.get().requestWhenConnected(message, timeout, progress);
     }
 
-    /** Closes the connection to a host that is gone; it is made again if it is needed after all. */
+    /** Closes the connection to a host that is gone; it is reopened if it is needed again. */
     public void disconnect(String host) {
         if (resolvesByAddress) {
             Optional.ofNullable(connections.remove(host)).ifPresent(PeerConnection::close);
         }
     }
 
-    /** Closes every connection; requests in flight fail. */
+    /** Closes every connection; pending requests fail. */
     public void stop() {
         probeTask.cancel(false);
         connections.values().forEach(PeerConnection::close);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
@@ -16,9 +16,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Accepts the connections of other hosts and hands their messages to a handler.
+ * Accepts the connections of other hosts and passes their messages to a handler.
  *
- * <p>A malformed frame ends its connection and nothing else. Started once, stopped once; safe for use by many threads.
+ * <p>A malformed frame closes only its own connection. Started once and stopped once; safe for use by many threads.
  */
 public final class PeerServer {
     private static final int BACKLOG = 256;
@@ -31,7 +31,7 @@
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private @Nullable Channel listening;
 
-    /** Creates a server that does not yet listen. */
+    /** Creates a server that does not listen yet. */
     public PeerServer(
             HostAndPort address,
             PeerHandler handler,
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
      * @throws InterruptedException if the thread is interrupted while the address is bound
      */
@@ -73,7 +73,7 @@
         channels.close().awaitUninterruptibly();
     }
 
-    /** Hands the messages of one connection to the handler and writes the replies back to it. */
+    /** Passes the messages of one connection to the handler and writes the replies to the connection. */
     private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
@@ -11,10 +11,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts what this host sends to other hosts: apart for leaf calls and for control, and by kind of message.
+ * Counts the bytes and messages that this host sends to other hosts, separately for leaf calls and control traffic, and
+ * the bytes by kind of message.
  *
- * <p>Bytes that leave the region are counted apart, since they are the dearest. Safe for use by many threads if the
- * predicate that it was given is.
+ * <p>Bytes to other regions are also counted separately, because they cost the most. Safe for use by many threads if
+ * the given predicate is.
  */
 public final class PeerTraffic {
     private static final int FRAME_HEADER_BYTES = 4;
@@ -28,15 +29,15 @@
     private final Map<Envelope.BodyCase, Counter> bytesByKind = new EnumMap<>(Envelope.BodyCase.class);
     private final Map<Envelope.BodyCase, Counter> crossRegionBytesByKind = new EnumMap<>(Envelope.BodyCase.class);
 
-    /** Creates counts that are shown nowhere by kind. */
+    /** Creates counters whose counts by kind of message are not published. */
     public PeerTraffic() {
         this(new MetricRegistry(), host -> false);
     }
 
     /**
-     * Creates counts that are kept in a registry as well, a counter for each kind of message.
+     * Creates counters that are also published in a registry, one for each kind of message.
      *
-     * @param isInOtherRegion true of the name of a host in another region
+     * @param isInOtherRegion tests whether the host of a name is in another region
      */
     public PeerTraffic(MetricRegistry metrics, Predicate<String> isInOtherRegion) {
         this.isInOtherRegion = isInOtherRegion;
@@ -48,9 +49,9 @@
     }
 
     /**
-     * Counts a message.
+     * Records a sent message.
      *
-     * @param host the name of the host that it is sent to
+     * @param host the name of the receiving host
      */
     void recordSent(String host, Envelope message) {
         long bytes = (long) message.getSerializedSize() + FRAME_HEADER_BYTES;
@@ -83,7 +84,7 @@
         return leafMessages.sum();
     }
 
-    /** Returns the bytes sent for everything else: heartbeats, agreement, configuration. */
+    /** Returns the bytes sent for everything else: heartbeats, replication, configuration. */
     public long controlBytes() {
         return controlBytes.sum();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/Workers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/Workers.java
@@ -10,11 +10,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The pool of workers on which all decisions of a process are made, and its timer.
+ * The thread pool that runs all decisions of a process, and its timer.
  *
- * <p>Events are handed over by network threads and the timer, which never decide anything themselves. The tables that
- * the workers share have a stated lock order: {@code docs/DESIGN.md}. A task that throws is logged and ends nothing
- * else. Safe for use by many threads.
+ * <p>Network threads and the timer only submit tasks. The lock order of the tables that the workers share is in
+ * {@code docs/DESIGN.md}. A task that throws is logged and affects no other task. Safe for use by many threads.
  */
 public final class Workers {
     private static final Logger LOGGER = System.getLogger(Workers.class.getName());
@@ -22,7 +21,7 @@
     private final ExecutorService pool;
     private final ScheduledExecutorService timer;
 
-    /** Creates and starts a pool of the given number of threads. */
+    /** Creates a pool with the given number of threads. */
     public Workers(String name, int threads) {
         AtomicInteger number = new AtomicInteger();
         this.pool = Executors.newFixedThreadPool(
@@ -30,12 +29,12 @@
         this.timer = Executors.newSingleThreadScheduledExecutor(task -> daemonThread(task, name + "-timer"));
     }
 
-    /** Runs a task on a worker. After {@link #stop} it is dropped. */
+    /** Runs a task on a worker; dropped after {@link #stop}. */
     public void run(Runnable task) {
         try {
             pool.execute(() -> runAndLogFailure(task));
         } catch (RejectedExecutionException stopped) {
-            LOGGER.log(Logger.Level.DEBUG, "a task came after the workers stopped");
+            LOGGER.log(Logger.Level.DEBUG, "dropped a task that was submitted after the workers stopped");
         }
     }
 
@@ -44,16 +43,16 @@
         try {
             timer.schedule(() -> run(task), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException stopped) {
-            LOGGER.log(Logger.Level.DEBUG, "a timer was set after the workers stopped");
+            LOGGER.log(Logger.Level.DEBUG, "dropped a delayed task that was submitted after the workers stopped");
         }
     }
 
-    /** Runs a task on a worker again and again. */
+    /** Runs a task on a worker repeatedly, with a fixed delay. */
     public void runEvery(Duration period, Runnable task) {
         timer.scheduleWithFixedDelay(() -> run(task), period.toNanos(), period.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Stops the pool; tasks that wait are dropped. */
+    /** Stops the pool; queued tasks are dropped. */
     public void stop() {
         timer.shutdownNow();
         pool.shutdownNow();
@@ -63,7 +62,10 @@
         try {
             task.run();
         } catch (RuntimeException failure) {
-            LOGGER.log(Logger.Level.ERROR, "a task failed; this is a fault of the program, please report it", failure);
+            LOGGER.log(
+                    Logger.Level.ERROR,
+                    "a task failed with an unexpected exception; please report it as a bug",
+                    failure);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between the project's own processes: Netty connections that carry protobuf frames. */
+/** Messages between the processes of this project: Netty connections that carry protobuf frames. */
 @NullMarked
 package org.bramblerack.daemon.peer;
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/ControlNodeTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/ControlNodeTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk that refuses writes for a while takes the role out of the agreement, and nothing acknowledged is lost. */
+/** A full disk stops the control role from serving; it recovers without losing acknowledged changes. */
 final class ControlNodeTest {
     private static final Duration WAIT = Duration.ofSeconds(10);
     private static final String SELF = "voter";
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
@@ -48,7 +48,7 @@
         assertThat(stored.entries()).hasSize(9);
     }
 
-    /** A process may die between its write and its sync; what the next one reads must not be lost by a later crash. */
+    /** A process may crash between a write and its sync; what the next process loads must survive a later crash. */
     @Test
     void theLogIsSyncedWhenItIsLoaded() throws DiskFault {
         AtomicInteger syncs = new AtomicInteger();
@@ -58,7 +58,7 @@
         assertThat(syncs.get()).isEqualTo(1);
     }
 
-    /** Agreed documents hold the keys of callers. */
+    /** Committed documents contain the keys of callers. */
     @Test
     void filesAreReadableByTheOwnerOnly() throws Exception {
         Files.writeString(folder.resolve("log.new"), "left by a crash");
@@ -106,7 +106,7 @@
         assertThat(load().entries()).hasSize(4);
     }
 
-    /** A crash at any byte of the last write: nothing that was synced before it is lost. */
+    /** A crash at any byte of the last write loses nothing that was synced before. */
     @Test
     void aTornTailIsCutBackToWhatWasSynced() throws IOException {
         byte[] whole = Files.readAllBytes(log());
@@ -120,7 +120,7 @@
         }
     }
 
-    /** A flipped bit in anything that was synced before the last batch is named and refused. */
+    /** A flipped bit in anything that was synced before the last batch is refused. */
     @Test
     void corruptionIsRefusedWithTheNameOfTheFile() throws IOException {
         byte[] whole = Files.readAllBytes(log());
@@ -171,7 +171,7 @@
         assertThrows(DiskFault.class, this::load);
     }
 
-    /** A voter that lost its disk must not vote again as if it never had. */
+    /** A voter that lost its disk must not vote again, because it could vote twice in a term. */
     @Test
     void anEmptyFolderIsRefusedAndAStateIsNotReplaced() throws IOException {
         DiskFault replaced = assertThrows(DiskFault.class, () -> new FileLogStore(folder).initialize());
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Every host of a fleet asks for the tables at once after a start, before the control hosts have elected a leader. */
+/** After a start of the whole fleet all hosts request tables before a leader is elected. */
 final class TableSubscriptionsTest {
     private static final long MILLI_NANOS = Duration.ofMillis(1).toNanos();
     private static final long MAX_WAIT_NANOS = 700 * MILLI_NANOS;
@@ -47,7 +47,7 @@
         assertThat(deltas.get(0).getHostsCount()).isEqualTo(0);
     }
 
-    /** A leaf that leaves must be known everywhere, also where the leader is not heard. */
+    /** A departed leaf must become known everywhere, also where there is no contact with the leader. */
     @Test
     void aHostWithTablesIsSentChangesEvenWithoutALeader() {
         long known = tables.revision();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerConnectionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerConnectionTest.java
@@ -33,7 +33,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** A cut says nothing: the other end accepts, and then neither reads nor closes. */
+    /** A network partition closes no connection: the server accepts and then neither reads nor closes. */
     @Test
     void aSilentConnectionIsClosedAndReopened() throws Exception {
         AtomicInteger accepted = new AtomicInteger();
@@ -67,7 +67,7 @@
         server.stop();
     }
 
-    /** Silence counts from what was written and not answered, not from the last time that there was anything to say. */
+    /** Silence is counted from the first unanswered write, not from the last message received. */
     @Test
     void anIdleConnectionIsNotTreatedAsSilent() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
@@ -97,7 +97,7 @@
         server.stop();
     }
 
-    /** After a start of every host each link is opened by the first request that needs it. */
+    /** The first request to a host opens its connection. */
     @Test
     void aRequestWaitsForItsConnection() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
@@ -113,7 +113,7 @@
         server.stop();
     }
 
-    /** A message that tells how much time is left must not grow old while its connection is made. */
+    /** A message with a remaining time must not age while its connection is opened. */
     @Test
     void aMessageIsBuiltWhenItsConnectionIsOpen() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerWakesTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/peer/PeerWakesTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** How often a host wakes for its links when nothing happens on them: each wake costs it processor time. */
+/** Wakeups of the event loop by idle connections must not grow with their number, as each costs processor time. */
 final class PeerWakesTest {
     private static final int CONNECTIONS = 30;
     private static final Duration CONNECT_INTERVAL = Duration.ofMillis(15);
-    /** As of most requests: a reply that came must not leave anything behind that wakes the host then. */
+    /** The usual timeout of a request; a reply must cancel it, so that it causes no wakeup. */
     private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_500);
 
-    /** The half second for which a request may wait for its connection, and some room. */
+    /** Longer than the half second for which a request waits for its connection. */
     private static final Duration SETTLE_TIME = Duration.ofMillis(700);
 
     private static final Duration IDLE_TIME = Duration.ofSeconds(2);
-    /** One task for all links each half second, and twice as much for what the loop does besides. */
+    /** Wakeups by one probe task every half second, and twice as many for other tasks of the event loop. */
     private static final int MAX_WAKEUPS = 12;
 
     private final AtomicInteger wakeups = new AtomicInteger();
