--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
@@ -36,7 +36,7 @@
 
     private final String self;
     private final ImmutableList<String> initialVoters;
-    private final Optional<ControlNode> local;
+    private final Optional<ControlNode> localNode;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final AtomicInteger nextVoterIndex = new AtomicInteger();
@@ -47,17 +47,17 @@
      * Creates a client.
      *
      * @param voters the control hosts to contact until others are known
-     * @param local the control role of this host, if it has one
+     * @param localNode the control role of this host, if it has one
      */
     public ControlClient(
             String self,
             ImmutableSortedSet<String> voters,
-            Optional<ControlNode> local,
+            Optional<ControlNode> localNode,
             PeerNetwork network,
             MonotonicClock clock) {
         this.self = self;
         this.initialVoters = voters.asList();
-        this.local = local;
+        this.localNode = localNode;
         this.network = network;
         this.clock = clock;
         this.lastLeaderContactNanos = clock.nowNanos();
@@ -86,9 +86,9 @@
 
     /** Requests changes of the configuration from the leader, or from any control host if no leader is known. */
     public Uni<ConfigurationDelta> pull(ConfigurationPull pull, Duration timeout) {
-        String target = target();
-        Uni<ConfigurationDelta> reply = local.isPresent() && target.equals(self)
-                ? local.get().pull(pull)
+        String target = chooseTarget();
+        Uni<ConfigurationDelta> reply = localNode.isPresent() && target.equals(self)
+                ? localNode.get().pull(pull)
                 : network.request(target, Envelope.newBuilder().setConfigurationPull(pull), timeout)
                         .map(Envelope::getConfigurationDelta);
         return reply.invoke(delta -> updateLeader(target, delta.getLeader(), delta.getConfirmed()))
@@ -103,7 +103,7 @@
             return Uni.createFrom()
                     .item(mayBeApplied ? new ProposalResult.Undecided(reason) : new ProposalResult.Rejected(reason));
         }
-        String target = target();
+        String target = chooseTarget();
         Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
         return proposeTo(target, command, attemptTimeout).chain(result -> {
             if (result instanceof ProposalResult.Applied) {
@@ -121,8 +121,8 @@
     }
 
     private Uni<ProposalResult> proposeTo(String target, Command command, Duration attemptTimeout) {
-        if (local.isPresent() && target.equals(self)) {
-            ControlNode node = local.get();
+        if (localNode.isPresent() && target.equals(self)) {
+            ControlNode node = localNode.get();
             return node.propose(command).invoke(result -> {
                 if (result instanceof ProposalResult.Rejected) {
                     updateLeader(target, node.leader().orElse(""), false);
@@ -168,10 +168,10 @@
         if (remainingNanos <= 0) {
             return Uni.createFrom().item(ControlReadResult.getDefaultInstance());
         }
-        String target = target();
+        String target = chooseTarget();
         Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
-        Uni<ControlReadResult> reply = local.isPresent() && target.equals(self)
-                ? local.get().read(request)
+        Uni<ControlReadResult> reply = localNode.isPresent() && target.equals(self)
+                ? localNode.get().read(request)
                 : network.request(target, Envelope.newBuilder().setControlRead(request), attemptTimeout)
                         .map(Envelope::getControlReadResult);
         return reply.onFailure()
@@ -195,10 +195,10 @@
 
     /** Returns the leader that the local role knows, which learns of a change earlier than this client. */
     private Optional<String> localLeader() {
-        return local.flatMap(ControlNode::leader);
+        return localNode.flatMap(ControlNode::leader);
     }
 
-    private String target() {
+    private String chooseTarget() {
         return localLeader().or(() -> leader).orElseGet(this::nextVoter);
     }
 
@@ -209,7 +209,8 @@
 
     /** Returns the voters that the local role knows, or the initial ones. */
     private ImmutableList<String> voters() {
-        return local.map(ControlNode::voters)
+        return localNode
+                .map(ControlNode::voters)
                 .filter(known -> !known.isEmpty())
                 .map(ImmutableSortedSet::asList)
                 .orElse(initialVoters);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskFault.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/DiskFault.java
@@ -10,12 +10,12 @@
 public final class DiskFault extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates a fault whose message names the file and the remedy. */
+    /** Creates an exception whose message names the file and the remedy. */
     public DiskFault(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** Creates a fault whose message names the file and the remedy. */
+    /** Creates an exception whose message names the file and the remedy. */
     public DiskFault(String message) {
         super(message);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/FileLogStore.java
@@ -140,8 +140,8 @@
             failed = true;
             throw new DiskFault(
                     "cannot write to " + folder + ": " + failure
-                            + "; the control role takes no part until it can be read"
-                            + " again; make room, or repair the disk",
+                            + "; the control role serves nothing until the folder can be read"
+                            + " again; free disk space or repair the disk",
                     failure);
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
@@ -17,8 +17,8 @@
     private final Map<String, HostReport> reports = new TreeMap<>();
 
     void record(ConfigurationPull pull, long nowNanos) {
-        HostReport known = reports.get(pull.getHost());
-        if (known == null || known.incarnation() <= pull.getIncarnation()) {
+        HostReport previous = reports.get(pull.getHost());
+        if (previous == null || previous.incarnation() <= pull.getIncarnation()) {
             reports.put(
                     pull.getHost(),
                     new HostReport(
@@ -32,15 +32,15 @@
 
     ImmutableList<HostRevision> toList(long nowNanos) {
         ImmutableList.Builder<HostRevision> revisions = ImmutableList.builder();
-        reports.forEach((host, known) -> revisions.add(HostRevision.newBuilder()
+        reports.forEach((host, report) -> revisions.add(HostRevision.newBuilder()
                 .setHost(host)
-                .setZone(known.zone())
-                .setLeaving(known.leaving())
-                .setRevision(known.revision())
-                .setHeardMillisAgo(TimeUnit.NANOSECONDS.toMillis(nowNanos - known.atNanos()))
+                .setZone(report.zone())
+                .setLeaving(report.leaving())
+                .setRevision(report.revision())
+                .setHeardMillisAgo(TimeUnit.NANOSECONDS.toMillis(nowNanos - report.receivedNanos()))
                 .build()));
         return revisions.build();
     }
 
-    private record HostReport(long incarnation, String zone, boolean leaving, long revision, long atNanos) {}
+    private record HostReport(long incarnation, String zone, boolean leaving, long revision, long receivedNanos) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
@@ -62,13 +62,13 @@
         if (conflictsWithSnapshot) {
             return ImmutableList.of();
         }
-        List<LogEntry> after = entries.stream()
+        List<LogEntry> remaining = entries.stream()
                 .filter(entry -> entry.getIndex() > snapshotIndex)
                 .toList();
-        if (!after.isEmpty() && after.get(0).getIndex() != snapshotIndex + 1) {
-            throw new DiskFault("the log begins at index " + after.get(0).getIndex() + " but the snapshot ends at "
+        if (!remaining.isEmpty() && remaining.get(0).getIndex() != snapshotIndex + 1) {
+            throw new DiskFault("the log begins at index " + remaining.get(0).getIndex() + " but the snapshot ends at "
                     + snapshotIndex + "; remove this member from the voters, clear its folder, and add it anew");
         }
-        return after;
+        return remaining;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
@@ -66,7 +66,7 @@
 
     /** Completes all pulls without changes, because the role stops. */
     void completeAll() {
-        pendingPulls.forEach(each -> each.emitter().complete(TableDelta.getDefaultInstance()));
+        pendingPulls.forEach(pull -> pull.emitter().complete(TableDelta.getDefaultInstance()));
         pendingPulls.clear();
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/HostMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/HostMetrics.java
@@ -26,37 +26,37 @@
 public final class HostMetrics {
     private final MetricRegistry registry = new MetricRegistry();
     private final CollectorRegistry collectors = new CollectorRegistry();
-    private final Map<QueryCounter, Counter> queries = new EnumMap<>(QueryCounter.class);
-    private final Map<RefusalKind, Counter> refusals = new EnumMap<>(RefusalKind.class);
-    private final Map<LeafFailure, Counter> failures = new EnumMap<>(LeafFailure.class);
+    private final Map<QueryCounter, Counter> queryCounters = new EnumMap<>(QueryCounter.class);
+    private final Map<RefusalKind, Counter> refusalCounters = new EnumMap<>(RefusalKind.class);
+    private final Map<LeafFailure, Counter> failureCounters = new EnumMap<>(LeafFailure.class);
 
     /** Creates the metrics with all counts at 0. */
     public HostMetrics() {
         for (QueryCounter counter : QueryCounter.values()) {
-            queries.put(counter, registry.counter("query." + counter.code()));
+            queryCounters.put(counter, registry.counter("query." + counter.code()));
         }
         for (RefusalKind kind : RefusalKind.values()) {
-            refusals.put(kind, registry.counter("refusal." + kind.code()));
+            refusalCounters.put(kind, registry.counter("refusal." + kind.code()));
         }
         for (LeafFailure failure : LeafFailure.values()) {
-            failures.put(failure, registry.counter("leaf-failure." + failure.code()));
+            failureCounters.put(failure, registry.counter("leaf-failure." + failure.code()));
         }
         new DropwizardExports(registry).register(collectors);
     }
 
     /** Increments a counter of the query path. */
     public void count(QueryCounter counter) {
-        increment(queries.get(counter));
+        increment(queryCounters.get(counter));
     }
 
     /** Increments the counter of a kind of refusal. */
     public void count(RefusalKind kind) {
-        increment(refusals.get(kind));
+        increment(refusalCounters.get(kind));
     }
 
     /** Increments the counter of a kind of failed leaf calls. */
     public void count(LeafFailure failure) {
-        increment(failures.get(failure));
+        increment(failureCounters.get(failure));
     }
 
     /** Increments the counter of a name, creating it if necessary. */
@@ -71,8 +71,8 @@
 
     /** Returns the current count of a query counter. */
     public long countOf(QueryCounter counter) {
-        Counter known = queries.get(counter);
-        return known == null ? 0 : known.getCount();
+        Counter queryCounter = queryCounters.get(counter);
+        return queryCounter == null ? 0 : queryCounter.getCount();
     }
 
     /** Registers a gauge under a name. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
@@ -61,7 +61,7 @@
         this.clock = clock;
     }
 
-    /** Sends a call. */
+    /** Sends a call to the first holder that accepts it. */
     public void send(LeafRequest request, Consumer<LeafOutcome> done) {
         Optional<HolderAssignment> assignment = directory.assignment(request.upstream());
         if (assignment.isEmpty()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
@@ -51,7 +51,7 @@
     private final OutcomeRecorder recorder;
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    /** Creates a runner. */
+    /** Creates a runner whose claims and outcomes go to the replicated log. */
     public OnceOnlyRunner(
             ServiceDirectory directory,
             LeafRouter router,
@@ -81,7 +81,8 @@
      */
     public void run(CallerOperation request, Consumer<QueryResult> done) {
         Optional<ServiceView> view = directory.find(request.service());
-        Operation operation = view.map(known -> known.service().operations().get(request.operation()))
+        Operation operation = view.map(
+                        serviceView -> serviceView.service().operations().get(request.operation()))
                 .orElse(null);
         if (view.isEmpty()) {
             refuse(done, RefusalKind.UNKNOWN_SERVICE, "the service " + request.service() + " is not declared");
@@ -138,7 +139,7 @@
         };
         RunningOperation running = new RunningOperation(
                 request, callerOperation, operation, attempt, router, recorder, workers, clock, metrics, release);
-        running.start(claimed -> claim(callerOperation, operation, attempt, timeout, claimed));
+        running.start(onClaimed -> claim(callerOperation, operation, attempt, timeout, onClaimed));
     }
 
     private void claim(
@@ -146,7 +147,7 @@
             Operation operation,
             String attempt,
             Duration timeout,
-            Consumer<ClaimResult> decided) {
+            Consumer<ClaimResult> onResult) {
         ByteString identity =
                 ByteString.copyFromUtf8(callerOperation.operation() + "\n").concat(callerOperation.body());
         Command command = Command.newBuilder()
@@ -163,9 +164,9 @@
         control.propose(command, timeout)
                 .subscribe()
                 .with(
-                        result -> workers.run(() -> decided.accept(toClaimResult(result))),
+                        result -> workers.run(() -> onResult.accept(toClaimResult(result))),
                         failure -> workers.run(
-                                () -> decided.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
+                                () -> onResult.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
     }
 
     private static ClaimResult toClaimResult(ProposalResult result) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
@@ -318,15 +318,15 @@
 
     private boolean isAuthorized(RoutingContext context, String partner) {
         String header = context.request().getHeader("Authorization");
-        String digest = settings.credentialDigests().get(partner);
-        if (header == null || digest == null || !header.startsWith(BEARER)) {
+        String expectedDigest = settings.credentialDigests().get(partner);
+        if (header == null || expectedDigest == null || !header.startsWith(BEARER)) {
             return false;
         }
-        String given = Hashing.sha256()
+        String tokenDigest = Hashing.sha256()
                 .hashString(header.substring(BEARER.length()), StandardCharsets.UTF_8)
                 .toString();
         return MessageDigest.isEqual(
-                given.getBytes(StandardCharsets.US_ASCII), digest.getBytes(StandardCharsets.US_ASCII));
+                tokenDigest.getBytes(StandardCharsets.US_ASCII), expectedDigest.getBytes(StandardCharsets.US_ASCII));
     }
 
     private void refuse(RoutingContext context, Refusal refusal) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -62,7 +62,7 @@
     /** Proposes the claim of the request. */
     @FunctionalInterface
     interface Claimer {
-        void claim(Consumer<ClaimResult> decided);
+        void claim(Consumer<ClaimResult> onResult);
     }
 
     void start(Claimer claimer) {
@@ -83,7 +83,7 @@
     }
 
     private void handle(Event event) {
-        handle(event, decided -> {});
+        handle(event, unused -> {});
     }
 
     private void handle(Event event, Claimer claimer) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
@@ -70,9 +70,9 @@
             case HARM_REPORT ->
                 fleet.reportHarm(message.getHarmReport())
                         .subscribe()
-                        .with(taken -> reply.accept(Envelope.newBuilder()
+                        .with(acknowledged -> reply.accept(Envelope.newBuilder()
                                 .setHarmReportResult(
-                                        HarmReportResult.newBuilder().setTaken(taken))));
+                                        HarmReportResult.newBuilder().setTaken(acknowledged))));
             default -> {
                 // A message kind of a newer release: ignored.
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -382,12 +382,12 @@
         });
     }
 
-    /** Returns the peer addresses of the control hosts in the tables, at most a second old. */
+    /** Returns the peer addresses of the control hosts, according to tables at most a second old. */
     public ImmutableList<String> knownControlHosts() {
         return knownControlHosts;
     }
 
-    /** Returns true if the host at a peer address is in another region, by tables at most a second old. */
+    /** Returns true if the host at a peer address is in another region, according to tables at most a second old. */
     public boolean isInOtherRegion(String peerAddress) {
         return hostsInOtherRegions.contains(peerAddress);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
@@ -87,7 +87,7 @@
 
     /** Sends a message without a reply, which may be lost. */
     public void send(String host, Envelope.Builder message) {
-        find(host).ifPresent(connection -> connection.send(message));
+        getOrCreate(host).ifPresent(connection -> connection.send(message));
     }
 
     /**
@@ -106,7 +106,7 @@
      * @return the reply, or a {@link PeerFailure}
      */
     public Uni<Envelope> request(String host, Envelope.Builder message, Duration timeout, Consumer<Envelope> progress) {
-        Optional<PeerConnection> connection = find(host);
+        Optional<PeerConnection> connection = getOrCreate(host);
         if (connection.isEmpty()) {
             return unknownHost(host);
         }
@@ -122,7 +122,7 @@
      */
     public Uni<Envelope> requestWhenConnected(
             String host, Supplier<Envelope.Builder> message, Duration timeout, Consumer<Envelope> progress) {
-        Optional<PeerConnection> connection = find(host);
+        Optional<PeerConnection> connection = getOrCreate(host);
         if (connection.isEmpty()) {
             return unknownHost(host);
         }
@@ -150,10 +150,10 @@
         return Uni.createFrom().failure(new PeerFailure(PeerFailure.Kind.NOT_SENT, host + " is not a known host"));
     }
 
-    private Optional<PeerConnection> find(String host) {
-        PeerConnection known = connections.get(host);
-        if (known != null || !resolvesByAddress || host.equals(self) || host.isEmpty()) {
-            return Optional.ofNullable(known);
+    private Optional<PeerConnection> getOrCreate(String host) {
+        PeerConnection connection = connections.get(host);
+        if (connection != null || !resolvesByAddress || host.equals(self) || host.isEmpty()) {
+            return Optional.ofNullable(connection);
         }
         return Optional.of(connections.computeIfAbsent(host, this::create));
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
@@ -109,10 +109,10 @@
     /** A crash at any byte of the last write loses nothing that was synced before. */
     @Test
     void aTornTailIsCutBackToWhatWasSynced() throws IOException {
-        byte[] whole = Files.readAllBytes(log());
+        byte[] original = Files.readAllBytes(log());
         int synced = sizeAfterFirstBatch();
-        for (int size = synced; size < whole.length; size++) {
-            Files.write(log(), Arrays.copyOf(whole, size));
+        for (int size = synced; size < original.length; size++) {
+            Files.write(log(), Arrays.copyOf(original, size));
             StoredState stored = load();
             assertThat(stored.entries().size()).isAtLeast(5);
             assertThat(stored.hardState()).isEqualTo(HARD_STATE);
@@ -123,10 +123,10 @@
     /** A flipped bit in anything that was synced before the last batch is refused. */
     @Test
     void corruptionIsRefusedWithTheNameOfTheFile() throws IOException {
-        byte[] whole = Files.readAllBytes(log());
+        byte[] original = Files.readAllBytes(log());
         int synced = sizeAfterFirstBatch();
         for (int position = 0; position < synced; position++) {
-            byte[] flipped = whole.clone();
+            byte[] flipped = original.clone();
             flipped[position] ^= 0x10;
             Files.write(log(), flipped);
             DiskFault fault = assertThrows(DiskFault.class, this::load);
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
@@ -50,12 +50,12 @@
     /** A departed leaf must become known everywhere, also where there is no contact with the leader. */
     @Test
     void aHostWithTablesIsSentChangesEvenWithoutALeader() {
-        long known = tables.revision();
+        long knownRevision = tables.revision();
         tables.applyReport(HostRecord.newBuilder()
                 .setName("another")
                 .setPhase(HostRecord.Phase.READY)
                 .build());
-        addPull(known);
+        addPull(knownRevision);
         subscriptions.completeDue(tables, false, MILLI_NANOS);
         assertThat(deltas.get(0).getCurrent()).isFalse();
         assertThat(deltas.get(0).getHostsCount()).isEqualTo(1);
