--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
@@ -78,7 +78,10 @@
         return proposeUntil(command, deadlineNanos, false);
     }
 
-    /** Reads the replicated state from the leader. A result that is not current holds no data but may name a leader. */
+    /**
+     * Reads the replicated state from the leader. The result is empty and not current if no leader confirmed it in
+     * time.
+     */
     public Uni<ControlReadResult> read(ControlRead request, Duration timeout) {
         long deadlineNanos = clock.nowNanos() + timeout.toNanos();
         return readUntil(request, deadlineNanos);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/InForceRevisions.java
@@ -10,8 +10,8 @@
 /**
  * The configuration revision that each host reported to have in force when it last requested changes.
  *
- * <p>Each control host records only the reports it received itself; the hosts report to a new leader in turn. Not safe
- * for use by several threads.
+ * <p>Each control host records only the reports that it receives itself, so a new leader learns the revisions as hosts
+ * contact it. Not safe for use by several threads.
  */
 final class InForceRevisions {
     private final Map<String, HostReport> reports = new TreeMap<>();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
@@ -12,7 +12,8 @@
     /**
      * Reads the tables, and must not modify or keep them.
      *
-     * @param upToDate true if this host leads, or had recent contact with a leader and has applied its commits
+     * @param upToDate true if this host leads, or had recent contact with a leader and has applied its committed
+     *     entries
      */
     T read(ReplicatedTables tables, boolean upToDate, long nowNanos);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
@@ -139,7 +139,7 @@
         call.onAdmitted(clock.nowNanos());
         Optional<ServiceView> view = directory.find(call.query().service());
         Optional<ShardMap> pinned =
-                view.flatMap(known -> known.tables().versions().newest());
+                view.flatMap(serviceView -> serviceView.tables().versions().newest());
         if (view.isEmpty() || pinned.isEmpty()) {
             String message = "no index version of " + call.query().service() + " is known yet; send the query again";
             end(call, new QueryResult.Refused(Refusal.of(RefusalKind.NOT_READY, message)));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -250,7 +250,10 @@
         readVersionIfRequested();
     }
 
-    /** Returns the changes of the tables that a host requests, and records the contact if the host is a member. */
+    /**
+     * Returns the changes of the tables that a host requests. Records the contact if the request contains the host's
+     * record.
+     */
     public Uni<TableDelta> pull(TablePull pull) {
         if (!pull.hasSelf()) {
             return node.pullTables(pull);
