--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -14,13 +14,13 @@
 import org.bramblerack.process.LatencyTracker;
 import org.bramblerack.process.WindowedBudget;
 import org.bramblerack.process.leaf.Distance;
-import org.bramblerack.process.leaf.HostLag;
+import org.bramblerack.process.leaf.EventLoopLag;
 import org.bramblerack.process.leaf.Leaf;
-import org.bramblerack.process.leaf.LeafPlace;
+import org.bramblerack.process.leaf.LeafLocation;
 import org.bramblerack.process.leaf.LeafPool;
-import org.bramblerack.process.leaf.Mechanism;
 import org.bramblerack.process.leaf.PermittedLeaves;
 import org.bramblerack.process.leaf.RoutingContext;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 import org.bramblerack.request.routed.HedgeTiming;
 import org.bramblerack.request.routed.StageAttempt;
@@ -69,7 +69,7 @@
         this.fleet = fleet;
         this.time = time;
         this.random = random;
-        this.context = new RoutingContext(policy, HostLag.none());
+        this.context = new RoutingContext(policy, EventLoopLag.none());
         this.planner = new StagePlanner(this, random);
         ImmutableList.Builder<PermittedLeaves> built = ImmutableList.builder();
         for (int shard = 0; shard < shards.size(); shard++) {
@@ -81,7 +81,7 @@
     private LeafPool newPool(int shard, int position, List<ModelLeaf> replicas) {
         int hostCount = fleet.hostCount();
         WindowedBudget budget = fleet.budget().newShare(LONG_AGO_NANOS);
-        fleet.budget().shareOut(budget, FleetBudget.Turn.of(position, hostCount, "shard-" + shard));
+        fleet.budget().assignShare(budget, FleetBudget.Rank.of(position, hostCount, "shard-" + shard));
         LeafPool pool = new LeafPool("shard-" + shard, budget, context);
         int share = Math.max(1, ConnectionShare.of(fleet.connections(), hostCount));
         for (ModelLeaf replica : replicas) {
@@ -90,7 +90,7 @@
                     replica.id(),
                     pool.service(),
                     "127.0.0.1:1",
-                    new LeafPlace(
+                    new LeafLocation(
                             other.name(),
                             other.region(),
                             Distance.between(zone.name(), zone.region(), other.name(), other.region())),
@@ -150,7 +150,7 @@
     }
 
     ImmutableList<StageAttempt> plan(long expectedNanos, long hedgeDelayNanos) {
-        return context.uses(Mechanism.STAGES)
+        return context.uses(RoutingFeature.STAGES)
                 ? planner.plan(permitted, expectedNanos, hedgeDelayNanos, StagePlanner.Relays.USED, time.nowNanos())
                 : ImmutableList.of();
     }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import org.bramblerack.process.document.Fault;
-import org.bramblerack.process.leaf.Mechanism;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -26,7 +26,7 @@
     void theExampleIsRead() throws Exception {
         Experiment experiment = ExperimentReader.read(Files.readString(EXAMPLE)).get();
         assertThat(experiment.fleet().hostCount()).isEqualTo(8);
-        assertThat(experiment.policies().get(1).routing().uses(Mechanism.REFUSAL_PRICE))
+        assertThat(experiment.policies().get(1).routing().uses(RoutingFeature.REFUSAL_PRICE))
                 .isFalse();
         assertThat(experiment.fleet().sameZone().toNanos()).isEqualTo(100_000);
     }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/RunTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/RunTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import java.time.Duration;
-import org.bramblerack.process.leaf.Mechanism;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 import org.bramblerack.request.routed.AttemptCounter;
 import org.junit.jupiter.api.Test;
@@ -45,7 +45,7 @@
         long unpriced = 0;
         for (int seed = 0; seed < 4; seed++) {
             priced += Run.of(experiment, RoutingPolicy.DEFAULT, seed).tally().leafRefusals();
-            unpriced += Run.of(experiment, RoutingPolicy.without(Mechanism.REFUSAL_PRICE), seed)
+            unpriced += Run.of(experiment, RoutingPolicy.without(RoutingFeature.REFUSAL_PRICE), seed)
                     .tally()
                     .leafRefusals();
         }
@@ -57,7 +57,7 @@
         Trouble slow = new Trouble(Trouble.Kind.SLOW, Duration.ofSeconds(1), Duration.ofSeconds(6), 0.4, 8);
         Experiment experiment = SmallExperiment.with(slow);
         Tally with = Run.of(experiment, RoutingPolicy.DEFAULT, 6).tally();
-        Tally without = Run.of(experiment, RoutingPolicy.without(Mechanism.HEDGES, Mechanism.STAGES), 6)
+        Tally without = Run.of(experiment, RoutingPolicy.without(RoutingFeature.HEDGES, RoutingFeature.STAGES), 6)
                 .tally();
         assertThat(with.counter(AttemptCounter.HEDGE)).isGreaterThan(0L);
         assertThat(with.counter(AttemptCounter.STAGE)).isGreaterThan(0L);
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import java.time.Duration;
 import org.bramblerack.process.FleetBudget;
-import org.bramblerack.process.leaf.Mechanism;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
 /** An experiment that runs in well under a second. */
@@ -41,7 +41,7 @@
                 ImmutableList.copyOf(troubles),
                 ImmutableList.of(
                         new Experiment.Policy("all", RoutingPolicy.DEFAULT),
-                        new Experiment.Policy("without", RoutingPolicy.without(Mechanism.REFUSAL_PRICE))),
+                        new Experiment.Policy("without", RoutingPolicy.without(RoutingFeature.REFUSAL_PRICE))),
                 Duration.ofSeconds(8),
                 4);
     }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafsTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import org.bramblerack.process.leaf.Mechanism;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 import org.junit.jupiter.api.Test;
 
@@ -32,7 +32,7 @@
         long without = 0;
         for (int seed = 0; seed < 3; seed++) {
             by += median(experiment, RoutingPolicy.DEFAULT, seed, urgent);
-            without += median(experiment, RoutingPolicy.without(Mechanism.LEAF_HEDGES), seed, urgent);
+            without += median(experiment, RoutingPolicy.without(RoutingFeature.LEAF_HEDGES), seed, urgent);
         }
         assertThat(by).isLessThan(without);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/DrainBoard.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/DrainRegistry.java
@@ -12,7 +12,7 @@
  * <p>The first holder to say so is believed; an upstream takes new work again when all holders that said so took it
  * back. Safe for use by many threads; nothing is called under its lock.
  */
-public final class DrainBoard {
+public final class DrainRegistry {
     private final Map<UpstreamName, Set<String>> drainingAccordingTo = new HashMap<>();
 
     /**
--- a/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
@@ -23,13 +23,13 @@
     }
 
     /** Notes an event. */
-    public void happened(long nowNanos) {
+    public void record(long nowNanos) {
         advance(nowNanos);
         counts[index(currentPart)]++;
     }
 
     /** Returns how many there would be in a minute at the rate of late. */
-    public int aMinute(long nowNanos) {
+    public int perMinute(long nowNanos) {
         advance(nowNanos);
         int sum = 0;
         for (int count : counts) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
@@ -46,7 +46,7 @@
     }
 
     /** Gives a host its part of the slack of a service that it connects to itself. */
-    public void shareOut(WindowedBudget budget, Turn turn) {
+    public void assignShare(WindowedBudget budget, Rank turn) {
         budget.setReserve(turn.partOf(sharedOut()), turn.partOf(sharedOut() * FIRST_SHARE));
     }
 
@@ -54,7 +54,7 @@
      * Gives a host its part of the slack of a shard whose connections others hold: one attempt, for when a holder
      * fails, as far as half of the slack reaches.
      */
-    public void shareOutBesideHolders(WindowedBudget budget, Turn turn) {
+    public void assignNonHolderShare(WindowedBudget budget, Rank turn) {
         double beside = besideHolders(turn.hosts());
         budget.setReserve(turn.partOf(beside), turn.partOf(beside * FIRST_SHARE));
     }
@@ -64,7 +64,7 @@
      *
      * @param zones in how many zones the shard has a holder
      */
-    public void shareOutToHolder(WindowedBudget budget, int hosts, int zones) {
+    public void assignHolderShare(WindowedBudget budget, int hosts, int zones) {
         double part = (sharedOut() - besideHolders(hosts)) / Math.max(1, zones);
         budget.setReserve((int) part, (int) (part * FIRST_SHARE));
     }
@@ -85,13 +85,13 @@
     /**
      * Whose turn a host is among those that share something out for one service.
      *
-     * @param place from 0 up, different for each host
+     * @param index from 0 up, different for each host
      * @param hosts how many share
      */
-    public record Turn(int place, int hosts) {
+    public record Rank(int index, int hosts) {
         /** Refuses a place that does not exist. */
-        public Turn {
-            checkArgument(place >= 0 && place < hosts, "place %s of %s", place, hosts);
+        public Rank {
+            checkArgument(index >= 0 && index < hosts, "place %s of %s", index, hosts);
         }
 
         /**
@@ -99,14 +99,14 @@
          *
          * @param position the host's position among the agreed hosts, the same on every host
          */
-        public static Turn of(int position, int hosts, String service) {
-            return new Turn(Math.floorMod(position + service.hashCode(), hosts), hosts);
+        public static Rank of(int position, int hosts, String service) {
+            return new Rank(Math.floorMod(position + service.hashCode(), hosts), hosts);
         }
 
         /** Returns how much of a total is this host's; the parts of all hosts add up to its whole attempts. */
         int partOf(double total) {
             int whole = (int) Math.floor(total);
-            return whole / hosts + (place < whole % hosts ? 1 : 0);
+            return whole / hosts + (index < whole % hosts ? 1 : 0);
         }
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
@@ -13,7 +13,7 @@
  */
 public final class MembershipTable {
     /** How long a host counts as live after it was heard. */
-    public static final Duration SILENCE = Duration.ofSeconds(2);
+    public static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(2);
 
     private final Map<String, Heard> heard = new ConcurrentHashMap<>();
 
@@ -34,7 +34,7 @@
     /** Returns the present state of a host. */
     public HostState state(String host, long nowNanos) {
         Heard known = heard.get(host);
-        if (known == null || nowNanos - known.atNanos() > SILENCE.toNanos()) {
+        if (known == null || nowNanos - known.atNanos() > LIVENESS_TIMEOUT.toNanos()) {
             return HostState.SILENT;
         }
         return known.leaving() ? HostState.LEAVING : HostState.LIVE;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns whom the read that was begun answers, once. */
-    public ImmutableList<W> takeAnswered() {
+    public ImmutableList<W> takeWaiters() {
         ImmutableList<W> done = ImmutableList.copyOf(answered);
         answered = new ArrayList<>();
         return done;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SuspendWatch.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SuspendDetector.java
@@ -9,7 +9,7 @@
  * <p>A time of day that is set ahead looks the same; what follows from a suspension must therefore be safe, and cheap,
  * without one. A time that is set back tells nothing. Not safe for use by several threads.
  */
-public final class SuspendWatch {
+public final class SuspendDetector {
     private final long leastMillis;
     private long aheadMillis;
 
@@ -18,7 +18,7 @@
      *
      * @param least shorter suspensions are not told
      */
-    public SuspendWatch(Duration least, long nowNanos, long wallMillis) {
+    public SuspendDetector(Duration least, long nowNanos, long wallMillis) {
         this.leastMillis = least.toMillis();
         this.aheadMillis = ahead(nowNanos, wallMillis);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
@@ -37,7 +37,7 @@
         /** This host makes some of them. */
         MADE_HERE,
         /** Other hosts make them. */
-        LEFT_TO_OTHERS
+        MADE_BY_OTHERS
     }
 
     /** What to do next. */
@@ -60,7 +60,7 @@
     }
 
     /** Says what to do next on a host that has started. */
-    public Step afterStart(LeafCalls calls, boolean hasHadWork, long nowNanos) {
+    public Step nextAfterStart(LeafCalls calls, boolean hasHadWork, long nowNanos) {
         if (hasHadWork || served >= ALL_QUERIES) {
             return Step.END;
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
@@ -69,7 +69,7 @@
     }
 
     /** Notes a first attempt. */
-    public void firstAttempt(long nowNanos) {
+    public void recordFirstAttempt(long nowNanos) {
         advance(nowNanos);
         firsts[index(currentPart)]++;
     }
@@ -96,7 +96,7 @@
     }
 
     /** Returns which part of what may be spent in a window is left, from 0 to 1. */
-    public double fill(long nowNanos) {
+    public double remainingFraction(long nowNanos) {
         advance(nowNanos);
         long allowed = allowedHundredths(nowNanos);
         return allowed <= 0 ? 0 : Math.max(0, (double) (allowed - spentHundredths()) / allowed);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 import org.bramblerack.connection.HolderAssignment;
-import org.bramblerack.process.DrainBoard;
+import org.bramblerack.process.DrainRegistry;
 import org.bramblerack.process.DrainSource;
 import org.bramblerack.process.UpstreamEvidence;
 import org.bramblerack.process.UpstreamTable;
@@ -35,7 +35,7 @@
 public final class ServiceDirectory {
     private final UpstreamTable upstreams;
     private final Function<String, ImmutableList<String>> hostsOfZone;
-    private final DrainBoard drains = new DrainBoard();
+    private final DrainRegistry drains = new DrainRegistry();
     private final Map<ServiceName, ServiceTables> tables = new ConcurrentHashMap<>();
     private volatile View view = new View(Configuration.EMPTY, ImmutableMap.of());
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
@@ -19,26 +19,26 @@
  * What is known of requests under which leafs ended, and which of them are sent to no leaf any more.
  *
  * <p>Invariants: a request is barred only while a leaf ended with it on it and no leaf has survived it since; either
- * {@link #ENDS_TO_BAR} leafs ended, or it came {@link #ARRIVALS_OF_HARM} times and broke each time. That much happens
- * to bystanders as well, when all leafs end at once or next to a harmful request. What tells them apart: a harmful
- * request comes again later and ends leafs again, and the ends of a bystander are explained by another one. Until that
- * shows, a request is on trial: of all arrivals at all hosts one at a time is let through. The verdicts follow from all
- * that was reported, anew after each report. The number of records and of ends is bounded. No clock is read: reports
- * carry the time. Not safe for use by several threads.
+ * {@link #ENDS_TO_QUARANTINE} leafs ended, or it came {@link #ARRIVALS_OF_HARM} times and broke each time. That much
+ * happens to bystanders as well, when all leafs end at once or next to a harmful request. What tells them apart: a
+ * harmful request comes again later and ends leafs again, and the ends of a bystander are explained by another one.
+ * Until that shows, a request is on trial: of all arrivals at all hosts one at a time is let through. The verdicts
+ * follow from all that was reported, anew after each report. The number of records and of ends is bounded. No clock is
+ * read: reports carry the time. Not safe for use by several threads.
  */
 public final class HarmRecords {
     /**
      * How many leafs a request may end: the users' bound is that it is hardly sent on after the third. One leaf that
      * ends is an accident and two may be one request that was retried there.
      */
-    public static final int ENDS_TO_BAR = 3;
+    public static final int ENDS_TO_QUARANTINE = 3;
 
     /**
      * From how many ends on a request is on trial: one fewer, since the only host that saw an end may be gone or cut
      * off. A trial costs a bystander some tens of milliseconds. A query that no leaf of any shard answered is on trial
      * from the first end on: the host gave the other calls up, so it did not see what became of these leafs.
      */
-    public static final int ENDS_TO_TRY = 2;
+    public static final int ENDS_TO_TRIAL = 2;
 
     /**
      * How often a request comes that can be no bystander each time: callers mostly try again once. Arrivals whose call
@@ -70,7 +70,7 @@
     /** How long a request is barred after the last leaf that ended with it: leafs are repaired meanwhile, or it is. */
     static final long KEEP_BARRED_MILLIS = 60L * 60 * 1_000;
 
-    private final Map<Fingerprint, AccusedRequest> records = new LinkedHashMap<>();
+    private final Map<Fingerprint, SuspectRequest> records = new LinkedHashMap<>();
     private long clockMillis;
     private long lastNumber;
 
@@ -80,7 +80,7 @@
      * @param revision what records are marked with whose verdict changes
      * @return true if hosts need to hear of a change
      */
-    public boolean take(HarmReport report, long revision) {
+    public boolean applyReport(HarmReport report, long revision) {
         clockMillis = Math.max(clockMillis, report.getAtMillis());
         report.getEndedList()
                 .forEach(evidence -> Fingerprint.fromBytes(evidence.getFingerprint())
@@ -93,9 +93,9 @@
     }
 
     /** Has an arrival of a request tried, unless another is; returns true if it may be sent to leafs. */
-    public boolean tryOnce(TakeTrial trial) {
+    public boolean tryStartTrial(TakeTrial trial) {
         clockMillis = Math.max(clockMillis, trial.getAtMillis());
-        List<AccusedRequest> onTrial = new ArrayList<>(2);
+        List<SuspectRequest> onTrial = new ArrayList<>(2);
         for (ByteString bytes : trial.getFingerprintsList()) {
             // One that is cleared is served: the host that asks has not heard of it yet.
             Fingerprint.fromBytes(bytes)
@@ -118,7 +118,7 @@
      * @param revision what records are marked with whose verdict changes
      * @return true if hosts need to hear of a change
      */
-    public boolean giveBack(TakeTrial trial, long revision) {
+    public boolean endTrial(TakeTrial trial, long revision) {
         clockMillis = Math.max(clockMillis, trial.getAtMillis());
         for (ByteString bytes : trial.getFingerprintsList()) {
             Fingerprint.fromBytes(bytes)
@@ -130,7 +130,7 @@
         return markChanged(revision);
     }
 
-    private void takeOutcome(AccusedRequest request, TakeTrial trial) {
+    private void takeOutcome(SuspectRequest request, TakeTrial trial) {
         if (trial.getOutcome() == TakeTrial.Outcome.ANSWERED) {
             request.clear(clockMillis);
         } else if (trial.getOutcome() == TakeTrial.Outcome.BROKEN) {
@@ -154,7 +154,7 @@
 
     /** Returns what is held of a request, if anything is. */
     public Optional<HarmRecord.Verdict> verdict(Fingerprint fingerprint) {
-        return Optional.ofNullable(records.get(fingerprint)).map(AccusedRequest::verdict);
+        return Optional.ofNullable(records.get(fingerprint)).map(SuspectRequest::verdict);
     }
 
     /** Returns how many requests are barred or on trial. */
@@ -196,7 +196,7 @@
         lastNumber = snapshotLastNumber;
         for (HarmRecord record : snapshot) {
             Fingerprint.fromBytes(record.getFingerprint())
-                    .ifPresent(fingerprint -> records.put(fingerprint, AccusedRequest.of(record)));
+                    .ifPresent(fingerprint -> records.put(fingerprint, SuspectRequest.of(record)));
         }
     }
 
@@ -208,12 +208,12 @@
     }
 
     private void add(Fingerprint fingerprint, HarmEvidence evidence) {
-        records.computeIfAbsent(fingerprint, unused -> new AccusedRequest(++lastNumber))
+        records.computeIfAbsent(fingerprint, unused -> new SuspectRequest(++lastNumber))
                 .add(evidence, clockMillis);
     }
 
     private void clear(Fingerprint fingerprint) {
-        AccusedRequest request = records.get(fingerprint);
+        SuspectRequest request = records.get(fingerprint);
         if (request != null) {
             request.clear(clockMillis);
         }
@@ -225,16 +225,16 @@
      */
     private void judge() {
         Set<Long> explained = new HashSet<>();
-        List<AccusedRequest> candidates = new ArrayList<>();
-        for (AccusedRequest request : records.values()) {
+        List<SuspectRequest> candidates = new ArrayList<>();
+        for (SuspectRequest request : records.values()) {
             request.judge(false, mayBeHarmful(request));
             if (request.endCount() > 0) {
                 candidates.add(request);
             }
         }
-        candidates.sort(Comparator.comparingInt((AccusedRequest request) -> -request.endCount())
-                .thenComparingLong(AccusedRequest::number));
-        for (AccusedRequest request : candidates) {
+        candidates.sort(Comparator.comparingInt((SuspectRequest request) -> -request.endCount())
+                .thenComparingLong(SuspectRequest::number));
+        for (SuspectRequest request : candidates) {
             if (isHarmful(request, explained)) {
                 request.judge(true, true);
                 explained.addAll(request.leafStarts());
@@ -242,14 +242,14 @@
         }
     }
 
-    private static boolean mayBeHarmful(AccusedRequest request) {
-        return request.endCount() >= ENDS_TO_TRY
-                || request.lostArrivalCount() >= ENDS_TO_TRY
+    private static boolean mayBeHarmful(SuspectRequest request) {
+        return request.endCount() >= ENDS_TO_TRIAL
+                || request.lostArrivalCount() >= ENDS_TO_TRIAL
                 || (request.wasLostWhole() && request.endCount() > 0);
     }
 
     /** Returns true if a request ends leafs itself, as far as that can be told. */
-    private static boolean isHarmful(AccusedRequest request, Set<Long> explained) {
+    private static boolean isHarmful(SuspectRequest request, Set<Long> explained) {
         if (request.spreadMillis() < LEAST_SPREAD_MILLIS) {
             return false;
         }
@@ -259,11 +259,11 @@
         long unexplained = request.leafStarts().stream()
                 .filter(leafStart -> !explained.contains(leafStart))
                 .count();
-        return unexplained >= ENDS_TO_BAR && request.arrivalCount() > 1;
+        return unexplained >= ENDS_TO_QUARANTINE && request.arrivalCount() > 1;
     }
 
     private void forgetOld() {
-        for (AccusedRequest request : records.values()) {
+        for (SuspectRequest request : records.values()) {
             long keptMillis = request.isBarred() ? KEEP_BARRED_MILLIS : KEEP_SUSPECTED_MILLIS;
             if (!request.isCleared() && clockMillis - request.seenMillis() > keptMillis) {
                 request.clear(clockMillis);
@@ -284,14 +284,14 @@
         if (records.size() <= MAX_RECORDS && ends <= MAX_ENDS_IN_ALL) {
             return;
         }
-        List<Map.Entry<Fingerprint, AccusedRequest>> leastFirst = new ArrayList<>(records.entrySet());
-        leastFirst.sort(Comparator.comparing((Map.Entry<Fingerprint, AccusedRequest> entry) ->
+        List<Map.Entry<Fingerprint, SuspectRequest>> leastFirst = new ArrayList<>(records.entrySet());
+        leastFirst.sort(Comparator.comparing((Map.Entry<Fingerprint, SuspectRequest> entry) ->
                         entry.getValue().isBarred())
                 .thenComparing(entry -> !entry.getValue().isCleared())
                 .thenComparing(entry -> entry.getValue().endCount() > 0)
                 .thenComparing(entry -> entry.getValue().seenMillis())
                 .thenComparing(entry -> entry.getValue().number()));
-        for (Map.Entry<Fingerprint, AccusedRequest> entry : leastFirst) {
+        for (Map.Entry<Fingerprint, SuspectRequest> entry : leastFirst) {
             if (records.size() <= MAX_RECORDS && ends <= MAX_ENDS_IN_ALL) {
                 return;
             }
@@ -302,7 +302,7 @@
 
     private boolean markChanged(long revision) {
         boolean changed = false;
-        for (AccusedRequest request : records.values()) {
+        for (SuspectRequest request : records.values()) {
             changed |= request.markChanged(revision);
         }
         return changed;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmGuard.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
@@ -22,7 +22,7 @@
  * nothing is agreed of a request. A request that a leaf answered a moment ago is not accused. What is kept is bounded.
  * Not safe for use by several threads.
  */
-public final class HarmGuard {
+public final class HarmfulRequestFilter {
     /**
      * How long a survived request is remembered: hosts that saw another part of it tell of leafs that ended after at
      * most a few seconds.
@@ -38,15 +38,15 @@
 
     private final Map<Fingerprint, HarmRecord.Verdict> agreed = new HashMap<>();
     private final HarmRecords own = new HarmRecords();
-    private final Map<Fingerprint, Long> survived = new LinkedHashMap<>();
+    private final Map<Fingerprint, Long> recordSurvival = new LinkedHashMap<>();
     private final Map<Fingerprint, Long> triedAlone = new LinkedHashMap<>();
-    private final UntoldEvidence untold = new UntoldEvidence();
+    private final UnreportedEvidence untold = new UnreportedEvidence();
     private int agreedRestricted;
     private int ownRestricted;
 
     /** Returns whether a request may be sent to leafs; works its fingerprints out only if any request may not. */
     public Permission permission(Supplier<Fingerprints> request) {
-        if (!holdsBackAny()) {
+        if (!hasRestrictions()) {
             return Permission.FREE;
         }
         Fingerprints fingerprints = request.get();
@@ -56,17 +56,17 @@
     }
 
     /** Returns true if any request may not be sent to leafs freely. */
-    public boolean holdsBackAny() {
+    public boolean hasRestrictions() {
         return agreedRestricted + ownRestricted > 0;
     }
 
     /** Returns how many requests are barred or on trial by the evidence that this host has, for a log line. */
-    public int heldBackAloneCount() {
+    public int locallyRestrictedCount() {
         return ownRestricted;
     }
 
     /** Returns how many requests are barred or on trial by agreement, for a log line. */
-    public int restrictedCount() {
+    public int replicatedRestrictedCount() {
         return agreedRestricted;
     }
 
@@ -75,7 +75,7 @@
      *
      * @param leafStart tells this start of the leaf from others
      */
-    public void ended(long leafStart, List<Arrival> onIt, long nowNanos) {
+    public void recordLeafEnd(long leafStart, List<Arrival> onIt, long nowNanos) {
         HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Arrival arrival : onIt) {
             for (Fingerprint fingerprint : arrival.fingerprints().all()) {
@@ -95,7 +95,7 @@
      * Notes that a call was sent and broke. That bars nothing by itself, but leafs may be back before a host has found
      * that they ended; then arrivals that broke, and none that was answered, are all that shows.
      */
-    public void broke(Arrival arrival, long nowNanos) {
+    public void recordDisconnect(Arrival arrival, long nowNanos) {
         HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
             if (!survivedOfLate(fingerprint, nowNanos)) {
@@ -109,7 +109,7 @@
     }
 
     /** Notes that a query over several shards broke and was given up before a leaf of any shard had answered it. */
-    public void lostWhole(Arrival arrival, long nowNanos) {
+    public void recordNoShardAnswered(Arrival arrival, long nowNanos) {
         HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
             if (!survivedOfLate(fingerprint, nowNanos)) {
@@ -123,9 +123,9 @@
     }
 
     /** Notes that a leaf answered a request, with success or a failure of its own. */
-    public void survived(Fingerprints request, long nowNanos) {
+    public void recordSurvival(Fingerprints request, long nowNanos) {
         for (Fingerprint fingerprint : request.all()) {
-            noteLast(survived, fingerprint, nowNanos, MAX_SURVIVED);
+            noteLast(recordSurvival, fingerprint, nowNanos, MAX_SURVIVED);
             if (isAccused(fingerprint)) {
                 acquit(fingerprint);
             }
@@ -137,13 +137,13 @@
      *
      * @param whole true if what the records lack is not held any more
      */
-    public void learn(List<HarmRecord> records, boolean whole, long nowNanos) {
+    public void applyReplicated(List<HarmRecord> records, boolean whole, long nowNanos) {
         if (whole) {
             agreed.clear();
         }
         for (HarmRecord record : records) {
             Fingerprint.fromBytes(record.getFingerprint())
-                    .ifPresent(fingerprint -> learn(fingerprint, record.getVerdict(), nowNanos));
+                    .ifPresent(fingerprint -> applyReplicated(fingerprint, record.getVerdict(), nowNanos));
         }
         agreedRestricted = (int) agreed.values().stream()
                 .filter(verdict -> verdict != HarmRecord.Verdict.SUSPECTED)
@@ -151,7 +151,7 @@
     }
 
     /** Takes what another host saw, where hosts tell one another and nothing is agreed. */
-    public void hear(HarmReport report, long nowNanos) {
+    public void applyPeerReport(HarmReport report, long nowNanos) {
         takeOwn(report.toBuilder()
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
@@ -166,12 +166,12 @@
      * Has an arrival of a request tried by the word of this host alone, unless another is: for a host to which control
      * gives no answer.
      */
-    public boolean tryAlone(Arrival arrival, long nowNanos) {
+    public boolean tryStartLocalTrial(Arrival arrival, long nowNanos) {
         Fingerprints request = arrival.fingerprints();
         if (request.all().stream().anyMatch(fingerprint -> triedOfLate(fingerprint, nowNanos))) {
             return false;
         }
-        boolean granted = own.tryOnce(trialOf(arrival)
+        boolean granted = own.tryStartTrial(newTrialRequest(arrival)
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
         if (granted) {
@@ -186,11 +186,12 @@
      * @param broke true if it reached a leaf and its call broke there
      * @return what to tell control, without the time
      */
-    public TakeTrial.Builder giveBack(Arrival arrival, boolean broke, long nowNanos) {
+    public TakeTrial.Builder endTrial(Arrival arrival, boolean broke, long nowNanos) {
         List<Fingerprint> request = arrival.fingerprints().all();
         request.forEach(triedAlone::remove);
-        TakeTrial.Builder trial = trialOf(arrival).setGivenBack(true).setOutcome(outcome(request, broke, nowNanos));
-        own.giveBack(
+        TakeTrial.Builder trial =
+                newTrialRequest(arrival).setGivenBack(true).setOutcome(outcome(request, broke, nowNanos));
+        own.endTrial(
                 trial.clone()
                         .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                         .build(),
@@ -208,7 +209,7 @@
     }
 
     /** Returns the question whether an arrival may be tried, without the time. */
-    public static TakeTrial.Builder trialOf(Arrival arrival) {
+    public static TakeTrial.Builder newTrialRequest(Arrival arrival) {
         TakeTrial.Builder trial = TakeTrial.newBuilder().setArrival(arrival.digest());
         arrival.fingerprints().all().forEach(fingerprint -> trial.addFingerprints(fingerprint.toBytes()));
         return trial;
@@ -237,13 +238,13 @@
     }
 
     /** Takes over what a host saw to which control gives no answer, to tell it in that host's place. */
-    public void takeOver(HarmReport report, long nowNanos) {
+    public void adoptReport(HarmReport report, long nowNanos) {
         untold.handBack(report);
-        hear(report, nowNanos);
+        applyPeerReport(report, nowNanos);
     }
 
     /** Takes back a report that was not agreed on, to make it again. */
-    public void handBack(HarmReport report) {
+    public void restoreReport(HarmReport report) {
         untold.handBack(report);
     }
 
@@ -253,13 +254,13 @@
             verdict = own.verdict(fingerprint).orElse(HarmRecord.Verdict.CLEARED);
         }
         return switch (verdict) {
-            case BARRED -> Permission.BARRED;
+            case BARRED -> Permission.QUARANTINED;
             case ON_TRIAL -> Permission.ON_TRIAL;
             default -> Permission.FREE;
         };
     }
 
-    private void learn(Fingerprint fingerprint, HarmRecord.Verdict verdict, long nowNanos) {
+    private void applyReplicated(Fingerprint fingerprint, HarmRecord.Verdict verdict, long nowNanos) {
         if (!accuses(verdict)) {
             agreed.remove(fingerprint);
             takeOwn(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
@@ -273,7 +274,9 @@
 
     private boolean isAccused(Fingerprint fingerprint) {
         return agreed.containsKey(fingerprint)
-                || own.verdict(fingerprint).filter(HarmGuard::accuses).isPresent();
+                || own.verdict(fingerprint)
+                        .filter(HarmfulRequestFilter::accuses)
+                        .isPresent();
     }
 
     private static boolean accuses(HarmRecord.Verdict verdict) {
@@ -284,7 +287,7 @@
     }
 
     private boolean survivedOfLate(Fingerprint fingerprint, long nowNanos) {
-        Long atNanos = survived.get(fingerprint);
+        Long atNanos = recordSurvival.get(fingerprint);
         return atNanos != null && nowNanos - atNanos <= SURVIVED_NANOS;
     }
 
@@ -294,7 +297,7 @@
     }
 
     private void takeOwn(HarmReport report) {
-        own.take(report, 0);
+        own.applyReport(report, 0);
         ownRestricted = own.restrictedCount();
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/EndWatch.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
@@ -17,7 +17,7 @@
  *
  * @param <T> a call
  */
-public final class EndWatch<T> {
+public final class LeafEndDetector<T> {
     /**
      * How long after a call was given up the end of its leaf may be of it: what leafs do with a call that they have
      * begun takes them some tens of milliseconds, and word of their end as long again.
@@ -28,33 +28,33 @@
 
     private final List<T> atWork = new ArrayList<>(4);
     private final List<T> broken = new ArrayList<>(0);
-    private final Deque<GivenUp<T>> givenUp = new ArrayDeque<>(0);
+    private final Deque<GivenUp<T>> onAbandoned = new ArrayDeque<>(0);
     private boolean inDoubtWithoutBreak;
     private long inDoubtSinceNanos;
 
     /** Notes that a call was sent. */
-    public void sent(T call) {
+    public void onSent(T call) {
         atWork.add(call);
     }
 
     /** Notes that a call was answered, so that the leaf has survived it. */
-    public void answered(T call) {
+    public void onAnswered(T call) {
         atWork.remove(call);
     }
 
     /** Notes that a call was given up by this host. */
-    public void givenUp(T call, long nowNanos) {
+    public void onAbandoned(T call, long nowNanos) {
         if (!atWork.remove(call)) {
             return;
         }
-        givenUp.addLast(new GivenUp<>(call, nowNanos));
-        if (givenUp.size() > MAX_GIVEN_UP) {
-            givenUp.removeFirst();
+        onAbandoned.addLast(new GivenUp<>(call, nowNanos));
+        if (onAbandoned.size() > MAX_GIVEN_UP) {
+            onAbandoned.removeFirst();
         }
     }
 
     /** Notes that the connection of a call ended; whether the leaf has is to be found out by connecting to it. */
-    public void broke(T call, long nowNanos) {
+    public void onDisconnected(T call, long nowNanos) {
         if (atWork.remove(call)) {
             doubt(nowNanos);
             broken.add(call);
@@ -65,8 +65,8 @@
      * Notes that a connection ended on which nothing was. Just after a call was given up that may be the end of the
      * leaf, under a call that it worked on all the same.
      */
-    public void idleEnded(long nowNanos) {
-        GivenUp<T> last = givenUp.peekLast();
+    public void onIdleConnectionClosed(long nowNanos) {
+        GivenUp<T> last = onAbandoned.peekLast();
         if (last != null && isOfLate(last, nowNanos)) {
             doubt(nowNanos);
             inDoubtWithoutBreak = true;
@@ -74,13 +74,13 @@
     }
 
     private void doubt(long nowNanos) {
-        if (!isInDoubt()) {
+        if (!isEndSuspected()) {
             inDoubtSinceNanos = nowNanos;
         }
     }
 
     /** Returns true while it is to be found out whether the leaf has ended. */
-    public boolean isInDoubt() {
+    public boolean isEndSuspected() {
         return inDoubtWithoutBreak || !broken.isEmpty();
     }
 
@@ -90,21 +90,21 @@
      *
      * @param begunNanos when the connection was begun
      */
-    public void isUp(long begunNanos) {
-        if (isInDoubt() && begunNanos - inDoubtSinceNanos >= 0) {
+    public void onConnected(long begunNanos) {
+        if (isEndSuspected() && begunNanos - inDoubtSinceNanos >= 0) {
             broken.clear();
             inDoubtWithoutBreak = false;
         }
     }
 
     /** Notes that the leaf takes no connections, and returns the calls that were on it, if it was in doubt. */
-    public ImmutableList<T> isDown(long nowNanos) {
-        if (!isInDoubt()) {
+    public ImmutableList<T> onConnectFailed(long nowNanos) {
+        if (!isEndSuspected()) {
             return ImmutableList.of();
         }
         ImmutableList.Builder<T> onIt =
                 ImmutableList.<T>builder().addAll(broken).addAll(atWork);
-        for (GivenUp<T> next : givenUp) {
+        for (GivenUp<T> next : onAbandoned) {
             if (isOfLate(next, nowNanos)) {
                 onIt.add(next.call());
             }
@@ -112,7 +112,7 @@
         broken.clear();
         inDoubtWithoutBreak = false;
         atWork.clear();
-        givenUp.clear();
+        onAbandoned.clear();
         return onIt.build();
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
@@ -7,5 +7,5 @@
     /** Leafs ended with it on them: one arrival at a time may, to see whether it was that. */
     ON_TRIAL,
     /** It may not: leafs end when they run it. */
-    BARRED
+    QUARANTINED
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/AccusedRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/SuspectRequest.java
@@ -14,7 +14,7 @@
  * <p>Invariants: once it is cleared, nothing speaks against it until new evidence comes. What is kept is bounded. Not
  * safe for use by several threads.
  */
-final class AccusedRequest {
+final class SuspectRequest {
     private static final long NOT_SEEN = -1;
 
     private final long number;
@@ -37,13 +37,13 @@
      *
      * @param number orders the records by when they were made
      */
-    AccusedRequest(long number) {
+    SuspectRequest(long number) {
         this.number = number;
     }
 
     /** Returns the record that a snapshot holds. */
-    static AccusedRequest of(HarmRecord record) {
-        AccusedRequest request = new AccusedRequest(record.getNumber());
+    static SuspectRequest of(HarmRecord record) {
+        SuspectRequest request = new SuspectRequest(record.getNumber());
         request.leafStarts.addAll(record.getLeafStartsList());
         request.arrivals.addAll(record.getArrivalsList());
         request.brokenArrivals.addAll(record.getBrokenArrivalsList());
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/UntoldEvidence.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/UnreportedEvidence.java
@@ -16,7 +16,7 @@
  * <p>Invariants: what speaks against a request is not told any more once a leaf has answered it. What waits is bounded;
  * beyond that, what is new is left to other hosts, that see it as well. Not safe for use by several threads.
  */
-final class UntoldEvidence {
+final class UnreportedEvidence {
     /** How many ends, and how many requests, wait to be told. */
     private static final int MAX_WAITING = 4_096;
     /** How many ends and fingerprints go into one report: about 10 KB. */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdBound.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
@@ -10,12 +10,12 @@
  * @param factor how many times the requests a second that a cold leaf is made for it bears
  * @param slack how many requests in any second it bears beyond that
  */
-public record ColdBound(double factor, double slack) {
+public record ColdRequestLimit(double factor, double slack) {
     /** Nothing beyond what leafs are made for, for settings that name no bound. */
-    public static final ColdBound NONE = new ColdBound(1, 0);
+    public static final ColdRequestLimit NONE = new ColdRequestLimit(1, 0);
 
     /** Refuses a bound below what leafs are made for. */
-    public ColdBound {
+    public ColdRequestLimit {
         checkArgument(factor > 0 && slack >= 0, "%s times what a cold leaf is made for, and %s more", factor, slack);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/FadingAverage.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/DecayingAverage.java
@@ -9,7 +9,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class FadingAverage {
+final class DecayingAverage {
     private final double neutral;
     private final double smoothing;
     private final long fadeNanos;
@@ -23,7 +23,7 @@
      * @param smoothing how much of its distance from the average each observation adds, above 0 and at most 1
      * @param fade after which half of what was observed still counts
      */
-    FadingAverage(double neutral, double smoothing, Duration fade, long nowNanos) {
+    DecayingAverage(double neutral, double smoothing, Duration fade, long nowNanos) {
         checkArgument(smoothing > 0 && smoothing <= 1, "a smoothing of %s", smoothing);
         checkArgument(!fade.isZero() && !fade.isNegative(), "a fading time of %s", fade);
         this.neutral = neutral;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/HostLag.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
@@ -11,7 +11,7 @@
  * host that is slow itself, as just after a start, does not take its leafs for slow. Not safe for use by several
  * threads: the event loop of the entry role owns it.
  */
-public final class HostLag {
+public final class EventLoopLag {
     /** Over how long a lag is averaged: a few queries of a busy host. */
     private static final double AVERAGED_NANOS = Duration.ofMillis(300).toNanos();
 
@@ -21,7 +21,7 @@
     private long lastLateNanos;
     private double averageNanos;
 
-    private HostLag(long periodNanos) {
+    private EventLoopLag(long periodNanos) {
         this.periodNanos = periodNanos;
     }
 
@@ -30,27 +30,27 @@
      *
      * @param period how often the task is meant to run
      */
-    public static HostLag create(Duration period) {
+    public static EventLoopLag create(Duration period) {
         checkArgument(!period.isZero() && !period.isNegative(), "a period of %s", period);
-        return new HostLag(period.toNanos());
+        return new EventLoopLag(period.toNanos());
     }
 
     /** Returns the lag of a host that is never behind. */
-    public static HostLag none() {
-        return new HostLag(Long.MAX_VALUE);
+    public static EventLoopLag none() {
+        return new EventLoopLag(Long.MAX_VALUE);
     }
 
     /**
      * Notes that the regular task runs, and that it will run again after another time than the one before: a host
      * without work looks seldom.
      */
-    public void taskRuns(long nowNanos, Duration nextPeriod) {
-        taskRuns(nowNanos);
+    public void onTaskRun(long nowNanos, Duration nextPeriod) {
+        onTaskRun(nowNanos);
         periodNanos = nextPeriod.toNanos();
     }
 
     /** Notes that the regular task runs. */
-    public void taskRuns(long nowNanos) {
+    public void onTaskRun(long nowNanos) {
         lastLateNanos = begun ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
         if (begun) {
             double sinceNanos = Math.max(0, nowNanos - lastRunNanos);
@@ -61,8 +61,8 @@
     }
 
     /** Returns when what is read now may have arrived: on a host that is behind, some time ago. */
-    public long arrivedNanos(long nowNanos) {
-        return nowNanos - nanos(nowNanos);
+    public long arrivalNanos(long nowNanos) {
+        return nowNanos - lagNanos(nowNanos);
     }
 
     /**
@@ -74,7 +74,7 @@
     }
 
     /** Returns how long what is read now may have waited here. */
-    public long nanos(long nowNanos) {
+    public long lagNanos(long nowNanos) {
         if (!begun) {
             return 0;
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/HostRoom.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/HostCapacity.java
@@ -12,7 +12,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class HostRoom {
+public final class HostCapacity {
     /**
      * A call and its answers wait that long each: twice this is half of the shortest goals of callers, 100 ms, which
      * leaves time for neither a hedge nor the way.
@@ -27,20 +27,20 @@
     private long toldAtNanos;
 
     /** Creates the room of a host that has said nothing yet. */
-    public HostRoom() {}
+    public HostCapacity() {}
 
     /**
      * Notes what a host says.
      *
      * @param lagNanos how long what arrives there waits to be read
      */
-    public void told(long lagNanos, long nowNanos) {
-        behind = isBehind(nowNanos) ? lagNanos > CAUGHT_UP_NANOS : lagNanos > BEHIND_NANOS;
+    public void record(long lagNanos, long nowNanos) {
+        behind = isLagging(nowNanos) ? lagNanos > CAUGHT_UP_NANOS : lagNanos > BEHIND_NANOS;
         toldAtNanos = nowNanos;
     }
 
     /** Returns true if it said of late that it is behind. */
-    public boolean isBehind(long nowNanos) {
+    public boolean isLagging(long nowNanos) {
         return behind && nowNanos - toldAtNanos < FRESH_NANOS;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagPeriod.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagSamplingPeriod.java
@@ -9,11 +9,11 @@
  * costs more than the queries. While there is work a host looks several times in the shortest goal of its callers;
  * without, often enough to see that it was stopped for longer than what a caller's time bears. Owned by the event loop.
  */
-public final class LagPeriod {
+public final class LagSamplingPeriod {
     /** While there is work: several times in the shortest goal that was seen. */
-    public static final Duration AT_WORK = Duration.ofMillis(20);
+    public static final Duration BUSY_PERIOD = Duration.ofMillis(20);
     /** Without work: about the shortest goal. */
-    public static final Duration AT_REST = Duration.ofMillis(100);
+    public static final Duration IDLE_PERIOD = Duration.ofMillis(100);
     /** Work that came this long ago is over in most cases, and in the others its late answers are few. */
     static final Duration WORK_LASTS = Duration.ofMillis(300);
 
@@ -21,13 +21,13 @@
     private boolean hasWorked;
 
     /** Notes that work comes. */
-    public void workCame(long nowNanos) {
+    public void onWork(long nowNanos) {
         lastWorkNanos = nowNanos;
         hasWorked = true;
     }
 
     /** Returns after how long to look again. */
     public Duration next(long nowNanos) {
-        return hasWorked && nowNanos - lastWorkNanos < WORK_LASTS.toNanos() ? AT_WORK : AT_REST;
+        return hasWorked && nowNanos - lastWorkNanos < WORK_LASTS.toNanos() ? BUSY_PERIOD : IDLE_PERIOD;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
@@ -53,17 +53,17 @@
     private final String id;
     private final String service;
     private final String address;
-    private final LeafPlace place;
-    private final Coldness coldness;
+    private final LeafLocation location;
+    private final LeafWarmUp coldness;
     private final RoutingContext context;
     private final List<Call> calls = new ArrayList<>(4);
     private int slots;
     private boolean acceptsWork = true;
     private boolean zoneDrained;
     private long busyUntilNanos;
-    private final LeafPace slowness;
-    private final FadingAverage refusalRate;
-    private final ToldLoad told;
+    private final LeafSlowness slowness;
+    private final DecayingAverage refusalRate;
+    private final ReportedLoad told;
     private long stalledUntilNanos;
     private int consecutiveAbandoned;
     private double failureRate;
@@ -78,7 +78,7 @@
      */
     public Leaf(
             String id, String service, String address, Distance distance, int slots, Duration coldFor, long nowNanos) {
-        this(id, service, address, LeafPlace.unnamed(distance), slots, coldFor, RoutingContext.plain(), nowNanos);
+        this(id, service, address, LeafLocation.unnamed(distance), slots, coldFor, RoutingContext.plain(), nowNanos);
     }
 
     /**
@@ -91,7 +91,7 @@
             String id,
             String service,
             String address,
-            LeafPlace place,
+            LeafLocation place,
             int slots,
             Duration coldFor,
             RoutingContext context,
@@ -99,16 +99,16 @@
         this.id = id;
         this.service = service;
         this.address = address;
-        this.place = requireNonNull(place);
+        this.location = requireNonNull(place);
         this.slots = Math.max(1, slots);
-        this.coldness = new Coldness(nowNanos + coldFor.toNanos());
+        this.coldness = new LeafWarmUp(nowNanos + coldFor.toNanos());
         this.context = context;
         this.busyUntilNanos = nowNanos;
         this.ejectedUntilNanos = nowNanos;
         this.stalledUntilNanos = nowNanos;
-        this.slowness = new LeafPace(nowNanos);
-        this.refusalRate = new FadingAverage(0, REFUSAL_SMOOTHING, EVIDENCE_FADE, nowNanos);
-        this.told = new ToldLoad(nowNanos);
+        this.slowness = new LeafSlowness(nowNanos);
+        this.refusalRate = new DecayingAverage(0, REFUSAL_SMOOTHING, EVIDENCE_FADE, nowNanos);
+        this.told = new ReportedLoad(nowNanos);
     }
 
     /** Returns the identifier of this start of the leaf. */
@@ -127,13 +127,13 @@
     }
 
     /** Returns where it is. */
-    public LeafPlace place() {
-        return place;
+    public LeafLocation location() {
+        return location;
     }
 
     /** Returns how far it is from this host. */
     public Distance distance() {
-        return place.distance();
+        return location.distance();
     }
 
     /** Returns true while new work may be sent to it. */
@@ -146,7 +146,7 @@
      *
      * @param coldFor how much longer
      */
-    public void turnCold(Duration coldFor, long nowNanos) {
+    public void markCold(Duration coldFor, long nowNanos) {
         coldness.turnCold(coldFor, nowNanos);
     }
 
@@ -156,17 +156,17 @@
      * @param mostPerSecond how many requests in any second, from all hosts together
      * @param spendsHere whether this is the host that may send them
      */
-    public void boundCold(double mostPerSecond, boolean spendsHere, long nowNanos) {
+    public void limitColdRequests(double mostPerSecond, boolean spendsHere, long nowNanos) {
         coldness.bound(mostPerSecond, spendsHere, nowNanos);
     }
 
     /** Returns true if it is cold and this host may send it nothing now. */
-    public boolean isColdAndSpent(long nowNanos) {
+    public boolean isBlockedWhileCold(long nowNanos) {
         return coldness.isSpent(nowNanos);
     }
 
     /** Notes a request that is to be sent; returns false if it is cold and must not be sent this one. */
-    public boolean admit(long nowNanos) {
+    public boolean tryAdmit(long nowNanos) {
         return coldness.admit(nowNanos);
     }
 
@@ -230,7 +230,7 @@
 
     /** Returns how many times as long as usual work takes there, as far as the leaf has told of late. */
     private double toldWork(long nowNanos) {
-        return context.uses(Mechanism.TOLD_WORK) ? told.work(nowNanos) : 1;
+        return context.uses(RoutingFeature.TOLD_WORK) ? told.work(nowNanos) : 1;
     }
 
     /**
@@ -258,14 +258,14 @@
 
     /** Returns true while repeated failures keep it from getting work. */
     public boolean isEjected(long nowNanos) {
-        return context.uses(Mechanism.EJECTION)
+        return context.uses(RoutingFeature.EJECTION)
                 && consecutiveFailures >= FAILURES_TO_EJECT
                 && nowNanos - ejectedUntilNanos < 0;
     }
 
     /** Returns true if a call is long overdue, so that the leaf probably pauses. */
     public boolean isStalled(long nowNanos) {
-        if (!context.uses(Mechanism.STALLS)) {
+        if (!context.uses(RoutingFeature.STALLS)) {
             return false;
         }
         if (nowNanos - stalledUntilNanos < 0) {
@@ -274,7 +274,8 @@
         long readNanos = nowNanos - context.lagNanos(nowNanos);
         for (Call call : calls) {
             if (readNanos - call.sentNanos
-                    > STALLED_AFTER * call.expectedNanos + 2 * place.distance().handicapNanos()) {
+                    > STALLED_AFTER * call.expectedNanos
+                            + 2 * location.distance().handicapNanos()) {
                 return true;
             }
         }
@@ -287,7 +288,7 @@
     }
 
     /** Returns true if one more call would begin at once, as far as this host knows. */
-    public boolean hasRoom(long nowNanos) {
+    public boolean hasCapacity(long nowNanos) {
         return acceptsWork && !isEjected(nowNanos) && !isStalled(nowNanos) && occupancy(nowNanos) + 1 <= slots;
     }
 
@@ -300,7 +301,7 @@
         double occupancy = occupancy(nowNanos);
         double ahead = Math.max(0, occupancy + 1 - slots);
         double work = workNanos(expectedNanos, nowNanos);
-        double cost = work * (1 + ahead / slots) + place.distance().handicapNanos();
+        double cost = work * (1 + ahead / slots) + location.distance().handicapNanos();
         cost += occupancy * work / (FREE_SLOT_DIVISOR * slots);
         cost += failureRate * FAILURE_HANDICAP_NANOS;
         if (nowNanos - busyUntilNanos < 0) {
@@ -315,7 +316,7 @@
      * @param expectedNanos how long such a call usually takes
      */
     public long workNanos(long expectedNanos, long nowNanos) {
-        double work = context.uses(Mechanism.SLOWNESS) ? expectedNanos * slowness.at(nowNanos) : expectedNanos;
+        double work = context.uses(RoutingFeature.SLOWNESS) ? expectedNanos * slowness.at(nowNanos) : expectedNanos;
         work *= toldWork(nowNanos);
         return (long) (coldness.isCold(nowNanos) ? work * COLD_FACTOR : work);
     }
@@ -327,7 +328,7 @@
 
     /** Returns how many calls the next one is expected to meet at the leaf: those of this host and of others. */
     private double occupancy(long nowNanos) {
-        double others = context.uses(Mechanism.LOAD_OF_OTHERS) ? told.callsOfOthers(nowNanos) : 0;
+        double others = context.uses(RoutingFeature.LOAD_OF_OTHERS) ? told.callsOfOthers(nowNanos) : 0;
         return calls.size() + OTHERS_SHARE * others;
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPlace.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafLocation.java
@@ -11,18 +11,18 @@
  * @param region the region of that zone
  * @param distance how far it is from this host
  */
-public record LeafPlace(String zone, String region, Distance distance) {
+public record LeafLocation(String zone, String region, Distance distance) {
     private static final String UNNAMED = "";
 
     /** Refuses missing names. */
-    public LeafPlace {
+    public LeafLocation {
         requireNonNull(zone);
         requireNonNull(region);
         requireNonNull(distance);
     }
 
     /** Returns a place in a zone and region without names, which no request with homes may be sent to. */
-    public static LeafPlace unnamed(Distance distance) {
-        return new LeafPlace(UNNAMED, UNNAMED, distance);
+    public static LeafLocation unnamed(Distance distance) {
+        return new LeafLocation(UNNAMED, UNNAMED, distance);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns true if a mechanism takes part. */
-    boolean uses(Mechanism mechanism) {
+    boolean uses(RoutingFeature mechanism) {
         return context.uses(mechanism);
     }
 
@@ -100,7 +100,7 @@
      * States whether this host holds the connections to the leaf of its availability zone: other hosts then send it the
      * calls for that leaf.
      */
-    public void setHeldHere(boolean held) {
+    public void setHeldLocally(boolean held) {
         heldHere = held;
     }
 
@@ -115,8 +115,8 @@
     }
 
     /** Returns true if one of the leafs would begin one more call at once. */
-    public boolean hasRoom(long nowNanos) {
-        return leaves.values().stream().anyMatch(leaf -> leaf.hasRoom(nowNanos));
+    public boolean hasCapacity(long nowNanos) {
+        return leaves.values().stream().anyMatch(leaf -> leaf.hasCapacity(nowNanos));
     }
 
     /**
@@ -134,7 +134,7 @@
                 continue;
             }
             // A cold leaf for which this host has no allowance is asked through another host, or not at all.
-            boolean ejected = leaf.isEjected(nowNanos) || leaf.isColdAndSpent(nowNanos);
+            boolean ejected = leaf.isEjected(nowNanos) || leaf.isBlockedWhileCold(nowNanos);
             double cost = leaf.costNanos(expectedNanos, nowNanos) + leaf.refusalRate(nowNanos) * refusalNanos;
             cost += heldHere && leaf.distance() != Distance.SAME_ZONE ? PASS_ON_NANOS : 0;
             boolean better = ejected != bestEjected ? !ejected : cost < bestCost;
@@ -156,10 +156,10 @@
      * leaf that refuses gets as many first attempts as the budget can send again.
      */
     private double refusalNanos(long nowNanos) {
-        if (!context.uses(Mechanism.REFUSAL_PRICE)) {
+        if (!context.uses(RoutingFeature.REFUSAL_PRICE)) {
             return 0;
         }
-        double spent = 1 - budget.fill(nowNanos);
+        double spent = 1 - budget.remainingFraction(nowNanos);
         return REFUSAL_NANOS + spent * spent * REFUSAL_WITHOUT_BUDGET_NANOS;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPace.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafSlowness.java
@@ -13,7 +13,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class LeafPace {
+final class LeafSlowness {
     /** A leaf keeps its speed as long as it runs, unless its data or its machine change. */
     private static final Duration SPEED_FADE = Duration.ofSeconds(60);
     /** Some twenty calls settle a speed, so that a spell of a few calls moves it little. */
@@ -27,12 +27,12 @@
     /** Each call that looks whether a fault has passed is late, and its query with it. */
     private static final double FAULT_FADE_NANOS = Duration.ofSeconds(5).toNanos();
 
-    private final FadingAverage speedLog;
+    private final DecayingAverage speedLog;
     private double spellLog;
     private long observedAtNanos;
 
-    LeafPace(long nowNanos) {
-        this.speedLog = new FadingAverage(0, SPEED_SMOOTHING, SPEED_FADE, nowNanos);
+    LeafSlowness(long nowNanos) {
+        this.speedLog = new DecayingAverage(0, SPEED_SMOOTHING, SPEED_FADE, nowNanos);
         this.observedAtNanos = nowNanos;
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Coldness.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
@@ -8,7 +8,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class Coldness {
+final class LeafWarmUp {
     /** Absent if a cold leaf of the service bears as much as a warm one. */
     private Optional<ColdAllowance> allowance = Optional.empty();
 
@@ -16,7 +16,7 @@
     private long warmAtNanos;
 
     /** Creates the coldness of a leaf that warms up at a time. */
-    Coldness(long warmAtNanos) {
+    LeafWarmUp(long warmAtNanos) {
         this.warmAtNanos = warmAtNanos;
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
@@ -17,11 +17,11 @@
  */
 public final class PermittedLeaves {
     private final LeafPool pool;
-    private final HomeRegions homes;
+    private final HomeRegions homeRegions;
 
     PermittedLeaves(LeafPool pool, HomeRegions homes) {
         this.pool = requireNonNull(pool);
-        this.homes = requireNonNull(homes);
+        this.homeRegions = requireNonNull(homes);
     }
 
     /** Returns the name of the service. */
@@ -30,13 +30,13 @@
     }
 
     /** Returns true if a mechanism takes part. */
-    public boolean uses(Mechanism mechanism) {
+    public boolean uses(RoutingFeature mechanism) {
         return pool.uses(mechanism);
     }
 
     /** Returns the regions that bind the request. */
-    public HomeRegions homes() {
-        return homes;
+    public HomeRegions homeRegions() {
+        return homeRegions;
     }
 
     /** Returns the budget that retries and hedges to the service share. */
@@ -50,7 +50,7 @@
     }
 
     /** Returns true if leafs take work, but all of them are outside the homes of the request. */
-    public boolean areAllElsewhere() {
+    public boolean areAllOutsideHomeRegions() {
         boolean anyElsewhere = false;
         for (Leaf leaf : pool.all()) {
             if (leaf.acceptsWork() && permits(leaf)) {
@@ -63,11 +63,11 @@
 
     /** Chooses among the permitted leafs; see {@link LeafPool#choose}. */
     public Optional<Leaf> choose(Predicate<Leaf> filter, long expectedNanos, RandomGenerator random, long nowNanos) {
-        Predicate<Leaf> permitted = homes.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
+        Predicate<Leaf> permitted = homeRegions.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
         return pool.choose(permitted, expectedNanos, random, nowNanos);
     }
 
     private boolean permits(Leaf leaf) {
-        return homes.allows(leaf.place().region());
+        return homeRegions.allows(leaf.location().region());
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ToldLoad.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ReportedLoad.java
@@ -7,7 +7,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class ToldLoad {
+final class ReportedLoad {
     /** How long a load that was told shows by itself that the leaf is full: the time of a few calls. */
     private static final long FRESH_NANOS = Duration.ofMillis(250).toNanos();
     /**
@@ -23,13 +23,13 @@
     /** A load that was told is that of a moment; averaged over a few it says what the next call will meet. */
     private static final double SMOOTHING = 0.3;
 
-    private final FadingAverage callsOfOthers;
+    private final DecayingAverage callsOfOthers;
     private int calls;
     private double work = 1;
     private long toldAtNanos;
 
-    ToldLoad(long nowNanos) {
-        this.callsOfOthers = new FadingAverage(0, SMOOTHING, FADE, nowNanos);
+    ReportedLoad(long nowNanos) {
+        this.callsOfOthers = new DecayingAverage(0, SMOOTHING, FADE, nowNanos);
     }
 
     /**
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Mechanism.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingFeature.java
@@ -1,7 +1,7 @@
 package org.bramblerack.process.leaf;
 
 /** What takes part in choosing leafs and spending extra attempts; each can be switched off to measure its worth. */
-public enum Mechanism {
+public enum RoutingFeature {
     /** A leaf's share of refused calls is remembered and priced by the budget that is left. */
     REFUSAL_PRICE,
     /** What other hosts have under way at a leaf is estimated from the load that it tells. */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
@@ -15,23 +15,23 @@
  *
  * @param off those that are switched off
  */
-public record RoutingPolicy(ImmutableSet<Mechanism> off) {
+public record RoutingPolicy(ImmutableSet<RoutingFeature> off) {
     /** Every mechanism takes part. */
     public static final RoutingPolicy DEFAULT = new RoutingPolicy(ImmutableSet.of());
 
     private static final String FIELD = "mechanismsOff";
 
     /** Returns a policy without some mechanisms. */
-    public static RoutingPolicy without(Mechanism... off) {
+    public static RoutingPolicy without(RoutingFeature... off) {
         return new RoutingPolicy(Sets.immutableEnumSet(ImmutableList.copyOf(off)));
     }
 
     /** Reads the optional list of mechanisms that are off, as {@code "mechanismsOff": ["hedges"]}. */
     public static RoutingPolicy read(Fields fields) {
-        Set<Mechanism> off = EnumSet.noneOf(Mechanism.class);
-        for (String text : fields.texts(FIELD, Mechanism.values().length)) {
+        Set<RoutingFeature> off = EnumSet.noneOf(RoutingFeature.class);
+        for (String text : fields.texts(FIELD, RoutingFeature.values().length)) {
             boolean known = false;
-            for (Mechanism mechanism : Mechanism.values()) {
+            for (RoutingFeature mechanism : RoutingFeature.values()) {
                 if (spell(mechanism).equals(text)) {
                     off.add(mechanism);
                     known = true;
@@ -45,19 +45,19 @@
     }
 
     /** Returns true if a mechanism takes part. */
-    public boolean uses(Mechanism mechanism) {
+    public boolean uses(RoutingFeature mechanism) {
         return !off.contains(mechanism);
     }
 
     private static String choices() {
         StringBuilder choices = new StringBuilder();
-        for (Mechanism mechanism : Mechanism.values()) {
+        for (RoutingFeature mechanism : RoutingFeature.values()) {
             choices.append(choices.length() == 0 ? "" : ", ").append(spell(mechanism));
         }
         return choices.toString();
     }
 
-    private static String spell(Mechanism mechanism) {
+    private static String spell(RoutingFeature mechanism) {
         return mechanism.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/AgreedTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/AgreedTables.java
@@ -131,7 +131,7 @@
 
     /** Takes what a host saw of requests that end leafs. */
     public CommandResult report(HarmReport report) {
-        if (!harm.take(report, revision + 1)) {
+        if (!harm.applyReport(report, revision + 1)) {
             return result(CommandResult.Kind.SUPERSEDED);
         }
         revision++;
@@ -141,12 +141,12 @@
     /** Has an arrival of a request that is on trial tried, unless another is; or takes that back. */
     public CommandResult take(TakeTrial trial) {
         if (trial.getGivenBack()) {
-            if (harm.giveBack(trial, revision + 1)) {
+            if (harm.endTrial(trial, revision + 1)) {
                 revision++;
             }
             return result(CommandResult.Kind.ACCEPTED);
         }
-        return result(harm.tryOnce(trial) ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.CONFLICT);
+        return result(harm.tryStartTrial(trial) ? CommandResult.Kind.ACCEPTED : CommandResult.Kind.CONFLICT);
     }
 
     /** Returns what is held of requests that end leafs, to be read only. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.leaf.LeafOutcome;
-import org.bramblerack.process.leaf.Mechanism;
 import org.bramblerack.process.leaf.PermittedLeaves;
 import org.bramblerack.process.leaf.RoutingContext;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.version.routing.RouteTarget;
 
 /**
@@ -92,7 +92,7 @@
         this.delivery = delivery;
         this.context = context;
         this.parts = new GatheredParts(target.topRecords(), pools.size());
-        this.shards = new QueryShards(pools, bounds, context.uses(Mechanism.HEDGES), random);
+        this.shards = new QueryShards(pools, bounds, context.uses(RoutingFeature.HEDGES), random);
     }
 
     /** Begins: one attempt on every shard, here or by another host. */
@@ -400,7 +400,7 @@
 
     /** Returns false once so many shards are lost that there will be no answer, whatever the others bring. */
     private boolean canBeEnough() {
-        return !context.uses(Mechanism.EARLY_END)
+        return !context.uses(RoutingFeature.EARLY_END)
                 || parts.count() + shards.waitingCount() >= target.minCoverage() * shards.count();
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
-import org.bramblerack.process.leaf.Mechanism;
 import org.bramblerack.process.leaf.PermittedLeaves;
+import org.bramblerack.process.leaf.RoutingFeature;
 
 /**
  * The attempts of one request at one service: which leaf is asked, when another is, and when there is no hope left.
@@ -179,7 +179,7 @@
             giveUp(AttemptCounter.RETRY_DENIED_BUDGET, actions);
             return;
         }
-        pool.budget().firstAttempt(nowNanos);
+        pool.budget().recordFirstAttempt(nowNanos);
         actions.add(new RoutedAction.Count(AttemptCounter.FIRST));
         ask(leaf.get(), Attempt.Purpose.FIRST, nowNanos, actions);
     }
@@ -308,7 +308,7 @@
         if (wasAsked()) {
             return RefusalReason.ALL_BUSY;
         }
-        return pool.areAllElsewhere() ? RefusalReason.NO_LEAF_AT_HOME : RefusalReason.NO_LEAF;
+        return pool.areAllOutsideHomeRegions() ? RefusalReason.NO_LEAF_AT_HOME : RefusalReason.NO_LEAF;
     }
 
     /** Returns true if an attempt was not made because requests like it end leafs. */
@@ -438,7 +438,7 @@
 
     /** Returns when an attempt that is made now will be overdue at its leaf. */
     private long overdueNanos(Leaf leaf, long nowNanos) {
-        if (!pool.uses(Mechanism.LEAF_HEDGES)) {
+        if (!pool.uses(RoutingFeature.LEAF_HEDGES)) {
             return Long.MAX_VALUE / 2;
         }
         long callNanos = Math.max(bounds.expectedNanos(), leaf.workNanos(bounds.expectedNanos(), nowNanos));
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -155,7 +155,7 @@
         for (int shard = 0; shard < pools.size(); shard++) {
             PermittedLeaves pool = pools.get(shard);
             Optional<Leaf> best = pool.choose(leaf -> true, expectedNanos, random, nowNanos);
-            Optional<String> holder = best.flatMap(leaf -> ways.holderOf(leaf, pool.homes()));
+            Optional<String> holder = best.flatMap(leaf -> ways.holderOf(leaf, pool.homeRegions()));
             if (holder.isPresent()) {
                 shardsByHolder
                         .computeIfAbsent(holder.get(), unused -> new ArrayList<>())
--- a/bramblerack-core/src/test/java/org/bramblerack/process/EventRateTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/EventRateTest.java
@@ -12,18 +12,18 @@
     void aSteadyRateIsTold() {
         EventRate rate = new EventRate(7 * SECOND);
         for (int second = 7; second < 30; second++) {
-            rate.happened(second * SECOND);
-            rate.happened(second * SECOND + SECOND / 2);
+            rate.record(second * SECOND);
+            rate.record(second * SECOND + SECOND / 2);
         }
-        assertThat(rate.aMinute(29 * SECOND + SECOND / 2)).isEqualTo(120);
+        assertThat(rate.perMinute(29 * SECOND + SECOND / 2)).isEqualTo(120);
     }
 
     @Test
     void whatWasLongAgoIsForgotten() {
         EventRate rate = new EventRate(0);
-        rate.happened(SECOND);
-        assertThat(rate.aMinute(2 * SECOND)).isGreaterThan(0);
-        assertThat(rate.aMinute(7 * SECOND)).isEqualTo(0);
-        assertThat(rate.aMinute(700 * SECOND)).isEqualTo(0);
+        rate.record(SECOND);
+        assertThat(rate.perMinute(2 * SECOND)).isGreaterThan(0);
+        assertThat(rate.perMinute(7 * SECOND)).isEqualTo(0);
+        assertThat(rate.perMinute(700 * SECOND)).isEqualTo(0);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/FleetBudgetTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/FleetBudgetTest.java
@@ -36,7 +36,7 @@
     @Test
     void aLoneHostDoesNotSpendTheSlackOfAll() {
         WindowedBudget budget = new FleetBudget(20, 54, WINDOW).newShare(LONG_AGO_NANOS);
-        new FleetBudget(20, 54, WINDOW).shareOut(budget, new FleetBudget.Turn(0, 7));
+        new FleetBudget(20, 54, WINDOW).assignShare(budget, new FleetBudget.Rank(0, 7));
         assertThat(spendAll(budget, 0)).isAtMost(54 / 7);
     }
 
@@ -45,7 +45,7 @@
         int hosts = 94;
         for (int position = 0; position < hosts; position++) {
             WindowedBudget budget = LARGE.newShare(LONG_AGO_NANOS);
-            LARGE.shareOut(budget, FleetBudget.Turn.of(position, hosts, SERVICE));
+            LARGE.assignShare(budget, FleetBudget.Rank.of(position, hosts, SERVICE));
             assertThat(spendAll(budget, 0)).isAtLeast(1);
             assertThat(spendAll(budget, 2 * WINDOW.toNanos())).isAtLeast(1);
         }
@@ -58,11 +58,11 @@
         int besides = 0;
         for (int position = 0; position < hosts; position++) {
             WindowedBudget budget = LARGE.newShare(LONG_AGO_NANOS);
-            LARGE.shareOutBesideHolders(budget, FleetBudget.Turn.of(position, hosts, SERVICE));
+            LARGE.assignNonHolderShare(budget, FleetBudget.Rank.of(position, hosts, SERVICE));
             besides += spendAll(budget, 0);
         }
         WindowedBudget holder = LARGE.newShare(LONG_AGO_NANOS);
-        LARGE.shareOutToHolder(holder, hosts, zones);
+        LARGE.assignHolderShare(holder, hosts, zones);
         int held = spendAll(holder, 0);
         assertThat(besides).isGreaterThan(hosts * 9 / 10);
         assertThat(held).isGreaterThan(40);
@@ -79,13 +79,13 @@
                 int mostBeside = 0;
                 for (int position = zones; position < hosts; position++) {
                     WindowedBudget budget = fleet.newShare(LONG_AGO_NANOS);
-                    fleet.shareOutBesideHolders(budget, new FleetBudget.Turn(position, hosts));
+                    fleet.assignNonHolderShare(budget, new FleetBudget.Rank(position, hosts));
                     int beside = spendAll(budget, 0);
                     others += beside;
                     mostBeside = Math.max(mostBeside, beside);
                 }
                 WindowedBudget holder = fleet.newShare(LONG_AGO_NANOS);
-                fleet.shareOutToHolder(holder, hosts, zones);
+                fleet.assignHolderShare(holder, hosts, zones);
                 int held = spendAll(holder, 0);
                 assertThat(others + zones * held).isAtMost(slack);
                 assertThat(held).isAtLeast(mostBeside);
@@ -110,7 +110,7 @@
             }
             WindowedBudget own = budgets.get(host);
             if (step / WINDOW_STEPS % 2 == 0) {
-                own.firstAttempt(nowNanos);
+                own.recordFirstAttempt(nowNanos);
                 firsts[step] = 1;
             }
             extras[step] = spendAll(own, nowNanos);
@@ -120,7 +120,7 @@
 
     private static WindowedBudget share(FleetBudget fleet, int host, int hosts, long startedNanos) {
         WindowedBudget budget = fleet.newShare(startedNanos);
-        fleet.shareOut(budget, FleetBudget.Turn.of(host, hosts, SERVICE));
+        fleet.assignShare(budget, FleetBudget.Rank.of(host, hosts, SERVICE));
         return budget;
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/SharedReadsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/SharedReadsTest.java
@@ -20,10 +20,10 @@
         assertThat(reads.begin()).isTrue();
         assertThat(reads.await("b")).isTrue();
         assertThat(reads.begin()).isFalse();
-        assertThat(reads.takeAnswered()).containsExactly("a");
+        assertThat(reads.takeWaiters()).containsExactly("a");
         reads.end();
         assertThat(reads.begin()).isTrue();
-        assertThat(reads.takeAnswered()).containsExactly("b");
+        assertThat(reads.takeWaiters()).containsExactly("b");
     }
 
     @Test
@@ -60,7 +60,7 @@
 
     private static void finish(
             SharedReads<Integer> reads, int begun, Map<Integer, Integer> askedAfter, List<Integer> answered) {
-        for (int waiter : reads.takeAnswered()) {
+        for (int waiter : reads.takeWaiters()) {
             assertThat(begun).isGreaterThan(askedAfter.get(waiter));
             answered.add(waiter);
         }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/SuspendWatchTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/SuspendDetectorTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What two clocks tell of the time in which neither was looked at. */
-final class SuspendWatchTest {
+final class SuspendDetectorTest {
     private static final long DAY_MILLIS = 1_700_000_000_000L;
-    private final SuspendWatch watch = new SuspendWatch(Duration.ofMillis(400), 0, DAY_MILLIS);
+    private final SuspendDetector watch = new SuspendDetector(Duration.ofMillis(400), 0, DAY_MILLIS);
 
     @Test
     void timeThatOnlyTheTimeOfDayCountsWasASuspension() {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/WarmUpPlanTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/WarmUpPlanTest.java
@@ -21,8 +21,8 @@
 
     @Test
     void aHostThatLeavesThemToOthersServesTheFirstOnly() {
-        assertThat(servedWhile(LeafCalls.LEFT_TO_OTHERS)).isEqualTo(WarmUpPlan.FIRST_QUERIES);
-        assertThat(plan.next(LeafCalls.LEFT_TO_OTHERS)).isEqualTo(Step.END);
+        assertThat(servedWhile(LeafCalls.MADE_BY_OTHERS)).isEqualTo(WarmUpPlan.FIRST_QUERIES);
+        assertThat(plan.next(LeafCalls.MADE_BY_OTHERS)).isEqualTo(Step.END);
     }
 
     @Test
@@ -36,20 +36,21 @@
     @Test
     void aHostThatLearnsLaterThatItCallsLeafsServesTheRestOnceThatHasSettled() {
         servedWhile(LeafCalls.UNKNOWN);
-        assertThat(plan.afterStart(LeafCalls.UNKNOWN, false, SECOND)).isEqualTo(Step.WAIT);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, false, 2 * SECOND)).isEqualTo(Step.WAIT);
-        assertThat(plan.afterStart(LeafCalls.LEFT_TO_OTHERS, false, 3 * SECOND)).isEqualTo(Step.WAIT);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, false, 4 * SECOND)).isEqualTo(Step.WAIT);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, false, 5 * SECOND)).isEqualTo(Step.SERVE);
+        assertThat(plan.nextAfterStart(LeafCalls.UNKNOWN, false, SECOND)).isEqualTo(Step.WAIT);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, false, 2 * SECOND)).isEqualTo(Step.WAIT);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_BY_OTHERS, false, 3 * SECOND))
+                .isEqualTo(Step.WAIT);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, false, 4 * SECOND)).isEqualTo(Step.WAIT);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, false, 5 * SECOND)).isEqualTo(Step.SERVE);
         assertThat(servedWhile(LeafCalls.MADE_HERE)).isEqualTo(WarmUpPlan.ALL_QUERIES - WarmUpPlan.FIRST_QUERIES);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, false, 6 * SECOND)).isEqualTo(Step.END);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, false, 6 * SECOND)).isEqualTo(Step.END);
     }
 
     @Test
     void aHostThatHasHadWorkServesNoneOfItsOwn() {
         servedWhile(LeafCalls.UNKNOWN);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, false, SECOND)).isEqualTo(Step.WAIT);
-        assertThat(plan.afterStart(LeafCalls.MADE_HERE, true, 3 * SECOND)).isEqualTo(Step.END);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, false, SECOND)).isEqualTo(Step.WAIT);
+        assertThat(plan.nextAfterStart(LeafCalls.MADE_HERE, true, 3 * SECOND)).isEqualTo(Step.END);
     }
 
     private int servedWhile(LeafCalls calls) {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/WindowedBudgetTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/WindowedBudgetTest.java
@@ -25,9 +25,9 @@
     void firstAttemptsAddTheirPercentage() {
         WindowedBudget budget = budget(50, 0);
         assertThat(budget.tryWithdraw(0)).isFalse();
-        budget.firstAttempt(0);
+        budget.recordFirstAttempt(0);
         assertThat(budget.tryWithdraw(0)).isFalse();
-        budget.firstAttempt(SECOND);
+        budget.recordFirstAttempt(SECOND);
         assertThat(budget.tryWithdraw(SECOND)).isTrue();
         assertThat(budget.tryWithdraw(SECOND)).isFalse();
     }
@@ -45,7 +45,7 @@
         assertThat(budget.tryWithdrawAbove(50, 0)).isTrue();
         assertThat(budget.tryWithdrawAbove(50, 0)).isTrue();
         assertThat(budget.tryWithdrawAbove(50, 0)).isFalse();
-        assertThat(budget.fill(0)).isEqualTo(0.5);
+        assertThat(budget.remainingFraction(0)).isEqualTo(0.5);
         assertThat(budget.tryWithdraw(0)).isTrue();
     }
 
@@ -61,7 +61,7 @@
             for (int event = 0; event < 2_000; event++) {
                 nowNanos += random.nextLong(random.nextInt(20) == 0 ? 8 * SECOND : SECOND / 10);
                 if (random.nextInt(3) > 0) {
-                    budget.firstAttempt(nowNanos);
+                    budget.recordFirstAttempt(nowNanos);
                     firsts.add(nowNanos);
                 } else if (budget.tryWithdraw(nowNanos)) {
                     extras.add(nowNanos);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
@@ -213,7 +213,7 @@
         switch (host.guard.permission(() -> request.prints)) {
             case FREE -> scatter(host, request, scattered);
             case ON_TRIAL -> askForTrial(host, request, scattered, ASKS);
-            case BARRED -> refused(request);
+            case QUARANTINED -> refused(request);
         }
     }
 
@@ -226,10 +226,11 @@
     /** Control grants or refuses a trial; a query on trial goes to one shard first. */
     private void askForTrial(Host host, Request request, boolean scattered, int asksLeft) {
         at(nowMillis + 2 + random.nextInt(50), () -> {
-            TakeTrial.Builder trial = HarmGuard.trialOf(request.arrival()).setAtMillis(nowMillis);
+            TakeTrial.Builder trial =
+                    HarmfulRequestFilter.newTrialRequest(request.arrival()).setAtMillis(nowMillis);
             boolean granted = host.reachesControl()
                     ? tables.take(trial.build()).getKind() == CommandResult.Kind.ACCEPTED
-                    : host.guard.tryAlone(request.arrival(), nowNanos());
+                    : host.guard.tryStartLocalTrial(request.arrival(), nowNanos());
             if (!granted && asksLeft > 1) {
                 at(nowMillis + OTHER_TRIAL_MILLIS, () -> lookAgain(host, request, scattered, asksLeft - 1));
                 return;
@@ -258,7 +259,7 @@
         switch (host.guard.permission(() -> request.prints)) {
             case FREE -> scatter(host, request, scattered);
             case ON_TRIAL -> askForTrial(host, request, scattered, asksLeft);
-            case BARRED -> refused(request);
+            case QUARANTINED -> refused(request);
         }
     }
 
@@ -266,7 +267,7 @@
         if (plant == Plant.TRIALS_HELD && request.sent) {
             return;
         }
-        TakeTrial.Builder trial = host.guard.giveBack(request.arrival(), broke, nowNanos());
+        TakeTrial.Builder trial = host.guard.endTrial(request.arrival(), broke, nowNanos());
         at(nowMillis + 2 + random.nextInt(50), () -> {
             if (host.reachesControl()) {
                 tables.take(trial.setAtMillis(nowMillis).build());
@@ -369,7 +370,7 @@
             } else if (leaf.up) {
                 request.sent = true;
                 noteSentOn();
-                sender.watch(leaf).sent(this);
+                sender.watch(leaf).onSent(this);
                 leaf.calls.add(this);
                 int start = leaf.start;
                 at(nowMillis + 5 + random.nextInt(95), () -> run(start));
@@ -400,10 +401,10 @@
             }
             over = true;
             leaf.calls.remove(this);
-            sender.watch(leaf).answered(this);
+            sender.watch(leaf).onAnswered(this);
             if (plant != Plant.ANSWERS_IGNORED) {
-                sender.guard.survived(request.prints, nowNanos());
-                entry.guard.survived(request.prints, nowNanos());
+                sender.guard.recordSurvival(request.prints, nowNanos());
+                entry.guard.recordSurvival(request.prints, nowNanos());
             }
             if (!request.answered) {
                 request.answered = true;
@@ -419,9 +420,9 @@
 
         void broke(boolean leafEnded) {
             over = true;
-            sender.watch(leaf).broke(this, nowNanos());
+            sender.watch(leaf).onDisconnected(this, nowNanos());
             if (plant != Plant.BREAKS_IGNORED) {
-                sender.guard.broke(request.arrival(), nowNanos());
+                sender.guard.recordDisconnect(request.arrival(), nowNanos());
             }
             sender.confirm(leaf, leafEnded);
             retry();
@@ -448,7 +449,7 @@
                 request.onBroke.run();
             }
             if (request.sent && !request.answered && request.scattered && plant != Plant.LOST_QUERIES_IGNORED) {
-                entry.guard.lostWhole(request.arrival(), nowNanos());
+                entry.guard.recordNoShardAnswered(request.arrival(), nowNanos());
             }
             leafs.forEach(each -> each.giveUp(request));
             if (request.triesLeft > 0) {
@@ -498,7 +499,7 @@
                 if (call.request == request) {
                     calls.remove(call);
                     call.over = random.nextInt(2) == 0;
-                    call.sender.watch(this).givenUp(call, nowNanos());
+                    call.sender.watch(this).onAbandoned(call, nowNanos());
                 }
             }
         }
@@ -515,8 +516,8 @@
 
     /** A host, through all of its starts. */
     private final class Host {
-        private final Map<Leaf, EndWatch<Call>> watches = new HashMap<>();
-        private HarmGuard guard = new HarmGuard();
+        private final Map<Leaf, LeafEndDetector<Call>> watches = new HashMap<>();
+        private HarmfulRequestFilter guard = new HarmfulRequestFilter();
         private long knownRevision;
         private long downUntilMillis;
         private long cutUntilMillis;
@@ -527,23 +528,23 @@
         }
 
         boolean maySend(Request request) {
-            return guard.permission(() -> request.prints) != Permission.BARRED;
+            return guard.permission(() -> request.prints) != Permission.QUARANTINED;
         }
 
         boolean isInTouch() {
             return nowMillis - troubledMillis > KNOWN_AFTER_MILLIS;
         }
 
-        EndWatch<Call> watch(Leaf leaf) {
-            return watches.computeIfAbsent(leaf, unused -> new EndWatch<>());
+        LeafEndDetector<Call> watch(Leaf leaf) {
+            return watches.computeIfAbsent(leaf, unused -> new LeafEndDetector<>());
         }
 
         /** Most hosts have a connection to a leaf on which nothing is. */
         void idleConnectionEnds(Leaf leaf) {
             if (random.nextInt(10) < 7) {
-                EndWatch<Call> watch = watch(leaf);
-                watch.idleEnded(nowNanos());
-                if (watch.isInDoubt()) {
+                LeafEndDetector<Call> watch = watch(leaf);
+                watch.onIdleConnectionClosed(nowNanos());
+                if (watch.isEndSuspected()) {
                     confirm(leaf, true);
                 }
             }
@@ -551,20 +552,20 @@
 
         /** Finds out by connecting whether a leaf has ended. */
         void confirm(Leaf leaf, boolean leafEnded) {
-            EndWatch<Call> watch = watch(leaf);
+            LeafEndDetector<Call> watch = watch(leaf);
             int start = leaf.start;
             long begunNanos = nowNanos();
             boolean seen = !leafsSoonBack || random.nextBoolean();
             at(nowMillis + 1 + random.nextInt(25), () -> {
                 boolean down = (leafEnded && seen) || plant == Plant.BREAKS_COUNT;
                 if (!down) {
-                    watch.isUp(begunNanos);
+                    watch.onConnected(begunNanos);
                     return;
                 }
-                List<Call> onIt = watch.isDown(nowNanos());
+                List<Call> onIt = watch.onConnectFailed(nowNanos());
                 if (!onIt.isEmpty()) {
                     accused++;
-                    guard.ended(
+                    guard.recordLeafEnd(
                             leaf.number * 1_000L + start,
                             onIt.stream()
                                     .map(call -> call.request.arrival())
@@ -576,7 +577,7 @@
         }
 
         void restart() {
-            guard = new HarmGuard();
+            guard = new HarmfulRequestFilter();
             knownRevision = 0;
             watches.clear();
             away(500 + random.nextInt(1_000), false);
@@ -596,16 +597,16 @@
             if (isDown() || plant == Plant.NOTHING_TOLD) {
                 return;
             }
-            HarmGuard teller = guard;
+            HarmfulRequestFilter teller = guard;
             guard.takeReport()
                     .ifPresent(report -> at(nowMillis + 20 + random.nextInt(300), () -> {
                         if (reachesControl()) {
                             tables.report(
                                     report.toBuilder().setAtMillis(nowMillis).build());
                         } else if (plant == Plant.NOTHING_TOLD_BY_OTHERS || random.nextBoolean()) {
-                            teller.handBack(report);
+                            teller.restoreReport(report);
                         } else {
-                            anyHost().guard.takeOver(report, nowNanos());
+                            anyHost().guard.adoptReport(report, nowNanos());
                         }
                     }));
         }
@@ -616,8 +617,10 @@
             }
             TableDelta delta = tables.changesSince(knownRevision).build();
             knownRevision = delta.getRevision();
-            HarmGuard learner = guard;
-            at(nowMillis + LEARN_MILLIS, () -> learner.learn(delta.getHarmList(), delta.getWhole(), nowNanos()));
+            HarmfulRequestFilter learner = guard;
+            at(
+                    nowMillis + LEARN_MILLIS,
+                    () -> learner.applyReplicated(delta.getHarmList(), delta.getWhole(), nowNanos()));
         }
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
@@ -20,7 +20,7 @@
     private static final int SCHEDULES = 10_000;
     private static final int STEPS = 400;
     private static final double MADE_FOR = 8;
-    private static final double BOUND = new ColdBound(1.5, 5).mostPerSecond(MADE_FOR);
+    private static final double BOUND = new ColdRequestLimit(1.5, 5).mostPerSecond(MADE_FOR);
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
     @Test
@@ -55,15 +55,15 @@
     @Test
     void aHostThatMayNotSendSendsNothingWhileTheLeafIsCold() {
         Leaf leaf = new Leaf("l", "s", "10.0.0.1:1", Distance.SAME_ZONE, 2, Duration.ofSeconds(3), 0);
-        assertThat(leaf.admit(1)).isTrue();
-        leaf.boundCold(BOUND, false, 1);
-        assertThat(leaf.admit(SECOND)).isFalse();
-        assertThat(leaf.isColdAndSpent(SECOND)).isTrue();
-        assertThat(leaf.admit(3 * SECOND)).isTrue();
-        leaf.turnCold(Duration.ofSeconds(1), 4 * SECOND);
-        assertThat(leaf.admit(4 * SECOND + 1)).isFalse();
-        leaf.boundCold(BOUND, true, 4 * SECOND);
-        assertThat(leaf.admit(4 * SECOND + SECOND / 2)).isTrue();
+        assertThat(leaf.tryAdmit(1)).isTrue();
+        leaf.limitColdRequests(BOUND, false, 1);
+        assertThat(leaf.tryAdmit(SECOND)).isFalse();
+        assertThat(leaf.isBlockedWhileCold(SECOND)).isTrue();
+        assertThat(leaf.tryAdmit(3 * SECOND)).isTrue();
+        leaf.markCold(Duration.ofSeconds(1), 4 * SECOND);
+        assertThat(leaf.tryAdmit(4 * SECOND + 1)).isFalse();
+        leaf.limitColdRequests(BOUND, true, 4 * SECOND);
+        assertThat(leaf.tryAdmit(4 * SECOND + SECOND / 2)).isTrue();
     }
 
     private static double mostInASecond(int seed, Duration savedBefore) {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/FadingAverageTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/DecayingAverageTest.java
@@ -6,13 +6,13 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-final class FadingAverageTest {
+final class DecayingAverageTest {
     private static final Duration FADE = Duration.ofSeconds(1);
     private static final long SECOND = FADE.toNanos();
 
     @Test
     void itApproachesWhatIsObserved() {
-        FadingAverage average = new FadingAverage(1, 0.5, FADE, 0);
+        DecayingAverage average = new DecayingAverage(1, 0.5, FADE, 0);
         assertThat(average.at(0)).isEqualTo(1.0);
         average.observe(3, 0);
         assertThat(average.at(0)).isEqualTo(2.0);
@@ -22,7 +22,7 @@
 
     @Test
     void halfOfItCountsAfterTheFadingTimeAndHardlyAnyMuchLater() {
-        FadingAverage average = new FadingAverage(1, 1, FADE, 0);
+        DecayingAverage average = new DecayingAverage(1, 1, FADE, 0);
         average.observe(9, 0);
         assertThat(average.at(SECOND)).isEqualTo(5.0);
         assertThat(average.at(1000 * SECOND)).isWithin(0.01).of(1);
@@ -30,7 +30,7 @@
 
     @Test
     void anObservationStartsFromWhatStillCounts() {
-        FadingAverage average = new FadingAverage(0, 0.5, FADE, 0);
+        DecayingAverage average = new DecayingAverage(0, 0.5, FADE, 0);
         average.observe(8, 0);
         average.observe(0, SECOND);
         assertThat(average.at(SECOND)).isEqualTo(1.0);
@@ -38,8 +38,8 @@
 
     @Test
     void timesAndSmoothingThatMeanNothingAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new FadingAverage(0, 0, FADE, 0));
-        assertThrows(IllegalArgumentException.class, () -> new FadingAverage(0, 1.5, FADE, 0));
-        assertThrows(IllegalArgumentException.class, () -> new FadingAverage(0, 0.5, Duration.ZERO, 0));
+        assertThrows(IllegalArgumentException.class, () -> new DecayingAverage(0, 0, FADE, 0));
+        assertThrows(IllegalArgumentException.class, () -> new DecayingAverage(0, 1.5, FADE, 0));
+        assertThrows(IllegalArgumentException.class, () -> new DecayingAverage(0, 0.5, Duration.ZERO, 0));
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/LeafPaceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/LeafSlownessTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-final class LeafPaceTest {
+final class LeafSlownessTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final double[] SPEEDS = {0.8, 1.0, 1.3};
@@ -22,7 +22,7 @@
 
     @Test
     void aSpeedIsKeptThroughASpell() {
-        LeafPace pace = new LeafPace(0);
+        LeafSlowness pace = new LeafSlowness(0);
         long nowNanos = observe(pace, 1.3, 100, 0);
         nowNanos = observe(pace, 3.2, 6, nowNanos);
         assertThat(pace.at(nowNanos)).isGreaterThan(2.2);
@@ -33,8 +33,8 @@
 
     @Test
     void aSpellIsForgottenWithinASecondAndAFaultIsNot() {
-        LeafPace inSpell = new LeafPace(0);
-        LeafPace faulty = new LeafPace(0);
+        LeafSlowness inSpell = new LeafSlowness(0);
+        LeafSlowness faulty = new LeafSlowness(0);
         long nowNanos = observe(inSpell, 2.5, 6, 0);
         observe(faulty, 8.5, 6, 0);
         assertThat(inSpell.at(nowNanos + SECOND)).isLessThan(1.6);
@@ -43,10 +43,10 @@
 
     @Test
     void whatWasNeverSeenIsUsual() {
-        assertThat(new LeafPace(0).at(10 * SECOND)).isEqualTo(1.0);
+        assertThat(new LeafSlowness(0).at(10 * SECOND)).isEqualTo(1.0);
     }
 
-    private static long observe(LeafPace pace, double times, int calls, long fromNanos) {
+    private static long observe(LeafSlowness pace, double times, int calls, long fromNanos) {
         long nowNanos = fromNanos;
         for (int call = 0; call < calls; call++) {
             nowNanos += 80 * MILLI;
@@ -62,8 +62,8 @@
 
         /** Plays a minute of a leaf that gets twelve calls a second and is in a spell for 15% of the time. */
         void ofLeaf(double speed, SplittableRandom random) {
-            LeafPace pace = new LeafPace(0);
-            FadingAverage one = new FadingAverage(1, 0.3, Duration.ofSeconds(5), 0);
+            LeafSlowness pace = new LeafSlowness(0);
+            DecayingAverage one = new DecayingAverage(1, 0.3, Duration.ofSeconds(5), 0);
             long spellEndsNanos = 0;
             double usual = speed;
             long nowNanos = 0;
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/LeafTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/LeafTest.java
@@ -140,7 +140,8 @@
 
     @Test
     void refusalsAreNoPartOfTheChoiceIfThePolicySaysSo() {
-        RoutingContext context = new RoutingContext(RoutingPolicy.without(Mechanism.REFUSAL_PRICE), HostLag.none());
+        RoutingContext context =
+                new RoutingContext(RoutingPolicy.without(RoutingFeature.REFUSAL_PRICE), EventLoopLag.none());
         LeafPool plain = new LeafPool("s", shareOf(0, 0), context);
         Leaf refusing = new Leaf("refusing", "s", "10.0.0.1:1", Distance.SAME_ZONE, 2, Duration.ZERO, 0);
         Leaf sound = new Leaf("sound", "s", "10.0.0.1:2", Distance.SAME_REGION, 2, Duration.ZERO, 0);
@@ -213,7 +214,7 @@
             own.begin(EXPECTED, 0);
         }
         assertThat(chooseFrom(held, 1)).isEqualTo(other);
-        held.setHeldHere(true);
+        held.setHeldLocally(true);
         assertThat(chooseFrom(held, 1)).isEqualTo(own);
         long overdue = 20 * EXPECTED;
         assertThat(own.isStalled(overdue)).isTrue();
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/PlacesScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/PlacesScheduleTest.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 import org.bramblerack.process.leaf.Distance;
 import org.bramblerack.process.leaf.Leaf;
+import org.bramblerack.process.leaf.LeafLocation;
 import org.bramblerack.process.leaf.LeafOutcome;
-import org.bramblerack.process.leaf.LeafPlace;
 import org.bramblerack.process.leaf.LeafPool;
 import org.bramblerack.process.leaf.PermittedLeaves;
 import org.bramblerack.process.leaf.RoutingContext;
@@ -88,7 +88,8 @@
             int leafs = 1 + random.nextInt(5);
             for (int number = 0; number < leafs; number++) {
                 String zone = ZONES.get(random.nextInt(ZONES.size()));
-                LeafPlace place = new LeafPlace(zone, regionOf(zone), DISTANCES.get(random.nextInt(DISTANCES.size())));
+                LeafLocation place =
+                        new LeafLocation(zone, regionOf(zone), DISTANCES.get(random.nextInt(DISTANCES.size())));
                 pool.add(new Leaf(
                         service + "-" + number,
                         service,
@@ -186,7 +187,7 @@
                 int zone = random.nextInt(ZONES.size());
                 drained[zone] = !drained[zone];
                 pools.forEach(pool -> pool.all().stream()
-                        .filter(leaf -> leaf.place().zone().equals(ZONES.get(zone)))
+                        .filter(leaf -> leaf.location().zone().equals(ZONES.get(zone)))
                         .forEach(leaf -> leaf.setZoneDrained(drained[zone])));
             }
         }
@@ -197,11 +198,11 @@
                     asked++;
                     Leaf leaf = ask.attempt().leaf();
                     open.add(ask.attempt());
-                    assertWithMessage("seed %s: %s asked at %s", seed, homes, leaf.place())
-                            .that(homes.allows(leaf.place().region()))
+                    assertWithMessage("seed %s: %s asked at %s", seed, homes, leaf.location())
+                            .that(homes.allows(leaf.location().region()))
                             .isTrue();
-                    assertWithMessage("seed %s: asked at drained %s", seed, leaf.place())
-                            .that(drained[ZONES.indexOf(leaf.place().zone())])
+                    assertWithMessage("seed %s: asked at drained %s", seed, leaf.location())
+                            .that(drained[ZONES.indexOf(leaf.location().zone())])
                             .isFalse();
                 }
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
@@ -17,7 +17,7 @@
 import org.bramblerack.daemon.event.EventLog;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.SuspendWatch;
+import org.bramblerack.process.SuspendDetector;
 import org.bramblerack.process.agreement.RaftAction;
 import org.bramblerack.process.agreement.RaftNode;
 import org.bramblerack.process.agreement.RaftTimings;
@@ -63,7 +63,7 @@
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final InstantSource wallClock;
-    private final SuspendWatch suspendWatch;
+    private final SuspendDetector suspendWatch;
     private final RandomGenerator random;
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>(MAX_EVENTS_WAITING);
     private final PendingCalls calls = new PendingCalls();
@@ -103,7 +103,7 @@
         this.network = network;
         this.clock = clock;
         this.wallClock = wallClock;
-        this.suspendWatch = new SuspendWatch(timings.election(), clock.nowNanos(), wallClock.millis());
+        this.suspendWatch = new SuspendDetector(timings.election(), clock.nowNanos(), wallClock.millis());
         this.random = random;
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -238,7 +238,7 @@
     private void versionRead(boolean current, long version) {
         ImmutableList<Consumer<VersionQueryResult>> answered;
         synchronized (versionReads) {
-            answered = versionReads.takeAnswered();
+            answered = versionReads.takeWaiters();
             versionReads.end();
         }
         VersionQueryResult result = VersionQueryResult.newBuilder()
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.bramblerack.process.FleetBudget;
-import org.bramblerack.process.leaf.ColdBound;
+import org.bramblerack.process.leaf.ColdRequestLimit;
 import org.bramblerack.process.leaf.RoutingPolicy;
 import org.bramblerack.process.quota.QuotaBound;
 
@@ -34,7 +34,7 @@
         HostAndPort peerAddress,
         ImmutableList<String> seeds,
         FleetBudget budget,
-        ColdBound coldBound,
+        ColdRequestLimit coldBound,
         Optional<QuotaBound> quota,
         RoutingPolicy routing,
         Duration stopLimit) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -16,7 +16,7 @@
 import org.bramblerack.daemon.event.RateBound;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.SuspendWatch;
+import org.bramblerack.process.SuspendDetector;
 import org.bramblerack.process.quota.QuotaAction;
 import org.bramblerack.process.quota.QuotaBound;
 import org.bramblerack.process.quota.QuotaClient;
@@ -61,7 +61,7 @@
     private final EventLoop loop;
     private final QuotaClient spender;
     private final QuotaServer keeper;
-    private final SuspendWatch suspendWatch;
+    private final SuspendDetector suspendWatch;
     private final RateBound lines;
     private final Map<Long, Asker> askers = new HashMap<>();
     private final Map<Long, Reporter> reporters = new HashMap<>();
@@ -99,7 +99,7 @@
         this.forgotNanos = nowNanos;
         this.spender = new QuotaClient(self, bound, random, nowNanos);
         this.keeper = new QuotaServer(self, bound, nowNanos);
-        this.suspendWatch = new SuspendWatch(LEAST_SUSPENSION, nowNanos, wallClock.millis());
+        this.suspendWatch = new SuspendDetector(LEAST_SUSPENSION, nowNanos, wallClock.millis());
         this.lines = new RateBound(clock, LINES_A_SECOND);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -24,14 +24,14 @@
 import org.bramblerack.process.WarmUpPlan;
 import org.bramblerack.process.WindowedBudget;
 import org.bramblerack.process.harm.Fingerprint;
-import org.bramblerack.process.harm.HarmGuard;
-import org.bramblerack.process.leaf.ColdBound;
-import org.bramblerack.process.leaf.HostLag;
-import org.bramblerack.process.leaf.LagPeriod;
+import org.bramblerack.process.harm.HarmfulRequestFilter;
+import org.bramblerack.process.leaf.ColdRequestLimit;
+import org.bramblerack.process.leaf.EventLoopLag;
+import org.bramblerack.process.leaf.LagSamplingPeriod;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafPool;
-import org.bramblerack.process.leaf.Mechanism;
 import org.bramblerack.process.leaf.RoutingContext;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 import org.bramblerack.request.routed.HedgeTiming;
 import org.bramblerack.version.routing.LeafService;
@@ -58,12 +58,12 @@
     private final long startedNanos;
     private final LeafAccess access;
     private final FleetBudget budget;
-    private final ColdBound coldBound;
+    private final ColdRequestLimit coldBound;
     private final MonotonicClock clock;
     private final RoutingContext routing;
     private final Map<String, LeafPool> pools = new HashMap<>();
     private final LeafConnectionTable connections;
-    private final HarmGuard harm = new HarmGuard();
+    private final HarmfulRequestFilter harm = new HarmfulRequestFilter();
     private final FleetHosts hosts;
     private final Map<String, LeafRecord> leafRecords = new HashMap<>();
     private final Map<String, LatencyTracker> latencies = new HashMap<>();
@@ -84,7 +84,7 @@
             String self,
             Place place,
             FleetBudget budget,
-            ColdBound coldBound,
+            ColdRequestLimit coldBound,
             RoutingPolicy policy,
             CallHeaders names,
             EventLoopGroup group,
@@ -94,7 +94,7 @@
         this.hosts = new FleetHosts(place);
         this.startedNanos = clock.nowNanos();
         this.queries = new EventRate(startedNanos);
-        this.routing = new RoutingContext(policy, HostLag.create(LagPeriod.AT_WORK));
+        this.routing = new RoutingContext(policy, EventLoopLag.create(LagSamplingPeriod.BUSY_PERIOD));
         this.access = new LeafAccess(self, place);
         this.budget = budget;
         this.coldBound = coldBound;
@@ -113,7 +113,7 @@
     }
 
     /** Returns what keeps requests from leafs that end those which run them. */
-    HarmGuard harm() {
+    HarmfulRequestFilter harm() {
         return harm;
     }
 
@@ -158,12 +158,12 @@
 
     /** Notes a query over shards of a caller. */
     void queryCame() {
-        queries.happened(clock.nowNanos());
+        queries.record(clock.nowNanos());
     }
 
     /** Returns how many queries over shards callers send here in a minute. */
     int queriesAMinute() {
-        return queries.aMinute(clock.nowNanos());
+        return queries.perMinute(clock.nowNanos());
     }
 
     /** Returns the region of a host with the given name or peer address, if it is or was known. */
@@ -221,14 +221,14 @@
     /** Returns the share of a query's shards at which a call would begin at once. */
     double shareWithRoom(RouteTarget.Scatter target, long nowNanos) {
         long count = target.shards().stream()
-                .filter(shard -> pool(shard).hasRoom(nowNanos))
+                .filter(shard -> pool(shard).hasCapacity(nowNanos))
                 .count();
         return (double) count / target.shards().size();
     }
 
     /** Returns true if shards may be left to other hosts; those that are reached through holders always are. */
     boolean usesStages() {
-        return usesHolders() || routing.uses(Mechanism.STAGES);
+        return usesHolders() || routing.uses(RoutingFeature.STAGES);
     }
 
     /** Returns the records of the leafs that have not left. */
@@ -292,11 +292,11 @@
     }
 
     private void learnHarm(TableDelta delta) {
-        int before = harm.restrictedCount();
-        harm.learn(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
-        if (harm.restrictedCount() != before) {
+        int before = harm.replicatedRestrictedCount();
+        harm.applyReplicated(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
+        if (harm.replicatedRestrictedCount() != before) {
             EVENTS.info("requests_barred")
-                    .with("count", harm.restrictedCount())
+                    .with("count", harm.replicatedRestrictedCount())
                     .with("before", before)
                     .with("revision", revision)
                     .with("fingerprints", barred(delta))
@@ -355,7 +355,7 @@
         leaf.setZoneDrained(drained);
         LeafService service = configuration.services().get(record.getService());
         if (wasDrained && !drained && service != null && service.coldRequestsPerSecond() > 0) {
-            leaf.turnCold(service.coldDuration(), clock.nowNanos());
+            leaf.markCold(service.coldDuration(), clock.nowNanos());
         }
     }
 
@@ -402,7 +402,7 @@
             pool.add(leaf);
             known = Optional.of(leaf);
         } else if (record.getColdMillis() > 0) {
-            known.get().turnCold(Duration.ofMillis(record.getColdMillis()), clock.nowNanos());
+            known.get().markCold(Duration.ofMillis(record.getColdMillis()), clock.nowNanos());
         }
         leafRecords.put(record.getId(), record);
         if (record.getPhase() == LeafRecord.Phase.DRAINING) {
@@ -418,7 +418,7 @@
             return;
         }
         leaf.get()
-                .boundCold(
+                .limitColdRequests(
                         coldBound.mostPerSecond(service.coldRequestsPerSecond()),
                         access.spendsCold(record.getId(), record.getService(), record.getZone()),
                         clock.nowNanos());
@@ -446,18 +446,18 @@
     /** Tells the leafs of a service what the agreed tables say of this host's part in asking them. */
     private void takeOver(LeafPool pool) {
         shareOut(pool.service(), pool.budget());
-        pool.setHeldHere(access().isHeld(pool.service()) && access().isHolderOf(pool.service()));
+        pool.setHeldLocally(access().isHeld(pool.service()) && access().isHolderOf(pool.service()));
     }
 
     /** Gives this host its part of the fleet's budget for a service, by the agreed tables. */
     private void shareOut(String service, WindowedBudget own) {
-        FleetBudget.Turn turn = access().turnAt(service);
+        FleetBudget.Rank turn = access().turnAt(service);
         if (!access().isHeld(service)) {
-            budget.shareOut(own, turn);
+            budget.assignShare(own, turn);
         } else if (access().isHolderOf(service)) {
-            budget.shareOutToHolder(own, turn.hosts(), access().zonesOf(service));
+            budget.assignHolderShare(own, turn.hosts(), access().zonesOf(service));
         } else {
-            budget.shareOutBesideHolders(own, turn);
+            budget.assignNonHolderShare(own, turn);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -21,7 +21,7 @@
 import org.bramblerack.daemon.peer.PeerHandler;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.Mechanism;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.request.routed.CallerCheck;
 import org.bramblerack.request.routed.CallerIdentity;
 import org.bramblerack.request.routed.CallerWaits;
@@ -114,7 +114,7 @@
         this.runs = new QueryRuns(view, stages, names, metrics, clock, loop, random, log);
         this.lateQueries = new LateQueries(view, clock, loop);
         this.trials = new HarmTrials(view, runs, network, controlHost, loop, clock, random);
-        this.lagTimer = new LagTimer(view.routing().hostLag(), sealLead, loop, clock);
+        this.lagTimer = new LagTimer(view.routing().eventLoopLag(), sealLead, loop, clock);
         this.room = new RequestRoom(view, metrics, clock, loop, random);
         this.stageServer = new StageServer(view, runs, names, sealLead, clock, loop);
     }
@@ -170,7 +170,7 @@
         } else if (message.hasStageCancel()) {
             stageServer.cancel(message.getSender(), message.getStageCancel());
         } else if (message.hasHarmReport()) {
-            loop.execute(() -> view.harm().takeOver(message.getHarmReport(), clock.nowNanos()));
+            loop.execute(() -> view.harm().adoptReport(message.getHarmReport(), clock.nowNanos()));
             reply.accept(Envelope.newBuilder()
                     .setHarmReportResult(HarmReportResult.newBuilder().setTaken(true)));
         }
@@ -344,7 +344,8 @@
                     runs.stageCaller(queryCall(exchange, call, target), target.shards(), call.times(), call.request());
             ScatterRun run = runs.scatter(call, target, stageCaller, caller);
             run.onSealedAtGoal(writtenNanos -> sealLead.sealed(call.times().goalNanos(), writtenNanos));
-            run.onLostWhole(() -> view.harm().lostWhole(call.request().arrival(), clock.nowNanos()));
+            run.onLostWhole(
+                    () -> view.harm().recordNoShardAnswered(call.request().arrival(), clock.nowNanos()));
             begin(exchange, call, target, run);
         } else {
             ForwardRun run = runs.forward(call, serviceOf(route), () -> stageCall(exchange, call), caller);
@@ -362,7 +363,7 @@
                 call.route().timeout().toNanos(),
                 arrivedNanos);
         long goalNanos = call.route().goal().toNanos();
-        boolean late = goalNanos > 0 && usedNanos > goalNanos && view.routing().uses(Mechanism.LATE_STARTS);
+        boolean late = goalNanos > 0 && usedNanos > goalNanos && view.routing().uses(RoutingFeature.LATE_STARTS);
         if (!late) {
             exchange.onCallerGone(run::callerGone);
             run.start();
@@ -419,7 +420,7 @@
     /** Returns the times of a request; what it may have waited here before it was read is no longer the caller's. */
     private RequestTimes times(HttpExchange exchange, Route route) {
         long receivedNanos = exchange.receivedNanos();
-        long arrivedNanos = view.routing().hostLag().arrivedNanos(receivedNanos);
+        long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(receivedNanos);
         long timeoutNanos = route.timeout().toNanos();
         long callerNanos = callerWaitNanos(exchange);
         long finalNanos = Math.min(timeoutNanos, Math.max(callerNanos / 2, callerNanos - DEADLINE_WAY_NANOS));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.bramblerack.daemon.peer.PeerNetwork;
-import org.bramblerack.process.harm.HarmGuard;
+import org.bramblerack.process.harm.HarmfulRequestFilter;
 import org.bramblerack.wire.Envelope;
 import org.bramblerack.wire.HarmReport;
 
@@ -24,7 +24,7 @@
     /** A control host waits for agreement for 850 ms. */
     private static final Duration REPLY_WAIT = Duration.ofMillis(1_100);
 
-    private final HarmGuard guard;
+    private final HarmfulRequestFilter guard;
     private final Supplier<ImmutableList<String>> otherHosts;
     private final RandomGenerator random;
     private final PeerNetwork network;
@@ -41,7 +41,7 @@
      * @param otherHosts tells the peer addresses of the other entry hosts
      */
     HarmReporter(
-            HarmGuard guard,
+            HarmfulRequestFilter guard,
             PeerNetwork network,
             Supplier<String> controlHost,
             Supplier<ImmutableList<String>> otherHosts,
@@ -91,7 +91,7 @@
         failures = taken ? 0 : failures + 1;
         if (!taken) {
             LOGGER.log(Logger.Level.DEBUG, "a report of harmful requests is made again: {0}", reason);
-            guard.handBack(report);
+            guard.restoreReport(report);
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -14,7 +14,7 @@
 import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.harm.HarmGuard;
+import org.bramblerack.process.harm.HarmfulRequestFilter;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
 import org.bramblerack.process.leaf.PermittedLeaves;
@@ -91,7 +91,8 @@
     }
 
     private void ask(RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
-        TakeTrial.Builder trial = HarmGuard.trialOf(call.request().arrival());
+        TakeTrial.Builder trial =
+                HarmfulRequestFilter.newTrialRequest(call.request().arrival());
         network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_WAIT)
                 .subscribe()
                 .with(
@@ -109,7 +110,7 @@
             TakeTrialResult result, RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
         boolean granted = result.getDecided()
                 ? result.getGranted()
-                : view.harm().tryAlone(call.request().arrival(), clock.nowNanos());
+                : view.harm().tryStartLocalTrial(call.request().arrival(), clock.nowNanos());
         if (granted) {
             sendFirst(call, query, taker);
         } else if (asksLeft > 0 && hasTimeToWait(call)) {
@@ -138,7 +139,7 @@
      * @param broke true if it reached a leaf and its call broke there
      */
     void giveBack(RoutedCall call, boolean broke) {
-        TakeTrial.Builder trial = view.harm().giveBack(call.request().arrival(), broke, clock.nowNanos());
+        TakeTrial.Builder trial = view.harm().endTrial(call.request().arrival(), broke, clock.nowNanos());
         network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_WAIT)
                 .subscribe()
                 .with(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
@@ -59,7 +59,7 @@
     }
 
     private void look() {
-        switch (plan.afterStart(view.leafCalls(), hasHadWork, clock.nowNanos())) {
+        switch (plan.nextAfterStart(view.leafCalls(), hasHadWork, clock.nowNanos())) {
             case WAIT -> loop.schedule(this::look, LOOK_EVERY.toMillis(), TimeUnit.MILLISECONDS);
             case SERVE -> serveRest();
             default -> {}
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -5,26 +5,26 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.HostLag;
-import org.bramblerack.process.leaf.LagPeriod;
+import org.bramblerack.process.leaf.EventLoopLag;
+import org.bramblerack.process.leaf.LagSamplingPeriod;
 import org.bramblerack.request.routed.SealLead;
 import org.jspecify.annotations.Nullable;
 
 /**
  * Runs the task by which a host sees how far it is behind, and how early to seal its answers, as often as
- * {@link LagPeriod} says. Owned by the event loop.
+ * {@link LagSamplingPeriod} says. Owned by the event loop.
  */
 final class LagTimer {
-    private final HostLag lag;
+    private final EventLoopLag lag;
     private final SealLead sealLead;
     private final EventLoop loop;
     private final MonotonicClock clock;
-    private final LagPeriod period = new LagPeriod();
+    private final LagSamplingPeriod period = new LagSamplingPeriod();
     private @Nullable ScheduledFuture<?> next;
     private boolean atRest;
-    private long waitedNanos = LagPeriod.AT_REST.toNanos();
+    private long waitedNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
 
-    LagTimer(HostLag lag, SealLead sealLead, EventLoop loop, MonotonicClock clock) {
+    LagTimer(EventLoopLag lag, SealLead sealLead, EventLoop loop, MonotonicClock clock) {
         this.lag = lag;
         this.sealLead = sealLead;
         this.loop = loop;
@@ -37,7 +37,7 @@
 
     /** Notes that work comes; a host at rest looks at once, since the work may have waited here. */
     void workCame() {
-        period.workCame(clock.nowNanos());
+        period.onWork(clock.nowNanos());
         if (atRest && next != null) {
             next.cancel(false);
             run();
@@ -47,9 +47,9 @@
     private void run() {
         long nowNanos = clock.nowNanos();
         Duration wait = period.next(nowNanos);
-        atRest = wait.equals(LagPeriod.AT_REST);
-        lag.taskRuns(nowNanos, wait);
-        sealLead.taskRan(lag.nanos(nowNanos), waitedNanos, nowNanos);
+        atRest = wait.equals(LagSamplingPeriod.IDLE_PERIOD);
+        lag.onTaskRun(nowNanos, wait);
+        sealLead.taskRan(lag.lagNanos(nowNanos), waitedNanos, nowNanos);
         waitedNanos = wait.toNanos();
         next = loop.schedule(this::run, wait.toNanos(), TimeUnit.NANOSECONDS);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
@@ -112,12 +112,12 @@
     }
 
     /** Returns which turn this host has when something is shared out among the entry hosts for one service. */
-    FleetBudget.Turn turnAt(String service) {
+    FleetBudget.Rank turnAt(String service) {
         int position = hosts.indexOf(self);
         // A host that the tables do not name yet comes after all that they do name.
         return position >= 0
-                ? FleetBudget.Turn.of(position, hosts.size(), service)
-                : new FleetBudget.Turn(hosts.size(), hosts.size() + 1);
+                ? FleetBudget.Rank.of(position, hosts.size(), service)
+                : new FleetBudget.Rank(hosts.size(), hosts.size() + 1);
     }
 
     /** Returns true if hosts reach the leafs of a service through holders. */
@@ -189,7 +189,7 @@
                 return WarmUpPlan.LeafCalls.MADE_HERE;
             }
         }
-        return WarmUpPlan.LeafCalls.LEFT_TO_OTHERS;
+        return WarmUpPlan.LeafCalls.MADE_BY_OTHERS;
     }
 
     private boolean wouldHold(String zone, ImmutableSortedSet<String> shards) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
@@ -9,7 +9,7 @@
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.Arrival;
-import org.bramblerack.process.harm.HarmGuard;
+import org.bramblerack.process.harm.HarmfulRequestFilter;
 import org.bramblerack.process.harm.Permission;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
@@ -20,7 +20,7 @@
 
     private final Leaf leaf;
     private final long leafStart;
-    private final HarmGuard guard;
+    private final HarmfulRequestFilter guard;
     private final Lines lines;
     private final MonotonicClock clock;
 
@@ -30,7 +30,7 @@
      * @param incarnation tells starts of a leaf apart that have the same identifier
      * @param lines is shared by all leafs of this host
      */
-    LeafHarm(Leaf leaf, long incarnation, HarmGuard guard, Lines lines, MonotonicClock clock) {
+    LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter guard, Lines lines, MonotonicClock clock) {
         this.leaf = leaf;
         this.leafStart = Hashing.sha256()
                 .hashString(leaf.service() + "\n" + leaf.id() + "\n" + incarnation, StandardCharsets.UTF_8)
@@ -43,17 +43,17 @@
     @Override
     public boolean maySend(LeafRequest request) {
         // What is on trial was let through as one arrival where it came; its calls are not stopped halfway.
-        return guard.permission(request::fingerprints) != Permission.BARRED;
+        return guard.permission(request::fingerprints) != Permission.QUARANTINED;
     }
 
     @Override
     public void answered(LeafRequest request) {
-        guard.survived(request.fingerprints(), clock.nowNanos());
+        guard.recordSurvival(request.fingerprints(), clock.nowNanos());
     }
 
     @Override
     public void failed(LeafRequest request, LeafOutcome outcome) {
-        guard.broke(request.arrival(), clock.nowNanos());
+        guard.recordDisconnect(request.arrival(), clock.nowNanos());
         if (lines.admit()) {
             EVENTS.info("call_broken")
                     .with("request", request.requestId())
@@ -69,7 +69,7 @@
     public void leafEnded(ImmutableList<LeafRequest> onIt) {
         ImmutableList<Arrival> arrivals =
                 onIt.stream().map(LeafRequest::arrival).distinct().collect(ImmutableList.toImmutableList());
-        guard.ended(leafStart, arrivals, clock.nowNanos());
+        guard.recordLeafEnd(leafStart, arrivals, clock.nowNanos());
         if (lines.admit()) {
             EVENTS.info("leaf_ended_under_calls")
                     .with("leaf", leaf.id())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
@@ -90,7 +90,7 @@
     private void end(boolean newest) {
         // Those who come until the pause is over wait for the next read.
         loop.schedule(this::askAgain, SPACING.toMillis(), TimeUnit.MILLISECONDS);
-        reads.takeAnswered().forEach(taker -> taker.accept(newest));
+        reads.takeWaiters().forEach(taker -> taker.accept(newest));
     }
 
     private void askAgain() {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Place.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Place.java
@@ -4,7 +4,7 @@
 
 import com.google.common.collect.ImmutableMap;
 import org.bramblerack.process.leaf.Distance;
-import org.bramblerack.process.leaf.LeafPlace;
+import org.bramblerack.process.leaf.LeafLocation;
 
 /**
  * Where this host is, and which region each availability zone belongs to.
@@ -24,8 +24,8 @@
     }
 
     /** Returns where the leafs of a zone are. */
-    public LeafPlace of(String otherZone) {
-        return new LeafPlace(otherZone, regionOf(otherZone), distanceTo(otherZone));
+    public LeafLocation of(String otherZone) {
+        return new LeafLocation(otherZone, regionOf(otherZone), distanceTo(otherZone));
     }
 
     /** Returns how far a zone is. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestRoom.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestRoom.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.LagPeriod;
+import org.bramblerack.process.leaf.LagSamplingPeriod;
 import org.bramblerack.request.admission.Applicant;
 import org.bramblerack.request.admission.EntryRoom;
 import org.bramblerack.request.admission.RoomAction;
@@ -91,7 +91,7 @@
     private void lookLater() {
         if (!looking) {
             looking = true;
-            loop.schedule(this::look, LagPeriod.AT_WORK.toNanos(), TimeUnit.NANOSECONDS);
+            loop.schedule(this::look, LagSamplingPeriod.BUSY_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     private long lagNanos(long nowNanos) {
-        return view.routing().hostLag().nanos(nowNanos);
+        return view.routing().eventLoopLag().lagNanos(nowNanos);
     }
 
     private static void carryOut(List<RoomAction<Held>> actions) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -21,10 +21,10 @@
 import org.bramblerack.daemon.peer.PeerFailure;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.HostRoom;
+import org.bramblerack.process.leaf.HostCapacity;
 import org.bramblerack.process.leaf.Leaf;
-import org.bramblerack.process.leaf.Mechanism;
 import org.bramblerack.process.leaf.PermittedLeaves;
+import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.request.routed.HolderChoice;
 import org.bramblerack.request.routed.StageAttempt;
 import org.bramblerack.request.routed.StagePlanner;
@@ -156,7 +156,7 @@
     }
 
     private boolean isBehind(Link link, long nowNanos) {
-        return view.routing().uses(Mechanism.HOST_ROOM) && link.room.isBehind(nowNanos);
+        return view.routing().uses(RoutingFeature.HOST_ROOM) && link.room.isLagging(nowNanos);
     }
 
     /** Returns the hosts that get no shards of this one now, since they are behind or do not answer. */
@@ -316,7 +316,7 @@
 
         private boolean confirmed;
         private final Map<String, Long> unreachableUntilNanos = new HashMap<>();
-        private final HostRoom room = new HostRoom();
+        private final HostCapacity room = new HostCapacity();
         private int inFlight;
 
         private Link(String host) {
@@ -360,9 +360,9 @@
 
         /** Notes how far the host says that it is behind. */
         void told(long lagMicros, long nowNanos) {
-            boolean before = room.isBehind(nowNanos);
-            room.told(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
-            if (room.isBehind(nowNanos) != before) {
+            boolean before = room.isLagging(nowNanos);
+            room.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
+            if (room.isLagging(nowNanos) != before) {
                 EVENTS.info(before ? "host_caught_up" : "host_behind")
                         .with("host", host)
                         .with("lagMicros", lagMicros)
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -98,7 +98,7 @@
                 call.getTeam(),
                 names);
         // Its times count from when it came, so that no leaf is given more time than the caller has left.
-        long arrivedNanos = view.routing().hostLag().arrivedNanos(clock.nowNanos());
+        long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(clock.nowNanos());
         if (call.getLeaf().isEmpty()) {
             AtomicBoolean cancelled = new AtomicBoolean();
             calls.begin(sender, call.getCall(), () -> cancelled.set(true));
@@ -122,7 +122,8 @@
 
     /** Adds how far this host is behind, so that others know which host has room. */
     private Envelope.Builder withLag(Envelope.Builder message) {
-        long lagMicros = TimeUnit.NANOSECONDS.toMicros(view.routing().hostLag().averageNanos());
+        long lagMicros =
+                TimeUnit.NANOSECONDS.toMicros(view.routing().eventLoopLag().averageNanos());
         if (message.hasStageResult()) {
             message.getStageResultBuilder().setLagMicros(lagMicros);
         } else if (message.hasStageProgress()) {
@@ -190,7 +191,7 @@
         if (!namesShards(call)) {
             return Optional.of("the call names no shards");
         }
-        if (view.harm().permission(request::fingerprints) == Permission.BARRED) {
+        if (view.harm().permission(request::fingerprints) == Permission.QUARANTINED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
         if (homes.allowsNone()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -35,7 +35,7 @@
 import org.bramblerack.process.FleetBudget;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.WarmUpPlan;
-import org.bramblerack.process.leaf.ColdBound;
+import org.bramblerack.process.leaf.ColdRequestLimit;
 import org.bramblerack.process.leaf.Distance;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
@@ -160,7 +160,7 @@
                 "warm-up",
                 place(),
                 BUDGET,
-                ColdBound.NONE,
+                ColdRequestLimit.NONE,
                 RoutingPolicy.DEFAULT,
                 names,
                 group,
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
@@ -11,7 +11,7 @@
 import org.bramblerack.connection.ReplicaLimiter;
 import org.bramblerack.daemon.peer.Workers;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.harm.EndWatch;
+import org.bramblerack.process.harm.LeafEndDetector;
 import org.bramblerack.request.LeafFailure;
 import org.bramblerack.request.LeafOutcome;
 import org.bramblerack.request.LeafRequest;
@@ -33,7 +33,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final ReplicaLimiter gate;
     private final UpstreamHarm harm;
-    private final EndWatch<LeafRequest> ends = new EndWatch<>();
+    private final LeafEndDetector<LeafRequest> ends = new LeafEndDetector<>();
     private final Map<String, Call> calls = new HashMap<>();
 
     HeldUpstream(
@@ -117,7 +117,7 @@
             workers.run(() -> ended(callId, new LeafOutcome.Failed(LeafFailure.HARMFUL)));
             return;
         }
-        ends.sent(call.request());
+        ends.onSent(call.request());
         Duration remaining = Duration.ofNanos(Math.max(1, call.request().deadlineNanos() - clock.nowNanos()));
         protocol.call(call.request(), remaining)
                 .subscribe()
@@ -148,15 +148,15 @@
         }
         boolean broke = outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.CONNECTION_LOST;
         if (!broke) {
-            ends.answered(call.request());
+            ends.onAnswered(call.request());
             if (outcome instanceof LeafOutcome.Replied) {
                 harm.survived(call.request());
             }
             return;
         }
-        boolean alreadyAsked = ends.isInDoubt();
+        boolean alreadyAsked = ends.isEndSuspected();
         long nowNanos = clock.nowNanos();
-        ends.broke(call.request(), nowNanos);
+        ends.onDisconnected(call.request(), nowNanos);
         if (!alreadyAsked) {
             protocol.takesConnections()
                     .subscribe()
@@ -175,9 +175,9 @@
         lock.lock();
         try {
             if (takesConnections) {
-                ends.isUp(askedNanos);
+                ends.onConnected(askedNanos);
             } else {
-                onIt = ends.isDown(clock.nowNanos());
+                onIt = ends.onConnectFailed(clock.nowNanos());
             }
         } finally {
             lock.unlock();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
@@ -12,7 +12,7 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.Arrival;
 import org.bramblerack.process.harm.Fingerprints;
-import org.bramblerack.process.harm.HarmGuard;
+import org.bramblerack.process.harm.HarmfulRequestFilter;
 import org.bramblerack.process.harm.Permission;
 import org.bramblerack.request.LeafRequest;
 import org.bramblerack.version.UpstreamName;
@@ -32,7 +32,7 @@
     /** Holders of one upstream that see its end within this time have seen the same one. */
     private static final Duration ONE_END = Duration.ofSeconds(10);
 
-    private final HarmGuard guard = new HarmGuard();
+    private final HarmfulRequestFilter guard = new HarmfulRequestFilter();
     private final MonotonicClock clock;
     private final InstantSource wallClock;
     private final Deque<Told> told = new ArrayDeque<>();
@@ -45,12 +45,12 @@
 
     /** Returns true if a call may be sent to its upstream. */
     synchronized boolean maySend(LeafRequest request) {
-        return guard.permission(() -> fingerprints(request)) != Permission.BARRED;
+        return guard.permission(() -> fingerprints(request)) != Permission.QUARANTINED;
     }
 
     /** Notes that an upstream answered a call that it has run. */
     synchronized void survived(LeafRequest request) {
-        guard.survived(fingerprints(request), clock.nowNanos());
+        guard.recordSurvival(fingerprints(request), clock.nowNanos());
     }
 
     /** Notes that an upstream has ended with calls on it. */
@@ -63,8 +63,8 @@
                 .map(request -> Arrival.of(fingerprints(request), request.requestId()))
                 .distinct()
                 .toList();
-        int before = guard.heldBackAloneCount();
-        guard.ended(upstreamStart, arrivals, clock.nowNanos());
+        int before = guard.locallyRestrictedCount();
+        guard.recordLeafEnd(upstreamStart, arrivals, clock.nowNanos());
         sayWhatIsHeldBack(before);
         LOGGER.log(
                 Logger.Level.INFO,
@@ -77,14 +77,14 @@
     /** Takes what another holder tells. */
     public synchronized void hear(HarmReport report) {
         if (report.getEndedCount() + report.getSurvivedCount() > 0) {
-            int before = guard.heldBackAloneCount();
-            guard.hear(report, clock.nowNanos());
+            int before = guard.locallyRestrictedCount();
+            guard.applyPeerReport(report, clock.nowNanos());
             sayWhatIsHeldBack(before);
         }
     }
 
     private void sayWhatIsHeldBack(int before) {
-        int now = guard.heldBackAloneCount();
+        int now = guard.locallyRestrictedCount();
         if (now != before) {
             LOGGER.log(
                     Logger.Level.INFO,
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.harm.EndWatch;
+import org.bramblerack.process.harm.LeafEndDetector;
 import org.bramblerack.process.leaf.Leaf;
 import org.bramblerack.process.leaf.LeafOutcome;
 import org.jspecify.annotations.Nullable;
@@ -40,7 +40,7 @@
     private final IntSupplier share;
     private final Consumer<ConnectionEvent> observer;
     private final CallWatch watch;
-    private final EndWatch<LeafRequest> calls = new EndWatch<>();
+    private final LeafEndDetector<LeafRequest> calls = new LeafEndDetector<>();
     private final Deque<LeafConnection> idle = new ArrayDeque<>();
     private final List<LeafConnection> open = new ArrayList<>(4);
     private final Deque<Pending> waiting = new ArrayDeque<>();
@@ -144,7 +144,7 @@
         idle.remove(connection);
         open.remove(connection);
         if (reason == ConnectionEvent.ENDED_WHILE_IDLE) {
-            calls.idleEnded(clock.nowNanos());
+            calls.onIdleConnectionClosed(clock.nowNanos());
         }
         confirm();
         if (!waiting.isEmpty()) {
@@ -154,7 +154,7 @@
 
     /** Finds out whether the leaf has ended, if that is in doubt, unless a connection is being made anyway. */
     private void confirm() {
-        if (calls.isInDoubt() && connecting == 0 && leaf.acceptsWork()) {
+        if (calls.isEndSuspected() && connecting == 0 && leaf.acceptsWork()) {
             connect(ConnectionEvent.MADE_TO_CONFIRM);
         }
     }
@@ -211,7 +211,7 @@
     private void connected(ChannelFuture future, LeafConnection connection, long begunNanos) {
         connecting--;
         if (future.isSuccess()) {
-            calls.isUp(begunNanos);
+            calls.onConnected(begunNanos);
             connection.opened(future.channel());
             open.add(connection);
             idle(connection);
@@ -219,7 +219,7 @@
             return;
         }
         observer.accept(ConnectionEvent.NOT_MADE);
-        ImmutableList<LeafRequest> onIt = calls.isDown(clock.nowNanos());
+        ImmutableList<LeafRequest> onIt = calls.onConnectFailed(clock.nowNanos());
         if (!onIt.isEmpty() && leaf.acceptsWork()) {
             watch.leafEnded(onIt);
         }
@@ -267,20 +267,20 @@
                 taker.failed(LeafOutcome.BARRED);
                 return;
             }
-            if (!leaf.admit(clock.nowNanos())) {
+            if (!leaf.tryAdmit(clock.nowNanos())) {
                 done = true;
                 idle(free);
                 taker.failed(LeafOutcome.NO_CONNECTION);
                 return;
             }
             connection = free;
-            calls.sent(request);
+            calls.onSent(request);
             long remainingMillis = Math.max(1, (deadlineNanos - clock.nowNanos()) / NANOS_PER_MILLI);
             free.send(request, leaf.id(), remainingMillis, new LeafExchange() {
                 @Override
                 public void answered(LeafAnswer answer) {
                     done = true;
-                    calls.answered(request);
+                    calls.onAnswered(request);
                     if (answer.showsSurvival()) {
                         watch.answered(request);
                     }
@@ -302,9 +302,9 @@
             }
             watch.failed(request, outcome);
             if (outcome == LeafOutcome.BROKEN) {
-                calls.broke(request, clock.nowNanos());
+                calls.onDisconnected(request, clock.nowNanos());
             } else {
-                calls.answered(request);
+                calls.onAnswered(request);
             }
         }
 
@@ -322,7 +322,7 @@
                 taker.failed(LeafOutcome.NO_CONNECTION);
                 return true;
             }
-            calls.givenUp(request, clock.nowNanos());
+            calls.onAbandoned(request, clock.nowNanos());
             connection.close(ConnectionEvent.ENDED_CALL_GIVEN_UP);
             return false;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -142,7 +142,7 @@
 
     /** Returns true if the leaf may get it. */
     boolean mayBeSentTo(Leaf leaf) {
-        return homes.allows(leaf.place().region());
+        return homes.allows(leaf.location().region());
     }
 
     /** Returns true if answers to it have no body whatever their head says. */
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/GatewayFixture.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/GatewayFixture.java
@@ -7,7 +7,7 @@
 import org.bramblerack.daemon.leaf.CallHeaders;
 import org.bramblerack.process.FleetBudget;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.ColdBound;
+import org.bramblerack.process.leaf.ColdRequestLimit;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
 /** What the tests of the gateway set up alike. */
@@ -36,7 +36,7 @@
                 "127.0.0.1:1",
                 new Place("z", "r", ImmutableMap.of("z", "r", "z2", "r")),
                 BUDGET,
-                ColdBound.NONE,
+                ColdRequestLimit.NONE,
                 RoutingPolicy.DEFAULT,
                 NAMES,
                 group,
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/HeldSinglesTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/HeldSinglesTest.java
@@ -30,7 +30,7 @@
 import org.bramblerack.daemon.peer.PeerServer;
 import org.bramblerack.daemon.peer.PeerTraffic;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.LagPeriod;
+import org.bramblerack.process.leaf.LagSamplingPeriod;
 import org.bramblerack.version.routing.LeafService;
 import org.bramblerack.version.routing.RequestKind;
 import org.bramblerack.version.routing.RequestLimits;
@@ -201,8 +201,8 @@
 
     /** Makes the host's regular task late, as it is on a processor that has too much to do. */
     private void behind(long lateMillis) throws Exception {
-        long lateNanos = TimeUnit.MILLISECONDS.toNanos(lateMillis) + LagPeriod.AT_WORK.toNanos();
-        group.submit(() -> view.routing().hostLag().taskRuns(clock.nowNanos() - lateNanos))
+        long lateNanos = TimeUnit.MILLISECONDS.toNanos(lateMillis) + LagSamplingPeriod.BUSY_PERIOD.toNanos();
+        group.submit(() -> view.routing().eventLoopLag().onTaskRun(clock.nowNanos() - lateNanos))
                 .get();
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -25,8 +25,8 @@
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.daemon.peer.PeerTraffic;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.process.leaf.HostLag;
-import org.bramblerack.process.leaf.LagPeriod;
+import org.bramblerack.process.leaf.EventLoopLag;
+import org.bramblerack.process.leaf.LagSamplingPeriod;
 import org.bramblerack.process.leaf.LeafOutcome;
 import org.bramblerack.request.routed.StageTiming;
 import org.bramblerack.version.routing.LeafService;
@@ -219,8 +219,8 @@
     /** Makes the host's regular task late, as it is on a processor that has too much to do. */
     private void behind(long lateNanos) throws Exception {
         group.submit(() -> {
-                    HostLag lag = view.routing().hostLag();
-                    lag.taskRuns(clock.nowNanos() - lateNanos - LagPeriod.AT_WORK.toNanos());
+                    EventLoopLag lag = view.routing().eventLoopLag();
+                    lag.onTaskRun(clock.nowNanos() - lateNanos - LagSamplingPeriod.BUSY_PERIOD.toNanos());
                 })
                 .get();
     }
