--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.ParseException;
 import org.bramblerack.daemon.settings.SettingsReader;
 import org.bramblerack.process.document.DocumentReader;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.version.DeclarationReader;
 
 /** Checks a settings or declaration file without applying it. */
@@ -40,7 +40,7 @@
         String name = Arguments.only(line, "FILE");
         String text = TextFiles.read(Path.of(name));
         boolean isSettings = isSettings(text);
-        Either<ImmutableList<Fault>, String> checked = isSettings
+        Either<ImmutableList<ValidationError>, String> checked = isSettings
                 ? SettingsReader.read(text).map(settings -> "settings of host " + settings.host())
                 : DeclarationReader.read(text)
                         .map(declaration -> "declaration of " + declaration.partner() + " with "
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import org.bramblerack.cli.experiment.Experiments;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 
 /** Compares routing policies by running the product's decisions against a model of a fleet. */
 final class ExperimentCommand implements Command {
@@ -60,7 +60,8 @@
         int jobs = (int) Math.max(1, Math.min(MOST_JOBS, Arguments.number(line, JOBS, Integer.toString(half))));
         Optional<Path> folder =
                 line.hasOption(FOLDER) ? Optional.of(Path.of(line.getOptionValue(FOLDER))) : Optional.empty();
-        Either<ImmutableList<Fault>, Boolean> held = Experiments.run(TextFiles.read(Path.of(name)), jobs, folder, out);
+        Either<ImmutableList<ValidationError>, Boolean> held =
+                Experiments.run(TextFiles.read(Path.of(name)), jobs, folder, out);
         if (held.isLeft()) {
             Faults.print(name, held.getLeft(), out);
             return ExitCode.REFUSED;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
@@ -12,7 +12,7 @@
 import org.bramblerack.daemon.settings.Role;
 import org.bramblerack.daemon.settings.Settings;
 import org.bramblerack.daemon.settings.SettingsReader;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 
 /** Makes the state of a control host that never voted, once in its life. */
 final class InitVoterCommand implements Command {
@@ -39,7 +39,7 @@
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws IOException {
         String file = line.getOptionValue("settings");
-        Either<ImmutableList<Fault>, Settings> settings = SettingsReader.read(TextFiles.read(Path.of(file)));
+        Either<ImmutableList<ValidationError>, Settings> settings = SettingsReader.read(TextFiles.read(Path.of(file)));
         if (settings.isLeft()) {
             Faults.print(file, settings.getLeft(), out);
             return ExitCode.REFUSED;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
@@ -16,7 +16,7 @@
 import org.bramblerack.daemon.peer.LinkPolicy;
 import org.bramblerack.daemon.settings.Settings;
 import org.bramblerack.daemon.settings.SettingsReader;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 
 /** Runs one host until it is asked to end. */
 final class ServeCommand implements Command {
@@ -58,7 +58,7 @@
         Duration lag = Arguments.millis(line, "lag-ms", DEFAULT_LAG_MILLIS);
         Duration limit = Arguments.millis(line, "limit-ms", DEFAULT_LIMIT_MILLIS);
         Path file = Path.of(line.getOptionValue("settings"));
-        Either<ImmutableList<Fault>, Settings> settings = SettingsReader.read(TextFiles.read(file));
+        Either<ImmutableList<ValidationError>, Settings> settings = SettingsReader.read(TextFiles.read(file));
         if (settings.isLeft()) {
             Faults.print(file.toString(), settings.getLeft(), out);
             return ExitCode.REFUSED;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import org.bramblerack.daemon.lifecycle.TerminationSignal;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.standin.StandInFleet;
 import org.bramblerack.version.Declaration;
 import org.bramblerack.version.DeclarationReader;
@@ -47,7 +47,8 @@
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException, InterruptedException {
         String file = line.getOptionValue("declaration");
-        Either<ImmutableList<Fault>, Declaration> declaration = DeclarationReader.read(TextFiles.read(Path.of(file)));
+        Either<ImmutableList<ValidationError>, Declaration> declaration =
+                DeclarationReader.read(TextFiles.read(Path.of(file)));
         if (declaration.isLeft()) {
             Faults.print(file, declaration.getLeft(), out);
             return ExitCode.REFUSED;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import org.bramblerack.process.FleetBudget;
 import org.bramblerack.process.document.DocumentReader;
-import org.bramblerack.process.document.Fault;
 import org.bramblerack.process.document.Fields;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
 /** Reads the file of an experiment, or tells everything that is wrong with it. Stateless. */
@@ -28,7 +28,7 @@
 
     private ExperimentReader() {}
 
-    static Either<ImmutableList<Fault>, Experiment> read(String text) {
+    static Either<ImmutableList<ValidationError>, Experiment> read(String text) {
         return DocumentReader.read(text, ExperimentReader::experiment);
     }
 
@@ -36,12 +36,13 @@
         Fleet fleet = fields.object("fleet", ExperimentReader::fleet).orElseGet(ExperimentReader::noFleet);
         ImmutableList<Load> loads = fields.objects("loads", MOST_LOADS, ExperimentReader::load);
         if (loads.isEmpty()) {
-            fields.fault("loads", "there is no load", "give one kind of query at least");
+            fields.addError("loads", "there is no load", "give one kind of query at least");
         }
         ImmutableList<Trouble> troubles = fields.objects("troubles", MOST_TROUBLES, ExperimentReader::trouble);
         ImmutableList<Experiment.Policy> policies = fields.objects("policies", MOST_POLICIES, ExperimentReader::policy);
         if (policies.isEmpty()) {
-            fields.fault("policies", "there is no policy", "give one at least; the others are compared with the first");
+            fields.addError(
+                    "policies", "there is no policy", "give one at least; the others are compared with the first");
         }
         return new Experiment(
                 fleet, loads, troubles, policies, millis(fields, "lengthMs"), fields.integer("seeds", 1, MOST_SEEDS));
@@ -92,14 +93,14 @@
         Set<String> names = new HashSet<>();
         zones.forEach(zone -> names.add(zone.name()));
         if (zones.stream().mapToInt(Fleet.Zone::hosts).sum() == 0) {
-            fields.fault("zones", "there is no host", "give a zone one host at least");
+            fields.addError("zones", "there is no host", "give a zone one host at least");
         }
         if (replicaZones.isEmpty()) {
-            fields.fault("replicaZones", "a shard has no replica", "name the zone of each replica of a shard");
+            fields.addError("replicaZones", "a shard has no replica", "name the zone of each replica of a shard");
         }
         for (String zone : replicaZones) {
             if (!names.contains(zone)) {
-                fields.fault("replicaZones", "there is no zone \"" + zone + "\"", "name zones of the fleet");
+                fields.addError("replicaZones", "there is no zone \"" + zone + "\"", "name zones of the fleet");
             }
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
@@ -6,7 +6,7 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.Optional;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 
 /** Runs the experiment of a file and shows what came of it. Stateless. */
 public final class Experiments {
@@ -22,9 +22,9 @@
      * @throws IOException if the report cannot be written
      * @throws InterruptedException if the thread is interrupted meanwhile
      */
-    public static Either<ImmutableList<Fault>, Boolean> run(
+    public static Either<ImmutableList<ValidationError>, Boolean> run(
             String text, int jobs, Optional<Path> folder, PrintStream out) throws IOException, InterruptedException {
-        Either<ImmutableList<Fault>, Experiment> read = ExperimentReader.read(text);
+        Either<ImmutableList<ValidationError>, Experiment> read = ExperimentReader.read(text);
         if (read.isLeft()) {
             return Either.left(read.getLeft());
         }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Optional;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.process.leaf.RoutingFeature;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -50,7 +50,7 @@
                 .replace("\"kind\": \"slow\"", "\"kind\": \"late\"")
                 .replace("[\"refusal-price\"]", "[\"magic\"]")
                 .replace("[\"west\", \"east\"]", "[\"west\", \"north\"]");
-        ImmutableList<Fault> faults = ExperimentReader.read(text).getLeft();
+        ImmutableList<ValidationError> faults = ExperimentReader.read(text).getLeft();
         String told = faults.toString();
         assertThat(faults).hasSize(4);
         assertThat(told).contains("choose from 1");
@@ -76,7 +76,7 @@
                 .replace("\"lengthMs\": 25000", "\"lengthMs\": 3000")
                 .replace("\"seeds\": 16", "\"seeds\": 2");
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        Either<ImmutableList<Fault>, Boolean> held =
+        Either<ImmutableList<ValidationError>, Boolean> held =
                 Experiments.run(text, 2, Optional.of(folder), new PrintStream(printed, true, StandardCharsets.UTF_8));
         assertThat(held).isEqualTo(Either.right(true));
         assertThat(printed.toString(StandardCharsets.UTF_8)).contains("without refusal price");
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/ControlState.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.ApplyDeclaration;
 import org.bramblerack.wire.ChangeResult;
 import org.bramblerack.wire.Claim;
@@ -33,7 +33,7 @@
     private final Map<String, PartnerDeclaration> declarations = new TreeMap<>();
     private final LinkedHashMap<ChangeKey, ChangeResult> results = new LinkedHashMap<>();
     private final List<HistoryEntry> history = new ArrayList<>();
-    private final AgreedTables tables = new AgreedTables();
+    private final ReplicatedTables tables = new ReplicatedTables();
     private ClaimTable claims = new ClaimTable();
     private long revision;
 
@@ -43,21 +43,21 @@
             case APPLY_DECLARATION -> applyDeclaration(command.getApplyDeclaration());
             case CLAIM -> claims.claim(command.getClaim());
             case OUTCOME -> claims.recordOutcome(command.getOutcome());
-            case PUT_CONFIGURATION -> tables.put(command.getPutConfiguration());
-            case REPORT_LEAF -> tables.report(command.getReportLeaf());
-            case REPORT_HOST -> tables.report(command.getReportHost());
-            case FORGET_MEMBERS -> tables.forget(command.getForgetMembers());
+            case PUT_CONFIGURATION -> tables.putConfiguration(command.getPutConfiguration());
+            case REPORT_LEAF -> tables.applyReport(command.getReportLeaf());
+            case REPORT_HOST -> tables.applyReport(command.getReportHost());
+            case FORGET_MEMBERS -> tables.markGone(command.getForgetMembers());
             case SET_SHARD_ACCESS -> tables.set(command.getSetShardAccess());
             case SET_ZONE_DRAIN -> tables.set(command.getSetZoneDrain());
-            case TAKE_TRIAL -> tables.take(command.getTakeTrial());
-            case REPORT_HARM -> tables.report(command.getReportHarm());
+            case TAKE_TRIAL -> tables.takeTrial(command.getTakeTrial());
+            case REPORT_HARM -> tables.applyReport(command.getReportHarm());
             case BODY_NOT_SET ->
                 CommandResult.newBuilder().setKind(CommandResult.Kind.INVALID).build();
         };
     }
 
     /** Returns the tables of the fleet, to be read only. */
-    public AgreedTables tables() {
+    public ReplicatedTables tables() {
         return tables;
     }
 
@@ -79,7 +79,7 @@
     }
 
     /** Returns true if a once-only request was claimed but its outcome is no longer kept. */
-    public boolean isForgotten(String service, String requestId) {
+    public boolean isExpired(String service, String requestId) {
         return claims.isForgotten(service, requestId);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
@@ -69,9 +69,9 @@
         this.self = self;
         this.messages = new RaftMessages(self);
         this.policy = new VoterPolicy(lossesBorne);
-        this.timer = new ElectionTimer(timings.election().toNanos(), random, nowNanos);
-        this.heartbeatNanos = timings.heartbeat().toNanos();
-        this.electionNanos = timings.election().toNanos();
+        this.timer = new ElectionTimer(timings.electionTimeout().toNanos(), random, nowNanos);
+        this.heartbeatNanos = timings.heartbeatInterval().toNanos();
+        this.electionNanos = timings.electionTimeout().toNanos();
         this.replica = new Replica(stored, firstVoters);
         this.log = replica.log();
         this.term = stored.hardState().getTerm();
@@ -99,7 +99,7 @@
      * Notes that this host was suspended for longer than an election takes, which the steady clock does not show.
      * Another voter may lead by now, so it leads no more and is in touch only once it has heard of a leader again.
      */
-    public List<RaftAction> resumed(long nowNanos) {
+    public List<RaftAction> onResume(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         timer.forgetLeader(nowNanos);
         becomeFollower(term, Optional.empty(), nowNanos, actions);
@@ -186,7 +186,7 @@
      * Returns true if this voter leads, or has heard of late from a leader and has applied all that the leader then
      * said was agreed.
      */
-    public boolean isInTouch(long nowNanos) {
+    public boolean isUpToDate(long nowNanos) {
         if (role == RaftRole.LEADER) {
             return replica.hasCommittedIn(term);
         }
@@ -229,7 +229,7 @@
     }
 
     /** Takes the wish of a host to get the log, and to vote once it has it. A host that does not lead ignores it. */
-    public void admit(String host, long nowNanos) {
+    public void addLearner(String host, long nowNanos) {
         if (role == RaftRole.LEADER) {
             followers.admit(host, log.lastIndex() + 1, nowNanos);
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftTimings.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftTimings.java
@@ -9,20 +9,24 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param heartbeat how often a leader sends to a follower that has nothing to receive
- * @param election the shortest time without a leader after which a voter asks for an election; the longest is twice it
+ * @param heartbeatInterval how often a leader sends to a follower that has nothing to receive
+ * @param electionTimeout the shortest time without a leader after which a voter asks for an election; the longest is
+ *     twice it
  */
-public record RaftTimings(Duration heartbeat, Duration election) {
+public record RaftTimings(Duration heartbeatInterval, Duration electionTimeout) {
     /** Delays that suit one-way delays of up to 10 milliseconds. */
     public static final RaftTimings DEFAULT = new RaftTimings(Duration.ofMillis(75), Duration.ofMillis(400));
 
     /** Refuses an election time that is not at least three heartbeats. */
     public RaftTimings {
-        checkArgument(!heartbeat.isZero() && !heartbeat.isNegative(), "heartbeat %s is not positive", heartbeat);
         checkArgument(
-                election.compareTo(heartbeat.multipliedBy(3)) >= 0,
+                !heartbeatInterval.isZero() && !heartbeatInterval.isNegative(),
+                "heartbeat %s is not positive",
+                heartbeatInterval);
+        checkArgument(
+                electionTimeout.compareTo(heartbeatInterval.multipliedBy(3)) >= 0,
                 "election time %s is less than three heartbeats of %s",
-                election,
-                heartbeat);
+                electionTimeout,
+                heartbeatInterval);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/VoterName.java
@@ -14,7 +14,7 @@
     private VoterName() {}
 
     /** Returns a name that no voter at the address has had. */
-    public static String fresh(String address, RandomGenerator random) {
+    public static String generate(String address, RandomGenerator random) {
         return address + TAG + Long.toHexString(random.nextLong());
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/directory/ServiceDirectory.java
@@ -99,7 +99,7 @@
      *
      * @param reachable true if the holder got the report from the upstream itself lately
      */
-    public void record(String holder, UpstreamName name, UpstreamReport report, boolean reachable) {
+    public void recordReport(String holder, UpstreamName name, UpstreamReport report, boolean reachable) {
         Optional<ServiceView> service = find(name.service());
         Optional<UpstreamEvidence> evidence = upstreams.find(name);
         if (service.isEmpty() || evidence.isEmpty()) {
@@ -117,7 +117,7 @@
     }
 
     /** Records what the platform's list says of an upstream. */
-    public void recordPlatform(UpstreamName name, boolean leaving) {
+    public void recordPlatformDrain(UpstreamName name, boolean leaving) {
         upstreams.find(name).ifPresent(evidence -> evidence.setDraining(DrainSource.PLATFORM, leaving));
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -38,9 +38,9 @@
 
     private static final Pattern UNQUOTED_WORD = Pattern.compile("Unrecognized token '[^']*'");
 
-    private final FaultCollector faults;
+    private final ValidationErrorCollector faults;
 
-    private DocumentParser(FaultCollector faults) {
+    private DocumentParser(ValidationErrorCollector faults) {
         this.faults = faults;
     }
 
@@ -52,33 +52,33 @@
      * @return the root node
      * @throws SyntaxFault if the text is not one JSON document within the bounds
      */
-    static Node parse(String text, FaultCollector faults) throws SyntaxFault {
+    static Node parse(String text, ValidationErrorCollector faults) throws SyntaxFault {
         checkArgument(text.length() <= MAX_LENGTH_CHARS, "document of %s characters is too long", text.length());
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
-                throw new SyntaxFault(new Fault(1, "", "the document is empty", "write one JSON object"));
+                throw new SyntaxFault(new ValidationError(1, "", "the document is empty", "write one JSON object"));
             }
             Node root = new DocumentParser(faults).parseValue(parser, "");
             if (parser.nextToken() != null) {
-                throw new SyntaxFault(new Fault(
+                throw new SyntaxFault(new ValidationError(
                         lineOf(parser), "", "there is text after the end of the document", "keep one JSON object"));
             }
             return root;
         } catch (StreamConstraintsException tooLarge) {
-            throw new SyntaxFault(new Fault(
+            throw new SyntaxFault(new ValidationError(
                     lineOf(tooLarge),
                     "",
                     "the document is nested too deep or has a text that is too long",
                     "keep to " + MAX_DEPTH + " levels and texts of " + MAX_TEXT_CHARS + " characters"));
         } catch (JsonParseException malformed) {
-            throw new SyntaxFault(new Fault(
+            throw new SyntaxFault(new ValidationError(
                     lineOf(malformed),
                     "",
                     "not valid JSON: " + problem(malformed.getOriginalMessage()),
                     "correct the syntax there"));
         } catch (IOException impossible) {
             throw new SyntaxFault(
-                    new Fault(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
+                    new ValidationError(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
         }
     }
 
@@ -150,14 +150,14 @@
     static final class SyntaxFault extends Exception {
         private static final long serialVersionUID = 1L;
 
-        private final transient Fault fault;
+        private final transient ValidationError fault;
 
-        SyntaxFault(Fault fault) {
+        SyntaxFault(ValidationError fault) {
             super(fault.toString());
             this.fault = fault;
         }
 
-        Fault fault() {
+        ValidationError fault() {
             return fault;
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
@@ -23,12 +23,12 @@
      * @param reader reads the root object's fields; need not call {@link Fields#finish}
      * @return the value read, or every fault found, in the order of lines, never empty
      */
-    public static <T> Either<ImmutableList<Fault>, T> read(String text, Function<Fields, T> reader) {
+    public static <T> Either<ImmutableList<ValidationError>, T> read(String text, Function<Fields, T> reader) {
         requireNonNull(text);
         requireNonNull(reader);
-        FaultCollector faults = new FaultCollector();
+        ValidationErrorCollector faults = new ValidationErrorCollector();
         if (text.length() > DocumentParser.MAX_LENGTH_CHARS) {
-            return Either.left(ImmutableList.of(new Fault(
+            return Either.left(ImmutableList.of(new ValidationError(
                     1,
                     "",
                     "the document has " + text.length() + " characters",
@@ -47,7 +47,7 @@
         return Either.left(faults.sorted());
     }
 
-    private static <T> Optional<T> readRoot(Node root, Function<Fields, T> reader, FaultCollector faults) {
+    private static <T> Optional<T> readRoot(Node root, Function<Fields, T> reader, ValidationErrorCollector faults) {
         if (!(root instanceof ObjectNode object)) {
             faults.add(root.line(), "", "found " + root.typeName(), "write one JSON object");
             return Optional.empty();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
@@ -28,11 +28,11 @@
 
     private final ObjectNode object;
     private final String path;
-    private final FaultCollector faults;
+    private final ValidationErrorCollector faults;
     private final Set<String> known = new HashSet<>();
     private boolean ignoresUnknown;
 
-    Fields(ObjectNode object, String path, FaultCollector faults) {
+    Fields(ObjectNode object, String path, ValidationErrorCollector faults) {
         this.object = object;
         this.path = path;
         this.faults = faults;
@@ -55,7 +55,7 @@
     }
 
     /** Reports a fault of a field that the reader itself found. */
-    public void fault(String name, String problem, String remedy) {
+    public void addError(String name, String problem, String remedy) {
         faults.add(lineOf(name), pathOf(name), problem, remedy);
     }
 
@@ -63,7 +63,7 @@
     public String name(String field) {
         String value = text(field);
         if (!value.isEmpty() && !NAME.matcher(value).matches()) {
-            fault(
+            addError(
                     field,
                     "\"" + value + "\" is not a name",
                     "use lower case letters, digits and hyphens, at most 63 characters");
@@ -105,7 +105,7 @@
         } catch (IllegalArgumentException malformed) {
             // Reported below, together with addresses that lack a part.
         }
-        fault(field, "\"" + value + "\" is not an address", "write an IP number and a port, such as 10.0.0.1:8080");
+        addError(field, "\"" + value + "\" is not an address", "write an IP number and a port, such as 10.0.0.1:8080");
         return fallback;
     }
 
@@ -137,7 +137,7 @@
             return least;
         }
         if (number < least || number > most) {
-            fault(field, number + " is out of bounds", "choose from " + least + " to " + most);
+            addError(field, number + " is out of bounds", "choose from " + least + " to " + most);
             return least;
         }
         return number;
@@ -150,13 +150,13 @@
     }
 
     /** Reads a required whole number of 64 bits within bounds. */
-    public long wholeNumber(String field, long least, long most) {
+    public long longInteger(String field, long least, long most) {
         Optional<Node> value = required(field);
         return value.isEmpty() ? least : bounded(field, value.get(), least, most, "");
     }
 
     /** Accepts fields that nobody asks for, in this object: its writer may be newer than this program. */
-    public void ignoreUnknown() {
+    public void ignoreUnknownFields() {
         ignoresUnknown = true;
     }
 
@@ -203,7 +203,7 @@
             for (T constant : constants) {
                 choices.append(choices.length() == 0 ? "" : ", ").append(spell(constant));
             }
-            fault(field, "\"" + value + "\" is not a choice here", "write one of: " + choices);
+            addError(field, "\"" + value + "\" is not a choice here", "write one of: " + choices);
         }
         return constants[0];
     }
@@ -270,7 +270,7 @@
             return ImmutableList.of();
         }
         if (array.elements().size() > most) {
-            fault(field, "there are " + array.elements().size() + " elements", "keep to " + most);
+            addError(field, "there are " + array.elements().size() + " elements", "keep to " + most);
             return ImmutableList.of();
         }
         return array.elements();
@@ -291,7 +291,7 @@
         known.add(field);
         Member member = object.members().get(field);
         if (member == null) {
-            fault(field, "the field is missing", "add it");
+            addError(field, "the field is missing", "add it");
             return Optional.empty();
         }
         return Optional.of(member.value());
@@ -303,14 +303,15 @@
             return least;
         }
         if (integer.value() < least || integer.value() > most) {
-            fault(field, integer.value() + unit + " is out of bounds", "choose from " + least + " to " + most + unit);
+            addError(
+                    field, integer.value() + unit + " is out of bounds", "choose from " + least + " to " + most + unit);
             return least;
         }
         return integer.value();
     }
 
     private void wrongType(String field, Node found, String wanted) {
-        fault(field, "found " + found.typeName(), "write " + wanted);
+        addError(field, "found " + found.typeName(), "write " + wanted);
     }
 
     private String remedyForUnknown(String name) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Fault.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationError.java
@@ -12,9 +12,9 @@
  * @param problem what is wrong
  * @param remedy what to do about it
  */
-public record Fault(int line, String field, String problem, String remedy) {
+public record ValidationError(int line, String field, String problem, String remedy) {
     /** Refuses null parts. */
-    public Fault {
+    public ValidationError {
         requireNonNull(field);
         requireNonNull(problem);
         requireNonNull(remedy);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/FaultCollector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/ValidationErrorCollector.java
@@ -10,14 +10,14 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class FaultCollector {
+final class ValidationErrorCollector {
     private static final int MAX_FAULTS = 200;
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<ValidationError> faults = new ArrayList<>();
 
     void add(int line, String field, String problem, String remedy) {
         if (faults.size() < MAX_FAULTS) {
-            faults.add(new Fault(line, field, problem, remedy));
+            faults.add(new ValidationError(line, field, problem, remedy));
         }
     }
 
@@ -26,7 +26,7 @@
     }
 
     /** Returns the faults in the order of their lines. */
-    ImmutableList<Fault> sorted() {
-        return ImmutableList.sortedCopyOf(Comparator.comparingInt(Fault::line), faults);
+    ImmutableList<ValidationError> sorted() {
+        return ImmutableList.sortedCopyOf(Comparator.comparingInt(ValidationError::line), faults);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
@@ -38,7 +38,7 @@
                 }
             }
             if (!known) {
-                fields.fault(FIELD, "\"" + text + "\" is no mechanism", "write some of: " + choices());
+                fields.addError(FIELD, "\"" + text + "\" is no mechanism", "write some of: " + choices());
             }
         }
         return new RoutingPolicy(Sets.immutableEnumSet(off));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/MemberWatch.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/MembershipMonitor.java
@@ -15,7 +15,7 @@
  * <p>Each control host notes the members that report to it and tells the leader; the leader gives every member a full
  * period of grace when it begins to lead. Not safe for use by several threads.
  */
-public final class MemberWatch {
+public final class MembershipMonitor {
     /** A leaf reports about every second and at times some seconds late; own calls notice a crash long before. */
     static final Duration LEAF_SILENCE = Duration.ofSeconds(20);
     /** A host asks for changes at least once a second. */
@@ -27,7 +27,7 @@
     private HeardMembers.Builder sinceReport = HeardMembers.newBuilder();
 
     /** Notes that a leaf reported to this host. */
-    public void heardLeaf(String id, long nowNanos) {
+    public void recordLeafContact(String id, long nowNanos) {
         leavesHeardNanos.put(id, nowNanos);
         sinceReport.addLeafIds(id);
     }
@@ -37,7 +37,7 @@
      *
      * @param queriesAMinute the queries over shards that it takes from callers
      */
-    public void heardHost(String name, int queriesAMinute, long nowNanos) {
+    public void recordHostContact(String name, int queriesAMinute, long nowNanos) {
         noteHost(name, queriesAMinute, nowNanos);
         sinceReport.addHostNames(name).addQueriesAMinute(queriesAMinute);
     }
@@ -55,7 +55,7 @@
      * Returns the queries a minute that the entry hosts take together; empty as long as some have not told theirs, as
      * just after this host began to lead.
      */
-    public OptionalInt queriesAMinute(AgreedTables tables) {
+    public OptionalInt queriesPerMinute(ReplicatedTables tables) {
         int sum = 0;
         for (HostRecord host : tables.presentHosts()) {
             Integer told = queriesAMinuteByHost.get(host.getName());
@@ -80,7 +80,7 @@
     }
 
     /** Begins anew, as a host that begins to lead does: every member counts as heard of now. */
-    public void restart(AgreedTables tables, long nowNanos) {
+    public void reset(ReplicatedTables tables, long nowNanos) {
         leavesHeardNanos.clear();
         hostsHeardNanos.clear();
         queriesAMinuteByHost.clear();
@@ -89,7 +89,7 @@
     }
 
     /** Returns the members that nobody has heard of for too long. */
-    public ForgetMembers silent(AgreedTables tables, long nowNanos) {
+    public ForgetMembers silentMembers(ReplicatedTables tables, long nowNanos) {
         ForgetMembers.Builder silent = ForgetMembers.newBuilder();
         for (LeafRecord leaf : tables.presentLeaves()) {
             long heardNanos = leavesHeardNanos.computeIfAbsent(leaf.getId(), unused -> nowNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/members/AgreedTables.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/members/ReplicatedTables.java
@@ -33,7 +33,7 @@
  * A life of a leaf that has ended never comes back, and a late report never undoes a newer one. Not safe for use by
  * several threads.
  */
-public final class AgreedTables {
+public final class ReplicatedTables {
     /** How many departed leafs and hosts are remembered, so that their late reports change nothing. */
     static final int MAX_DEPARTED = 4_096;
 
@@ -49,7 +49,7 @@
     private final HarmRecords harm = new HarmRecords();
 
     /** Takes a whole configuration if its version is above the one held. */
-    public CommandResult put(PutConfiguration change) {
+    public CommandResult putConfiguration(PutConfiguration change) {
         if (change.getVersion() <= configurationVersion) {
             return result(CommandResult.Kind.SUPERSEDED);
         }
@@ -61,7 +61,7 @@
     }
 
     /** Takes the report of a leaf unless a newer one was taken. */
-    public CommandResult report(LeafRecord report) {
+    public CommandResult applyReport(LeafRecord report) {
         LeafRecord known = leaves.get(report.getId());
         if (known != null && !LeafReports.isNews(known, report)) {
             return result(CommandResult.Kind.SUPERSEDED);
@@ -77,7 +77,7 @@
     }
 
     /** Takes the report of a host if it tells of another start or a later phase than the one known. */
-    public CommandResult report(HostRecord report) {
+    public CommandResult applyReport(HostRecord report) {
         HostRecord known = hosts.get(report.getName());
         if (known != null && !changes(known, report)) {
             return result(CommandResult.Kind.SUPERSEDED);
@@ -92,17 +92,17 @@
     }
 
     /** Marks members as gone that nobody has heard of; a host only if it was not started anew meanwhile. */
-    public CommandResult forget(ForgetMembers change) {
+    public CommandResult markGone(ForgetMembers change) {
         for (String id : change.getLeafIdsList()) {
             LeafRecord known = leaves.get(id);
             if (known != null) {
-                report(known.toBuilder().setPhase(LeafRecord.Phase.GONE).build());
+                applyReport(known.toBuilder().setPhase(LeafRecord.Phase.GONE).build());
             }
         }
         for (HostRecord host : change.getHostsList()) {
             HostRecord known = hosts.get(host.getName());
             if (known != null && known.getIncarnation() == host.getIncarnation()) {
-                report(known.toBuilder().setPhase(HostRecord.Phase.GONE).build());
+                applyReport(known.toBuilder().setPhase(HostRecord.Phase.GONE).build());
             }
         }
         return result(CommandResult.Kind.ACCEPTED);
@@ -130,7 +130,7 @@
     }
 
     /** Takes what a host saw of requests that end leafs. */
-    public CommandResult report(HarmReport report) {
+    public CommandResult applyReport(HarmReport report) {
         if (!harm.applyReport(report, revision + 1)) {
             return result(CommandResult.Kind.SUPERSEDED);
         }
@@ -139,7 +139,7 @@
     }
 
     /** Has an arrival of a request that is on trial tried, unless another is; or takes that back. */
-    public CommandResult take(TakeTrial trial) {
+    public CommandResult takeTrial(TakeTrial trial) {
         if (trial.getGivenBack()) {
             if (harm.endTrial(trial, revision + 1)) {
                 revision++;
--- a/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.bramblerack.process.document.DocumentReader;
-import org.bramblerack.process.document.Fault;
 import org.bramblerack.process.document.Fields;
+import org.bramblerack.process.document.ValidationError;
 
 /**
  * Reads a partner's declaration file strictly: it is read whole, or all its faults are returned.
@@ -48,7 +48,7 @@
      * @param text the file's text
      * @return the declaration, or every fault found with its line, never empty
      */
-    public static Either<ImmutableList<Fault>, Declaration> read(String text) {
+    public static Either<ImmutableList<ValidationError>, Declaration> read(String text) {
         return DocumentReader.read(text, DeclarationReader::readDeclaration);
     }
 
@@ -57,7 +57,7 @@
         String partner = orPlaceholder(fields.name("partner"));
         List<Service> services = fields.objects("services", MAX_SERVICES, service -> readService(partner, service));
         if (services.isEmpty()) {
-            fields.fault("services", "no service is declared", "declare at least one service");
+            fields.addError("services", "no service is declared", "declare at least one service");
         }
         return new Declaration(
                 partner,
@@ -74,10 +74,10 @@
         List<Upstream> upstreams =
                 fields.objects("upstreams", MAX_UPSTREAMS, upstream -> readUpstream(name, kind, shards, upstream));
         if (classes.isEmpty() && operations.isEmpty()) {
-            fields.fault("classes", "the service has no class and no operation", "declare at least one");
+            fields.addError("classes", "the service has no class and no operation", "declare at least one");
         }
         if (kind == ServiceKind.SHARDED && !operations.isEmpty()) {
-            fields.fault(
+            fields.addError(
                     "operations",
                     "a sharded service cannot have once-only operations",
                     "declare them in a service of kind pooled");
@@ -97,7 +97,7 @@
         int slots = fields.integer("slots", 1, MAX_SLOTS);
         int connections = fields.integer("connections", 1, MAX_CONNECTIONS);
         if (connections < slots) {
-            fields.fault(
+            fields.addError(
                     "connections",
                     connections + " connections cannot carry " + slots + " slots",
                     "allow at least one connection for each slot");
@@ -137,10 +137,10 @@
             served.add(upstream.shard());
             UpstreamName earlier = byAddress.put(upstream.address().toString(), upstream.name());
             if (!names.add(upstream.name())) {
-                fields.fault(
+                fields.addError(
                         "upstreams", "the name " + upstream.name().upstream() + " is given twice", "name each once");
             } else if (earlier != null) {
-                fields.fault(
+                fields.addError(
                         "upstreams",
                         earlier.upstream() + " and " + upstream.name().upstream() + " have the same address",
                         "give each upstream an address of its own");
@@ -148,7 +148,7 @@
         }
         for (int shard = 0; shard < shards; shard++) {
             if (!served.contains(shard)) {
-                fields.fault("upstreams", "shard " + shard + " has no upstream", "declare a replica for it");
+                fields.addError("upstreams", "shard " + shard + " has no upstream", "declare a replica for it");
                 return;
             }
         }
@@ -159,7 +159,7 @@
         Map<String, T> result = new LinkedHashMap<>();
         for (T value : values) {
             if (result.putIfAbsent(nameOf.apply(value), value) != null) {
-                fields.fault(field, "the name " + nameOf.apply(value) + " is given twice", "name each once");
+                fields.addError(field, "the name " + nameOf.apply(value) + " is given twice", "name each once");
             }
         }
         return ImmutableMap.copyOf(result);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementScheduleTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void disksAreLostOneAfterTheOtherAndNothingElseIs() {
+    void losingOneDiskAtATimeLosesNoCommittedEntry() {
         int agreed = 0;
         int wipes = 0;
         for (long seed = 1; seed <= 150; seed++) {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/AgreementWorld.java
@@ -230,7 +230,7 @@
 
         void tick() {
             nowNanos += TICK_NANOS;
-            if (!node.isInTouch(nowNanos)) {
+            if (!node.isUpToDate(nowNanos)) {
                 askToJoin();
             }
             perform(node.tick(nowNanos));
@@ -240,7 +240,7 @@
             for (Voter other : voters.values()) {
                 boolean severed = cut.contains(name) != cut.contains(other.name);
                 if (other != this && other.alive && !severed) {
-                    other.node.admit(name, other.nowNanos);
+                    other.node.addLearner(name, other.nowNanos);
                 }
             }
         }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ControlStateTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/ControlStateTest.java
@@ -90,13 +90,13 @@
     }
 
     @Test
-    void aResendLongAfterTheOutcomeWasForgottenIsNotRunAgain() throws Exception {
+    void aResendLongAfterTheOutcomeExpiredIsNotRunAgain() throws Exception {
         claim("r", "a1", 1, 0);
         outcome("r", "a1", OutcomeKind.RAN, 1);
         claim("timed", "a1", 5, 4);
         claim("other", "a9", 2 * RETENTION_MILLIS, 0);
         assertThat(state.claim("s", "r")).isEqualTo(Optional.empty());
-        assertThat(state.isForgotten("s", "r")).isTrue();
+        assertThat(state.isExpired("s", "r")).isTrue();
         ControlState restored = restored();
         Command untimed =
                 Command.newBuilder().setClaim(claimRequest("r", "a2", 3_000, 0)).build();
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/RaftNodeTest.java
@@ -86,21 +86,21 @@
         run(100);
         cut.remove(old);
         String follower = follower();
-        take(follower, node(follower).resumed(nowNanos));
-        assertThat(node(follower).isInTouch(nowNanos)).isFalse();
+        take(follower, node(follower).onResume(nowNanos));
+        assertThat(node(follower).isUpToDate(nowNanos)).isFalse();
         run(20);
-        assertThat(node(follower).isInTouch(nowNanos)).isTrue();
+        assertThat(node(follower).isUpToDate(nowNanos)).isTrue();
     }
 
     @Test
     void aLeaderThatWasSuspendedLeadsNoMore() {
         String leader = leader();
-        assertThat(node(leader).isInTouch(nowNanos)).isTrue();
-        take(leader, node(leader).resumed(nowNanos));
+        assertThat(node(leader).isUpToDate(nowNanos)).isTrue();
+        take(leader, node(leader).onResume(nowNanos));
         assertThat(node(leader).role()).isNotEqualTo(RaftRole.LEADER);
-        assertThat(node(leader).isInTouch(nowNanos)).isFalse();
+        assertThat(node(leader).isUpToDate(nowNanos)).isFalse();
         run(200);
-        assertThat(node(leader()).isInTouch(nowNanos)).isTrue();
+        assertThat(node(leader()).isUpToDate(nowNanos)).isTrue();
     }
 
     @Test
--- a/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/agreement/VoterChangeTest.java
@@ -113,7 +113,7 @@
         run(400);
         assertThat(node(leader()).voters()).hasSize(3);
         assertThat(node(gone).voters()).isEqualTo(node(leader()).voters());
-        assertThat(node(gone).isInTouch(nowNanos)).isTrue();
+        assertThat(node(gone).isUpToDate(nowNanos)).isTrue();
     }
 
     @Test
@@ -149,10 +149,10 @@
         for (int tick = 0; tick < ticks; tick++) {
             nowNanos += TICK_NANOS;
             for (Map.Entry<String, RaftNode> entry : Map.copyOf(nodes).entrySet()) {
-                if (!entry.getValue().isInTouch(nowNanos) && !dark.contains(entry.getKey())) {
+                if (!entry.getValue().isUpToDate(nowNanos) && !dark.contains(entry.getKey())) {
                     nodes.forEach((other, node) -> {
                         if (!dark.contains(other)) {
-                            node.admit(entry.getKey(), nowNanos);
+                            node.addLearner(entry.getKey(), nowNanos);
                         }
                     });
                 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/directory/ServiceDirectoryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/directory/ServiceDirectoryTest.java
@@ -76,7 +76,7 @@
 
     private void report(String holder, boolean draining) {
         ImmutableSet<ServedVersion> served = ImmutableSet.of(new ServedVersion(3, 0, 30));
-        directory.record(holder, FIRST, new UpstreamReport(draining, served), true);
+        directory.recordReport(holder, FIRST, new UpstreamReport(draining, served), true);
     }
 
     private ServiceTables tables() {
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmRecordsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmRecordsTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import java.util.Optional;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.CommandResult;
 import org.bramblerack.wire.HarmEvidence;
 import org.bramblerack.wire.HarmRecord.Verdict;
@@ -16,7 +16,7 @@
     private static final Fingerprint HARMFUL = new Fingerprint(1, 1);
     private static final Fingerprint BYSTANDER = new Fingerprint(2, 2);
 
-    private final AgreedTables tables = new AgreedTables();
+    private final ReplicatedTables tables = new ReplicatedTables();
     private long nowMillis = 1_000;
 
     @Test
@@ -91,7 +91,8 @@
     void anAnswerClears() {
         ended(HARMFUL, 1, 10, 11, 12);
         ended(HARMFUL, 2, 13);
-        tables.report(HarmReport.newBuilder().addSurvived(HARMFUL.toBytes()).build());
+        tables.applyReport(
+                HarmReport.newBuilder().addSurvived(HARMFUL.toBytes()).build());
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.CLEARED));
     }
 
@@ -123,7 +124,7 @@
         ended(HARMFUL, 1, 10, 11);
         nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
         ended(HARMFUL, 2, 12);
-        AgreedTables restored = new AgreedTables();
+        ReplicatedTables restored = new ReplicatedTables();
         restored.restore(tables.toSnapshot());
         assertThat(restored.harm().verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
         assertThat(restored.changesSince(0).getHarm(0).getVerdict()).isEqualTo(Verdict.BARRED);
@@ -159,7 +160,7 @@
 
     private boolean isGranted(Fingerprint fingerprint, long arrival) {
         TakeTrial.Builder trial = trial(fingerprint, arrival).setAtMillis(nowMillis);
-        return tables.take(trial.build()).getKind() == CommandResult.Kind.ACCEPTED;
+        return tables.takeTrial(trial.build()).getKind() == CommandResult.Kind.ACCEPTED;
     }
 
     private void giveBack(Fingerprint fingerprint, long arrival) {
@@ -167,7 +168,7 @@
     }
 
     private void giveBack(Fingerprint fingerprint, long arrival, TakeTrial.Outcome outcome) {
-        tables.take(trial(fingerprint, arrival)
+        tables.takeTrial(trial(fingerprint, arrival)
                 .setAtMillis(nowMillis)
                 .setGivenBack(true)
                 .setOutcome(outcome)
@@ -179,7 +180,7 @@
     }
 
     private void broke(Fingerprint fingerprint, long arrival) {
-        tables.report(HarmReport.newBuilder()
+        tables.applyReport(HarmReport.newBuilder()
                 .addEnded(HarmEvidence.newBuilder()
                         .setFingerprint(fingerprint.toBytes())
                         .addBrokenArrivals(arrival))
@@ -193,7 +194,7 @@
         for (long leafStart : leafStarts) {
             evidence.addLeafStarts(leafStart);
         }
-        tables.report(HarmReport.newBuilder()
+        tables.applyReport(HarmReport.newBuilder()
                 .addEnded(evidence)
                 .setAtMillis(nowMillis)
                 .build());
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.CommandResult;
 import org.bramblerack.wire.TableDelta;
 import org.bramblerack.wire.TakeTrial;
@@ -88,7 +88,7 @@
     private final SplittableRandom random;
     private final Plant plant;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final AgreedTables tables = new AgreedTables();
+    private final ReplicatedTables tables = new ReplicatedTables();
     private final List<Host> hosts = new ArrayList<>();
     private final List<Leaf> leafs = new ArrayList<>();
     private final Map<String, List<Long>> endsByHarmful = new HashMap<>();
@@ -229,7 +229,7 @@
             TakeTrial.Builder trial =
                     HarmfulRequestFilter.newTrialRequest(request.arrival()).setAtMillis(nowMillis);
             boolean granted = host.reachesControl()
-                    ? tables.take(trial.build()).getKind() == CommandResult.Kind.ACCEPTED
+                    ? tables.takeTrial(trial.build()).getKind() == CommandResult.Kind.ACCEPTED
                     : host.guard.tryStartLocalTrial(request.arrival(), nowNanos());
             if (!granted && asksLeft > 1) {
                 at(nowMillis + OTHER_TRIAL_MILLIS, () -> lookAgain(host, request, scattered, asksLeft - 1));
@@ -270,7 +270,7 @@
         TakeTrial.Builder trial = host.guard.endTrial(request.arrival(), broke, nowNanos());
         at(nowMillis + 2 + random.nextInt(50), () -> {
             if (host.reachesControl()) {
-                tables.take(trial.setAtMillis(nowMillis).build());
+                tables.takeTrial(trial.setAtMillis(nowMillis).build());
             }
         });
     }
@@ -601,7 +601,7 @@
             guard.takeReport()
                     .ifPresent(report -> at(nowMillis + 20 + random.nextInt(300), () -> {
                         if (reachesControl()) {
-                            tables.report(
+                            tables.applyReport(
                                     report.toBuilder().setAtMillis(nowMillis).build());
                         } else if (plant == Plant.NOTHING_TOLD_BY_OTHERS || random.nextBoolean()) {
                             teller.restoreReport(report);
--- a/bramblerack-core/src/test/java/org/bramblerack/process/members/AgreedTablesTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/members/ReplicatedTablesTest.java
@@ -16,8 +16,8 @@
 import org.bramblerack.wire.TableDelta;
 import org.junit.jupiter.api.Test;
 
-final class AgreedTablesTest {
-    private final AgreedTables tables = new AgreedTables();
+final class ReplicatedTablesTest {
+    private final ReplicatedTables tables = new ReplicatedTables();
 
     @Test
     void theHighestVersionIsInForceAndIsNeverReplacedByAnother() {
@@ -32,47 +32,47 @@
 
     @Test
     void aLateReportOfALeafUndoesNothing() {
-        tables.report(leaf("l", LeafRecord.Phase.READY, 1));
-        tables.report(leaf("l", LeafRecord.Phase.DRAINING, 3));
-        tables.report(leaf("l", LeafRecord.Phase.READY, 2));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
+        tables.applyReport(leaf("l", LeafRecord.Phase.DRAINING, 3));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 2));
         assertThat(phase("l")).isEqualTo(LeafRecord.Phase.DRAINING);
     }
 
     @Test
     void aLeafThatHasLeftStaysAway() {
-        tables.report(leaf("l", LeafRecord.Phase.READY, 1));
-        tables.report(leaf("l", LeafRecord.Phase.GONE, 0));
-        tables.report(leaf("l", LeafRecord.Phase.READY, 9));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
+        tables.applyReport(leaf("l", LeafRecord.Phase.GONE, 0));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 9));
         assertThat(phase("l")).isEqualTo(LeafRecord.Phase.GONE);
         assertThat(tables.leaf("l").orElseThrow().getService()).isEqualTo("s");
     }
 
     @Test
     void aLeafMayLeaveBeforeItIsKnown() {
-        tables.report(leaf("l", LeafRecord.Phase.GONE, 0));
-        tables.report(leaf("l", LeafRecord.Phase.READY, 1));
+        tables.applyReport(leaf("l", LeafRecord.Phase.GONE, 0));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
         assertThat(tables.presentLeaves()).isEmpty();
     }
 
     @Test
     void aHeartbeatThatSaysNothingNewIsNoChange() {
-        tables.report(leaf("l", LeafRecord.Phase.READY, 1));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
         assertThat(tables.wouldChange(leaf("l", LeafRecord.Phase.READY, 2))).isFalse();
         assertThat(tables.wouldChange(leaf("l", LeafRecord.Phase.DRAINING, 2))).isTrue();
     }
 
     @Test
     void onlyTheStartOfAHostThatWasSilentIsForgotten() {
-        tables.report(host("h", 1));
+        tables.applyReport(host("h", 1));
         HostRecord silent = tables.host("h").orElseThrow();
-        tables.report(host("h", 2));
-        tables.forget(ForgetMembers.newBuilder().addHosts(silent).build());
+        tables.applyReport(host("h", 2));
+        tables.markGone(ForgetMembers.newBuilder().addHosts(silent).build());
         assertThat(tables.presentHosts()).hasSize(1);
-        tables.forget(ForgetMembers.newBuilder()
+        tables.markGone(ForgetMembers.newBuilder()
                 .addHosts(tables.host("h").orElseThrow())
                 .build());
         assertThat(tables.presentHosts()).isEmpty();
-        tables.report(host("h", 3));
+        tables.applyReport(host("h", 3));
         assertThat(tables.presentHosts()).hasSize(1);
     }
 
@@ -107,12 +107,12 @@
     @Test
     void aSnapshotBringsEverythingBack() {
         put(3, "three");
-        tables.report(leaf("l", LeafRecord.Phase.READY, 1));
-        tables.report(leaf("m", LeafRecord.Phase.GONE, 1));
-        tables.report(host("h", 1));
+        tables.applyReport(leaf("l", LeafRecord.Phase.READY, 1));
+        tables.applyReport(leaf("m", LeafRecord.Phase.GONE, 1));
+        tables.applyReport(host("h", 1));
         tables.set(SetShardAccess.newBuilder().setThroughHolders(true).build());
         drain("north-1", true);
-        AgreedTables restored = new AgreedTables();
+        ReplicatedTables restored = new ReplicatedTables();
         restored.restore(tables.toSnapshot());
         assertThat(restored.toSnapshot()).isEqualTo(tables.toSnapshot());
         assertThat(restored.wouldChange(leaf("m", LeafRecord.Phase.READY, 5))).isFalse();
@@ -154,14 +154,14 @@
     private void change(SplittableRandom random, int step) {
         switch (random.nextInt(4)) {
             case 0 -> put(step, "document " + step);
-            case 1 -> tables.report(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.READY, step + 1));
-            case 2 -> tables.report(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.DRAINING, step + 1));
-            default -> tables.report(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.GONE, 0));
+            case 1 -> tables.applyReport(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.READY, step + 1));
+            case 2 -> tables.applyReport(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.DRAINING, step + 1));
+            default -> tables.applyReport(leaf("l" + random.nextInt(6_000), LeafRecord.Phase.GONE, 0));
         }
     }
 
     private CommandResult put(long version, String document) {
-        return tables.put(PutConfiguration.newBuilder()
+        return tables.putConfiguration(PutConfiguration.newBuilder()
                 .setVersion(version)
                 .setDocument(ByteString.copyFromUtf8(document))
                 .build());
--- a/bramblerack-core/src/test/java/org/bramblerack/version/DeclarationReaderTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/version/DeclarationReaderTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -48,7 +48,7 @@
                 "\"formatVersion\": 1|\"formatVersion\": 2|formatVersion|out of bounds",
             })
     void namesTheFieldAndTheProblem(String good, String bad, String field, String problem) throws IOException {
-        ImmutableList<Fault> faults = faultsOf(replaceFirst(example("sagarmatha"), good, bad));
+        ImmutableList<ValidationError> faults = faultsOf(replaceFirst(example("sagarmatha"), good, bad));
         assertThat(faults.stream()
                         .anyMatch(fault -> fault.field().equals(field)
                                 && fault.problem().contains(problem)
@@ -61,9 +61,9 @@
         String text = example("spinifex")
                 .replace("\"prefer\": \"coverage\"", "\"prefer\": \"all\"")
                 .replace("\"kind\": \"pooled\"", "\"kind\": \"pool\"");
-        ImmutableList<Fault> faults = faultsOf(text);
+        ImmutableList<ValidationError> faults = faultsOf(text);
         assertThat(faults.size()).isGreaterThan(4);
-        assertThat(faults.stream().map(Fault::line).toList()).isInOrder();
+        assertThat(faults.stream().map(ValidationError::line).toList()).isInOrder();
         String line = text.lines().toList().get(faults.get(0).line() - 1);
         assertThat(line).contains("\"all\"");
     }
@@ -88,8 +88,8 @@
         return text.substring(0, position) + bad + text.substring(position + good.length());
     }
 
-    private static ImmutableList<Fault> faultsOf(String text) {
-        Either<ImmutableList<Fault>, Declaration> read = DeclarationReader.read(text);
+    private static ImmutableList<ValidationError> faultsOf(String text) {
+        Either<ImmutableList<ValidationError>, Declaration> read = DeclarationReader.read(text);
         assertThat(read.isLeft()).isTrue();
         return read.getLeft();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/AgreedState.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/AgreedState.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import org.bramblerack.process.agreement.ControlState;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.Command;
 import org.bramblerack.wire.CommandResult;
 import org.bramblerack.wire.ConfigurationDelta;
@@ -25,7 +25,7 @@
     private long snapshotBytes;
 
     /** Returns the tables of the fleet, to be read only. */
-    AgreedTables tables() {
+    ReplicatedTables tables() {
         return state.tables();
     }
 
@@ -83,7 +83,7 @@
         switch (request.getKind()) {
             case CLAIM -> {
                 state.claim(request.getService(), request.getRequestId()).ifPresent(result::setClaim);
-                result.setForgotten(state.isForgotten(request.getService(), request.getRequestId()));
+                result.setForgotten(state.isExpired(request.getService(), request.getRequestId()));
             }
             case HISTORY -> result.addAllHistory(state.history());
             case ROUTING ->
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlNode.java
@@ -103,7 +103,7 @@
         this.network = network;
         this.clock = clock;
         this.wallClock = wallClock;
-        this.suspendWatch = new SuspendDetector(timings.election(), clock.nowNanos(), wallClock.millis());
+        this.suspendWatch = new SuspendDetector(timings.electionTimeout(), clock.nowNanos(), wallClock.millis());
         this.random = random;
     }
 
@@ -176,7 +176,7 @@
     /** Takes the wish of a host to get the log and to vote; only a leader grants it. */
     public void admit(String host) {
         offer((raft, nowNanos) -> {
-            raft.admit(host, nowNanos);
+            raft.addLearner(host, nowNanos);
             return List.of();
         });
     }
@@ -254,7 +254,7 @@
     public <T> Uni<T> withTables(TableReader<T> reader) {
         return Uni.createFrom().emitter(emitter -> {
             boolean queued = offer((raft, nowNanos) -> {
-                emitter.complete(reader.read(state.tables(), raft.isInTouch(nowNanos), nowNanos));
+                emitter.complete(reader.read(state.tables(), raft.isUpToDate(nowNanos), nowNanos));
                 return List.of();
             });
             if (!queued) {
@@ -339,7 +339,7 @@
         List<RaftAction> actions = new ArrayList<>();
         if (suspendWatch.wasSuspended(nowNanos, wallClock.millis())) {
             EVENTS.warning("suspended").with("voter", self).write();
-            actions.addAll(raft.resumed(nowNanos));
+            actions.addAll(raft.onResume(nowNanos));
         }
         for (Event event : batch) {
             actions.addAll(event.run(raft, nowNanos));
@@ -347,7 +347,7 @@
         actions.addAll(raft.tick(nowNanos));
         actions.addAll(raft.flush(nowNanos));
         carryOut(actions);
-        inTouch = raft.isInTouch(nowNanos);
+        inTouch = raft.isUpToDate(nowNanos);
         subscriptions.answerDue(state.tables(), inTouch, nowNanos);
         if (raft.appliedSinceSnapshot() >= LEAST_ENTRIES_TO_COMPACT
                 && store.logBytes() >= Math.max(LEAST_BYTES_TO_COMPACT, 2 * state.snapshotBytes())) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableReader.java
@@ -1,6 +1,6 @@
 package org.bramblerack.daemon.control;
 
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 
 /**
  * Reads the agreed tables on the thread that owns them.
@@ -14,5 +14,5 @@
      *
      * @param inTouch true if this host leads, or heard of late from a leader
      */
-    T read(AgreedTables tables, boolean inTouch, long nowNanos);
+    T read(ReplicatedTables tables, boolean inTouch, long nowNanos);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/TableSubscriptions.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.TableDelta;
 
 /**
@@ -34,7 +34,7 @@
     }
 
     /** Answers those for whom there is news, and those who have waited long enough. */
-    void answerDue(AgreedTables tables, boolean inTouch, long nowNanos) {
+    void answerDue(ReplicatedTables tables, boolean inTouch, long nowNanos) {
         Iterator<Waiting> each = waiting.iterator();
         while (each.hasNext()) {
             Waiting next = each.next();
@@ -48,7 +48,7 @@
         }
     }
 
-    private static TableDelta answer(long knownRevision, AgreedTables tables, boolean inTouch) {
+    private static TableDelta answer(long knownRevision, ReplicatedTables tables, boolean inTouch) {
         if (!inTouch && knownRevision == NOTHING) {
             return TableDelta.getDefaultInstance();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
@@ -10,7 +10,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.request.Answer;
 import org.bramblerack.request.CheckedReply;
 import org.bramblerack.request.Refusal;
@@ -77,7 +77,7 @@
         });
     }
 
-    static byte[] refusal(Refusal refusal, Optional<String> requestId, ImmutableList<Fault> faults) {
+    static byte[] refusal(Refusal refusal, Optional<String> requestId, ImmutableList<ValidationError> faults) {
         return write(json -> {
             if (requestId.isPresent()) {
                 json.writeStringField("requestId", requestId.get());
@@ -94,7 +94,7 @@
             json.writeEndObject();
             if (!faults.isEmpty()) {
                 json.writeArrayFieldStart("faults");
-                for (Fault fault : faults) {
+                for (ValidationError fault : faults) {
                     json.writeStartObject();
                     json.writeNumberField("line", fault.line());
                     json.writeStringField("field", fault.field());
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
@@ -16,7 +16,7 @@
 import java.time.InstantSource;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.request.Refusal;
 import org.bramblerack.request.RefusalKind;
 import org.bramblerack.request.RequestId;
@@ -279,7 +279,10 @@
     }
 
     static void sendRefusal(
-            RoutingContext context, Refusal refusal, Optional<String> requestId, ImmutableList<Fault> faults) {
+            RoutingContext context,
+            Refusal refusal,
+            Optional<String> requestId,
+            ImmutableList<ValidationError> faults) {
         refusal.retryAfter()
                 .ifPresent(after ->
                         context.response().putHeader("Retry-After", Long.toString(Math.max(1, after.toSeconds()))));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
@@ -20,7 +20,7 @@
 import org.bramblerack.daemon.settings.Settings;
 import org.bramblerack.process.directory.ServiceDirectory;
 import org.bramblerack.process.directory.ServiceView;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.request.Refusal;
 import org.bramblerack.request.RefusalKind;
 import org.bramblerack.request.RequestId;
@@ -151,10 +151,10 @@
     private void applyChecked(RoutingContext context, String partner, String changeId, long expected) {
         Buffer body = context.body().buffer();
         String text = body == null ? "" : body.toString(StandardCharsets.UTF_8);
-        Either<ImmutableList<Fault>, Declaration> read = DeclarationReader.read(text);
-        ImmutableList<Fault> faults = read.isLeft() ? read.getLeft() : ImmutableList.of();
+        Either<ImmutableList<ValidationError>, Declaration> read = DeclarationReader.read(text);
+        ImmutableList<ValidationError> faults = read.isLeft() ? read.getLeft() : ImmutableList.of();
         if (read.isRight() && !read.get().partner().equals(partner)) {
-            faults = ImmutableList.of(new Fault(
+            faults = ImmutableList.of(new ValidationError(
                     1,
                     "partner",
                     "the file is of " + read.get().partner() + " and was sent for " + partner,
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
@@ -119,7 +119,7 @@
         if (settings.firstStart() && settings.seeds().contains(address)) {
             return new VoterIdentity(address, settings.seeds());
         }
-        return new VoterIdentity(VoterName.fresh(address, random), ImmutableSortedSet.of());
+        return new VoterIdentity(VoterName.generate(address, random), ImmutableSortedSet.of());
     }
 
     /** Asks to be sent the log, and to vote in time, as long as no leader does so. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/FleetControl.java
@@ -18,8 +18,8 @@
 import org.bramblerack.daemon.event.EventLog;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.SharedReads;
-import org.bramblerack.process.members.AgreedTables;
-import org.bramblerack.process.members.MemberWatch;
+import org.bramblerack.process.members.MembershipMonitor;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.process.members.ShardAccessPolicy;
 import org.bramblerack.wire.Command;
 import org.bramblerack.wire.CommandResult;
@@ -64,7 +64,7 @@
     private final PeerNetwork network;
     private final MetricRegistry metrics;
     private final InstantSource wallClock;
-    private final MemberWatch watch = new MemberWatch();
+    private final MembershipMonitor watch = new MembershipMonitor();
     private final ShardAccessPolicy shardAccess = new ShardAccessPolicy();
     private volatile ImmutableList<String> knownControlHosts = ImmutableList.of();
     private volatile ImmutableSet<String> hostsElsewhere = ImmutableSet.of();
@@ -89,7 +89,7 @@
     public Uni<FleetOutcome> reportLeaf(LeafRecord report) {
         return node.withTables((tables, inTouch, nowNanos) -> {
                     synchronized (watch) {
-                        watch.heardLeaf(report.getId(), nowNanos);
+                        watch.recordLeafContact(report.getId(), nowNanos);
                     }
                     if (!inTouch) {
                         return Optional.of(FleetOutcome.NOT_TAKEN);
@@ -257,7 +257,7 @@
         HostRecord host = pull.getSelf();
         return node.withTables((tables, inTouch, nowNanos) -> {
                     synchronized (watch) {
-                        watch.heardHost(host.getName(), pull.getQueriesAMinute(), nowNanos);
+                        watch.recordHostContact(host.getName(), pull.getQueriesAMinute(), nowNanos);
                     }
                     return inTouch && tables.wouldChange(host);
                 })
@@ -294,7 +294,7 @@
     public void shareHeard(HostRecord own) {
         node.withTables((tables, inTouch, nowNanos) -> {
                     synchronized (watch) {
-                        watch.heardHost(own.getName(), 0, nowNanos);
+                        watch.recordHostContact(own.getName(), 0, nowNanos);
                         knownControlHosts = tables.presentHosts().stream()
                                 .filter(host -> !host.getControlAddress().isEmpty())
                                 .map(HostRecord::getPeerAddress)
@@ -308,7 +308,7 @@
                         }
                         boolean leads = node.isLeader();
                         if (leads && !wasLeader) {
-                            watch.restart(tables, nowNanos);
+                            watch.reset(tables, nowNanos);
                         }
                         wasLeader = leads;
                         HeardMembers report = watch.takeReport();
@@ -317,7 +317,7 @@
                             return ForgetMembers.getDefaultInstance();
                         }
                         reviewShardAccess(tables, nowNanos);
-                        return watch.silent(tables, nowNanos);
+                        return watch.silentMembers(tables, nowNanos);
                     }
                 })
                 .subscribe()
@@ -325,10 +325,10 @@
     }
 
     /** As the leader, has the way to the leafs of shards changed if the rate of queries asks for it. */
-    private void reviewShardAccess(AgreedTables tables, long nowNanos) {
+    private void reviewShardAccess(ReplicatedTables tables, long nowNanos) {
         int entryHosts = (int)
                 tables.presentHosts().stream().filter(HostRecord::getEntry).count();
-        OptionalInt queriesAMinute = watch.queriesAMinute(tables);
+        OptionalInt queriesAMinute = watch.queriesPerMinute(tables);
         shardAccess
                 .decide(tables.throughHolders(), entryHosts, queriesAMinute, nowNanos)
                 .ifPresent(throughHolders -> {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/StatusBoard.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/StatusBoard.java
@@ -49,7 +49,7 @@
                 listener = onChange;
             }
         }
-        directory.record(self, upstream, report, reachable);
+        directory.recordReport(self, upstream, report, reachable);
         listener.run();
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Beats.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Beats.java
@@ -127,7 +127,7 @@
                         new ServedVersion(version.getIndexVersion(), version.getShard(), version.getShardCount()))
                 .collect(ImmutableSet.toImmutableSet());
         UpstreamName name = new UpstreamName(ServiceName.parse(status.getService()), status.getUpstream());
-        directory.record(holder, name, new UpstreamReport(status.getDraining(), served), status.getReachable());
+        directory.recordReport(holder, name, new UpstreamReport(status.getDraining(), served), status.getReachable());
     }
 
     /** A host that began a life or put a revision in force may have dropped what it was told of upstreams before. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
@@ -17,7 +17,7 @@
 import org.bramblerack.daemon.settings.Settings;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.directory.ServiceDirectory;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.version.Configuration;
 import org.bramblerack.version.Declaration;
 import org.bramblerack.version.DeclarationReader;
@@ -202,7 +202,7 @@
             delta.getDeclarationsList().forEach(text -> changed.put(text.getPartner(), text));
             ImmutableMap.Builder<String, Declaration> declarations = ImmutableMap.builder();
             for (PartnerDeclaration text : changed.values()) {
-                Either<ImmutableList<Fault>, Declaration> read = DeclarationReader.read(text.getText());
+                Either<ImmutableList<ValidationError>, Declaration> read = DeclarationReader.read(text.getText());
                 if (read.isLeft()) {
                     reportUnreadable(text, read.getLeft());
                     return;
@@ -219,7 +219,7 @@
         onChange.run();
     }
 
-    private void reportUnreadable(PartnerDeclaration text, ImmutableList<Fault> faults) {
+    private void reportUnreadable(PartnerDeclaration text, ImmutableList<ValidationError> faults) {
         metrics.count("configuration.unreadable");
         LOGGER.log(
                 Logger.Level.ERROR,
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
@@ -53,7 +53,7 @@
         for (Upstream upstream : directory.upstreams()) {
             boolean named = leaving.contains(upstream.address().toString())
                     || leaving.contains(upstream.address().getHost());
-            directory.recordPlatform(upstream.name(), named);
+            directory.recordPlatformDrain(upstream.name(), named);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 import org.bramblerack.process.document.DocumentReader;
-import org.bramblerack.process.document.Fault;
 import org.bramblerack.process.document.Fields;
+import org.bramblerack.process.document.ValidationError;
 
 /**
  * Reads a settings file strictly: whole, or with all its faults.
@@ -42,7 +42,7 @@
      * @param text the file's text
      * @return the settings, or every fault found with its line, never empty
      */
-    public static Either<ImmutableList<Fault>, Settings> read(String text) {
+    public static Either<ImmutableList<ValidationError>, Settings> read(String text) {
         return DocumentReader.read(text, SettingsReader::readSettings);
     }
 
@@ -63,7 +63,7 @@
         int maxQueries = fields.integer("maxQueries", 1, MAX_QUERIES, DEFAULT_QUERIES);
         boolean control = roles.contains(Role.CONTROL);
         if (control && dataFolder.isEmpty()) {
-            fields.fault("dataFolder", "the control role needs a folder that lasts", "add dataFolder");
+            fields.addError("dataFolder", "the control role needs a folder that lasts", "add dataFolder");
         }
         checkHosts(fields, host, zone, peerAddress, control, hosts);
         return new Settings(
@@ -88,11 +88,11 @@
             switch (name.toLowerCase(Locale.ROOT)) {
                 case "entry" -> roles.add(Role.ENTRY);
                 case "control" -> roles.add(Role.CONTROL);
-                default -> fields.fault("roles", "\"" + name + "\" is not a role", "write entry or control");
+                default -> fields.addError("roles", "\"" + name + "\" is not a role", "write entry or control");
             }
         }
         if (names.isEmpty()) {
-            fields.fault("roles", "no role is given", "write [\"entry\"], [\"control\"] or both");
+            fields.addError("roles", "no role is given", "write [\"entry\"], [\"control\"] or both");
         }
         return roles.build();
     }
@@ -106,7 +106,8 @@
         Map<String, String> digests = new LinkedHashMap<>();
         for (Credential credential : fields.objects("credentials", MAX_PARTNERS, SettingsReader::readCredential)) {
             if (digests.putIfAbsent(credential.partner(), credential.digest()) != null) {
-                fields.fault("credentials", credential.partner() + " is given twice", "keep one credential a partner");
+                fields.addError(
+                        "credentials", credential.partner() + " is given twice", "keep one credential a partner");
             }
         }
         return ImmutableMap.copyOf(digests);
@@ -116,7 +117,7 @@
         String partner = fields.name("partner");
         String digest = fields.text("sha256");
         if (!DIGEST.matcher(digest).matches()) {
-            fields.fault(
+            fields.addError(
                     "sha256",
                     "this is not the SHA-256 of a credential",
                     "write 64 lower case hexadecimal digits, the digest and never the credential itself");
@@ -127,12 +128,12 @@
     private static PlatformSource readPlatform(Fields fields) {
         PlatformSource source = new PlatformSource(fields.optionalText("file"), fields.optionalText("url"));
         if (source.file().isPresent() == source.url().isPresent()) {
-            fields.fault("file", "the platform's list needs one source", "give either file or url");
+            fields.addError("file", "the platform's list needs one source", "give either file or url");
         }
         source.url()
                 .filter(url -> !url.startsWith("http://"))
                 .ifPresent(url ->
-                        fields.fault("url", "\"" + url + "\" is not an HTTP address", "write http://IP:PORT/PATH"));
+                        fields.addError("url", "\"" + url + "\" is not an HTTP address", "write http://IP:PORT/PATH"));
         return source;
     }
 
@@ -147,24 +148,24 @@
         Set<HostAndPort> addresses = new HashSet<>();
         for (HostEntry entry : hosts) {
             if (!names.add(entry.name())) {
-                fields.fault("hosts", "the host " + entry.name() + " is listed twice", "list each host once");
+                fields.addError("hosts", "the host " + entry.name() + " is listed twice", "list each host once");
             } else if (!addresses.add(entry.peerAddress())) {
-                fields.fault("hosts", entry.name() + " shares its address with another host", "give each its own");
+                fields.addError("hosts", entry.name() + " shares its address with another host", "give each its own");
             }
         }
         Optional<HostEntry> self =
                 hosts.stream().filter(entry -> entry.name().equals(host)).findFirst();
         if (self.isEmpty()) {
-            fields.fault("hosts", "this host, " + host + ", is not listed", "list it with the others");
+            fields.addError("hosts", "this host, " + host + ", is not listed", "list it with the others");
         } else if (!self.get().equals(new HostEntry(host, zone, peerAddress, control))) {
-            fields.fault(
+            fields.addError(
                     "hosts",
                     "the entry of this host, " + host + ", differs from its own settings",
                     "give it the same zone, peerAddress and control flag as above");
         }
         long voters = hosts.stream().filter(HostEntry::control).count();
         if (voters % 2 == 0 || voters > 7) {
-            fields.fault("hosts", voters + " hosts have control", "set control on 1, 3, 5 or 7 hosts");
+            fields.addError("hosts", voters + " hosts have control", "set control on 1, 3, 5 or 7 hosts");
         }
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/TableSubscriptionsTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.bramblerack.process.members.AgreedTables;
+import org.bramblerack.process.members.ReplicatedTables;
 import org.bramblerack.wire.HostRecord;
 import org.bramblerack.wire.TableDelta;
 import org.junit.jupiter.api.BeforeEach;
@@ -17,13 +17,13 @@
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long HOLD = 700 * MILLI;
 
-    private final AgreedTables tables = new AgreedTables();
+    private final ReplicatedTables tables = new ReplicatedTables();
     private final TableSubscriptions subscriptions = new TableSubscriptions();
     private final List<TableDelta> answers = new ArrayList<>();
 
     @BeforeEach
     void fill() {
-        tables.report(HostRecord.newBuilder()
+        tables.applyReport(HostRecord.newBuilder()
                 .setName("host")
                 .setPhase(HostRecord.Phase.READY)
                 .build());
@@ -51,7 +51,7 @@
     @Test
     void aHostThatFollowsIsToldNewsInAnyCase() {
         long known = tables.revision();
-        tables.report(HostRecord.newBuilder()
+        tables.applyReport(HostRecord.newBuilder()
                 .setName("another")
                 .setPhase(HostRecord.Phase.READY)
                 .build());
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/VoterIdentityTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/VoterIdentityTest.java
@@ -29,7 +29,7 @@
     @Test
     void anEmptyDiskTakesTheNewName() throws DiskFault {
         VoterIdentity joiner =
-                new VoterIdentity(VoterName.fresh("10.0.0.1:1", new SplittableRandom(1)), ImmutableSortedSet.of());
+                new VoterIdentity(VoterName.generate("10.0.0.1:1", new SplittableRandom(1)), ImmutableSortedSet.of());
         assertThat(VoterIdentity.loadOrStore(folder.resolve("new"), joiner)).isEqualTo(joiner);
         assertThat(VoterIdentity.loadOrStore(folder.resolve("new"), FIRST)).isEqualTo(joiner);
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/settings/SettingsReaderTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/settings/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.regex.Pattern;
-import org.bramblerack.process.document.Fault;
+import org.bramblerack.process.document.ValidationError;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -39,7 +39,7 @@
     void namesTheFieldAndTheProblem(String good, String bad, String field, String problem) throws IOException {
         String text = example();
         assertThat(text).contains(good);
-        Either<ImmutableList<Fault>, Settings> read =
+        Either<ImmutableList<ValidationError>, Settings> read =
                 SettingsReader.read(text.replaceFirst(Pattern.quote(good), bad == null ? "" : bad));
         assertThat(read.isLeft()).isTrue();
         assertThat(read.getLeft().stream()
