--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
@@ -116,7 +116,7 @@
                             payload.size(),
                             checksum,
                             payload);
-                    query.reply(send.attempt(), reply, nowNanos + 500_000);
+                    query.onReply(send.attempt(), reply, nowNanos + 500_000);
                 }
             }
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Admission.java
@@ -71,7 +71,7 @@
      *
      * @param tookNanos from its admission to its end
      */
-    public List<Decision> finished(Ticket ticket, long tookNanos, long nowNanos) {
+    public List<Decision> onFinished(Ticket ticket, long tookNanos, long nowNanos) {
         ServiceQueue queue = services.get(ticket.service());
         checkArgument(queue != null && queue.inFlight() > 0, "no query of %s is in flight", ticket.service());
         boolean ranOutOfTime = nowNanos - ticket.deadlineNanos() >= 0;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -86,19 +86,19 @@
     }
 
     /** Takes what the agreed state says to the claim. */
-    public List<OnceOnlyAction> claimDecided(ClaimVerdict verdict, long nowNanos) {
+    public List<OnceOnlyAction> onClaimResult(ClaimResult verdict, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.CLAIMING) {
-            if (verdict instanceof ClaimVerdict.Granted && !claimed) {
+            if (verdict instanceof ClaimResult.Granted && !claimed) {
                 claimed = true;
                 actions.add(new OnceOnlyAction.RecordNotRun("the claim came after the attempt had given up"));
             }
             return actions;
         }
-        if (verdict instanceof ClaimVerdict.Granted) {
+        if (verdict instanceof ClaimResult.Granted) {
             claimed = true;
             dispatch(nowNanos, actions);
-        } else if (verdict instanceof ClaimVerdict.AlreadyRan ran) {
+        } else if (verdict instanceof ClaimResult.AlreadyRan ran) {
             finish(new OnceOnlyAction.DeliverRan(ran.answer(), true), actions);
         } else {
             finish(new OnceOnlyAction.Refuse(refusalFor(verdict)), actions);
@@ -107,7 +107,7 @@
     }
 
     /** Takes a reply as it arrived, in time or late. */
-    public List<OnceOnlyAction> reply(LeafReply reply, long nowNanos) {
+    public List<OnceOnlyAction> onReply(LeafReply reply, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (dispatches == 0) {
             return actions;
@@ -115,7 +115,7 @@
         Either<LeafFailure, CheckedReply> checked = CheckedReply.check(
                 reply, currentCallId(), reply.served().indexVersion(), SHARD_OF_A_POOL, SHARDS_OF_A_POOL);
         if (checked.isLeft()) {
-            return failure(checked.getLeft(), nowNanos);
+            return onFailure(checked.getLeft(), nowNanos);
         }
         ByteString payload = checked.get().payload();
         if (stage == Stage.OVER) {
@@ -129,7 +129,7 @@
     }
 
     /** Takes the failure of the call in flight. */
-    public List<OnceOnlyAction> failure(LeafFailure failure, long nowNanos) {
+    public List<OnceOnlyAction> onFailure(LeafFailure failure, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.DISPATCHED && stage != Stage.CANCELLING) {
             return actions;
@@ -157,7 +157,7 @@
     }
 
     /** Takes the news that the outcome is agreed. */
-    public List<OnceOnlyAction> recorded() {
+    public List<OnceOnlyAction> onRecorded() {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage == Stage.RECORDING && afterRecording != null) {
             finish(afterRecording, actions);
@@ -180,15 +180,15 @@
                 actions.add(new OnceOnlyAction.RecordNotRun("the claim was not agreed within the deadline"));
                 finish(
                         new OnceOnlyAction.Refuse(
-                                refusalFor(new ClaimVerdict.NoQuorum("no decision within the deadline"))),
+                                refusalFor(new ClaimResult.NoQuorum("no decision within the deadline"))),
                         actions);
             }
             case DISPATCHED, CANCELLING -> {
                 evidence().ifPresent(known -> known.failed(nowNanos));
                 recordUnknown("no reply within the deadline", actions);
-                actions.addAll(recorded());
+                actions.addAll(onRecorded());
             }
-            case RECORDING -> actions.addAll(recorded());
+            case RECORDING -> actions.addAll(onRecorded());
             default -> {
                 // The caller has its answer.
             }
@@ -234,7 +234,7 @@
     private void recordUnknown(String reason, List<OnceOnlyAction> actions) {
         record(
                 new OnceOnlyAction.RecordUnknown(reason),
-                new OnceOnlyAction.Refuse(refusalFor(new ClaimVerdict.OutcomeUnknown(reason))),
+                new OnceOnlyAction.Refuse(refusalFor(new ClaimResult.OutcomeUnknown(reason))),
                 actions);
     }
 
@@ -258,27 +258,27 @@
         return callPrefix + "-" + dispatches;
     }
 
-    private static Refusal refusalFor(ClaimVerdict verdict) {
-        if (verdict instanceof ClaimVerdict.HeldByAnother) {
+    private static Refusal refusalFor(ClaimResult verdict) {
+        if (verdict instanceof ClaimResult.HeldByAnother) {
             return Refusal.of(RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome");
         }
-        if (verdict instanceof ClaimVerdict.OutcomeUnknown unknown) {
+        if (verdict instanceof ClaimResult.OutcomeUnknown unknown) {
             return Refusal.of(
                     RefusalKind.OUTCOME_UNKNOWN,
                     "it is not known whether the request ran (" + unknown.reason()
                             + "); it will not be run again, check with the service before using a new identifier");
         }
-        if (verdict instanceof ClaimVerdict.Mismatch) {
+        if (verdict instanceof ClaimResult.Mismatch) {
             return Refusal.of(
                     RefusalKind.REQUEST_MISMATCH,
                     "the request identifier was used for another request; use a new identifier");
         }
-        if (verdict instanceof ClaimVerdict.Expired) {
+        if (verdict instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
                     "the request is older than outcomes are kept and is not run; check with the service");
         }
-        String reason = verdict instanceof ClaimVerdict.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
+        String reason = verdict instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
                 RefusalKind.NO_QUORUM,
                 "the control hosts did not confirm the claim (" + reason + "); it did not run, send it again");
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
@@ -63,7 +63,7 @@
     }
 
     /** Takes a reply as it arrived. */
-    public List<QueryAction> reply(int attemptNumber, LeafReply reply, long nowNanos) {
+    public List<QueryAction> onReply(int attemptNumber, LeafReply reply, long nowNanos) {
         List<QueryAction> actions = new ArrayList<>(2);
         Attempt attempt = attempts.get(attemptNumber);
         if (attempt.finished || over) {
@@ -85,7 +85,7 @@
     }
 
     /** Takes the failure of an attempt. */
-    public List<QueryAction> failure(int attemptNumber, LeafFailure failure, long nowNanos) {
+    public List<QueryAction> onFailure(int attemptNumber, LeafFailure failure, long nowNanos) {
         List<QueryAction> actions = new ArrayList<>(2);
         Attempt attempt = attempts.get(attemptNumber);
         if (!attempt.finished && !over) {
@@ -114,7 +114,7 @@
     }
 
     /** Ends the query because its caller went away: cancels what is in flight and delivers nothing. */
-    public List<QueryAction> callerGone(long nowNanos) {
+    public List<QueryAction> onCallerGone(long nowNanos) {
         List<QueryAction> actions = new ArrayList<>();
         if (!over) {
             over = true;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
@@ -30,7 +30,7 @@
     /** Creates a refusal with the usual time to come back, if its kind is worth retrying. */
     public static Refusal of(RefusalKind kind, String message) {
         Duration usual = kind == RefusalKind.HARMFUL ? HARMFUL_RETRY_AFTER : DEFAULT_RETRY_AFTER;
-        return new Refusal(kind, message, kind.isWorthRetrying() ? Optional.of(usual) : Optional.empty());
+        return new Refusal(kind, message, kind.isRetryable() ? Optional.of(usual) : Optional.empty());
     }
 
     /** Creates a refusal with a time to come back. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/RefusalKind.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/RefusalKind.java
@@ -83,7 +83,7 @@
     }
 
     /** Returns true if the same request may succeed when it is sent again. */
-    public boolean isWorthRetrying() {
+    public boolean isRetryable() {
         return worthRetrying;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/RoomAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/AdmissionAction.java
@@ -7,14 +7,14 @@
  *
  * @param <T> what stands for a request
  */
-public sealed interface RoomAction<T> {
+public sealed interface AdmissionAction<T> {
     /** Begin it. */
-    record Start<T>(T request) implements RoomAction<T> {}
+    record Start<T>(T request) implements AdmissionAction<T> {}
 
     /**
      * Refuse it; it has not run.
      *
      * @param retryAfter when there is likely to be room
      */
-    record Refuse<T>(T request, Duration retryAfter) implements RoomAction<T> {}
+    record Refuse<T>(T request, Duration retryAfter) implements AdmissionAction<T> {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryRoom.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/EntryAdmission.java
@@ -21,7 +21,7 @@
  * <ul>
  *   <li>A host that is not behind begins everything at once.
  *   <li>One that is behind holds requests, and begins them as it catches up: one in any case each time it looks, more
- *       as long as it is less than {@link #BEHIND} behind. So room never stands free while a request waits.
+ *       as long as it is less than {@link #LAG_THRESHOLD} behind. So room never stands free while a request waits.
  *   <li>Ranks go in their order, but a quarter of the room, in calls, goes to lower ranks as long as they wait, the
  *       longest waiting first. So no class gets less than a quarter of its share by demand.
  *   <li>Within a rank those go first that can still be in time, then teams take turns ({@link TeamTurns}).
@@ -33,12 +33,12 @@
  *
  * @param <T> what stands for a request; by its identity or equality one is withdrawn
  */
-public final class EntryRoom<T> {
+public final class EntryAdmission<T> {
     /**
      * From when on a host counts as behind: a quarter of the shortest goals of interactive queries, 80 to 90 ms, is
      * lost to waiting then.
      */
-    public static final Duration BEHIND = Duration.ofMillis(20);
+    public static final Duration LAG_THRESHOLD = Duration.ofMillis(20);
 
     /** Every which call of the room goes to lower ranks that wait. */
     private static final int LOWER_RANKS_DIVISOR = 4;
@@ -56,7 +56,7 @@
     private final TeamTurns turns = new TeamTurns();
     private final long callNanos;
     /** From one beginning to the next while requests wait. */
-    private double turnNanos = BEHIND.toNanos();
+    private double turnNanos = LAG_THRESHOLD.toNanos();
 
     private long lookedNanos;
     /** Calls that lower ranks are owed: a part of those begun before them. */
@@ -64,7 +64,7 @@
 
     private long lastNumber;
 
-    private record Waiting<T>(Applicant<T> applicant, long number) {}
+    private record Waiting<T>(QueuedRequest<T> applicant, long number) {}
 
     /**
      * Creates a room of which nothing is taken.
@@ -72,8 +72,8 @@
      * @param nowNanos the time
      * @param callCost what a call to a leaf takes of this host's time
      */
-    public EntryRoom(long nowNanos, Duration callCost, RandomGenerator random) {
-        this.lookedNanos = nowNanos - BEHIND.toNanos();
+    public EntryAdmission(long nowNanos, Duration callCost, RandomGenerator random) {
+        this.lookedNanos = nowNanos - LAG_THRESHOLD.toNanos();
         this.callNanos = callCost.toNanos();
         this.random = random;
     }
@@ -83,13 +83,13 @@
      *
      * @param lagNanos how far this host is behind with what has arrived
      */
-    public ImmutableList<RoomAction<T>> arrive(Applicant<T> applicant, long lagNanos, long nowNanos) {
-        ImmutableList.Builder<RoomAction<T>> actions = ImmutableList.builder();
-        boolean begunOfLate = nowNanos - lookedNanos < BEHIND.toNanos();
-        if (waiting.isEmpty() && (lagNanos < BEHIND.toNanos() || !begunOfLate)) {
+    public ImmutableList<AdmissionAction<T>> offer(QueuedRequest<T> applicant, long lagNanos, long nowNanos) {
+        ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
+        boolean begunOfLate = nowNanos - lookedNanos < LAG_THRESHOLD.toNanos();
+        if (waiting.isEmpty() && (lagNanos < LAG_THRESHOLD.toNanos() || !begunOfLate)) {
             turns.begin(applicant.team(), applicant.weight(), applicant.calls());
-            lookedNanos = lagNanos < BEHIND.toNanos() ? lookedNanos : nowNanos;
-            actions.add(new RoomAction.Start<>(applicant.request()));
+            lookedNanos = lagNanos < LAG_THRESHOLD.toNanos() ? lookedNanos : nowNanos;
+            actions.add(new AdmissionAction.Start<>(applicant.request()));
             return actions.build();
         }
         waiting.add(new Waiting<>(applicant, ++lastNumber));
@@ -98,11 +98,11 @@
     }
 
     /** Begins what there is room for; to be called regularly while requests wait. */
-    public ImmutableList<RoomAction<T>> look(long lagNanos, long nowNanos) {
-        ImmutableList.Builder<RoomAction<T>> actions = ImmutableList.builder();
+    public ImmutableList<AdmissionAction<T>> drain(long lagNanos, long nowNanos) {
+        ImmutableList.Builder<AdmissionAction<T>> actions = ImmutableList.builder();
         long busyNanos = lagNanos;
         int begun = 0;
-        while (!waiting.isEmpty() && (begun == 0 || busyNanos < BEHIND.toNanos())) {
+        while (!waiting.isEmpty() && (begun == 0 || busyNanos < LAG_THRESHOLD.toNanos())) {
             Waiting<T> next = next(nowNanos);
             begun++;
             begin(next, actions);
@@ -122,32 +122,32 @@
     }
 
     /** Returns true if a request has neither begun nor been refused. */
-    public boolean isWaiting(T request) {
+    public boolean isQueued(T request) {
         return waiting.stream().anyMatch(each -> each.applicant().request().equals(request));
     }
 
     /** Returns how many requests wait. */
-    public int waitingCount() {
+    public int queuedCount() {
         return waiting.size();
     }
 
     /** Returns how long it takes from one beginning to the next, for a log line. */
-    public Duration turnTime() {
+    public Duration startInterval() {
         return Duration.ofNanos((long) turnNanos);
     }
 
-    private void begin(Waiting<T> next, ImmutableList.Builder<RoomAction<T>> actions) {
+    private void begin(Waiting<T> next, ImmutableList.Builder<AdmissionAction<T>> actions) {
         waiting.remove(next);
         turns.begin(
                 next.applicant().team(),
                 next.applicant().weight(),
                 next.applicant().calls());
         payLower(next.applicant());
-        actions.add(new RoomAction.Start<>(next.applicant().request()));
+        actions.add(new AdmissionAction.Start<>(next.applicant().request()));
     }
 
     /** Keeps what lower ranks are owed: as long as one waits, a part of what goes before it. */
-    private void payLower(Applicant<T> begun) {
+    private void payLower(QueuedRequest<T> begun) {
         boolean lowerWaits = waiting.stream().anyMatch(each -> each.applicant().rank() > begun.rank());
         boolean higherWaits = waiting.stream().anyMatch(each -> each.applicant().rank() < begun.rank());
         if (lowerWaits) {
@@ -184,7 +184,7 @@
         Map<Long, Double> turnOf = new HashMap<>();
         Map<String, Double> askedBefore = new HashMap<>();
         for (Waiting<T> each : ordered) {
-            Applicant<T> applicant = each.applicant();
+            QueuedRequest<T> applicant = each.applicant();
             double room = applicant.calls() / applicant.weight();
             double before = askedBefore.merge(applicant.team(), room, Double::sum) - room;
             turnOf.put(each.number(), turns.next(applicant.team(), applicant.weight()) + before);
@@ -195,20 +195,20 @@
         return ordered;
     }
 
-    private static boolean isLate(Applicant<?> applicant, long nowNanos) {
+    private static boolean isLate(QueuedRequest<?> applicant, long nowNanos) {
         return nowNanos + applicant.expectedNanos() - applicant.goalNanos() > 0;
     }
 
     /** Refuses what would be answered after its caller's limit by the work before it. */
-    private void refuseHopeless(long nowNanos, ImmutableList.Builder<RoomAction<T>> actions) {
+    private void refuseHopeless(long nowNanos, ImmutableList.Builder<AdmissionAction<T>> actions) {
         int ahead = 0;
         for (Waiting<T> each : inOrder(nowNanos)) {
-            Applicant<T> applicant = each.applicant();
+            QueuedRequest<T> applicant = each.applicant();
             double beginsNanos = (Math.min(ahead, turnsOfLower(each)) + 1) * turnNanos;
             long leftNanos = applicant.deadlineNanos() - nowNanos;
             if (beginsNanos + applicant.expectedNanos() > leftNanos || ahead >= MAX_WAITING) {
                 waiting.remove(each);
-                actions.add(new RoomAction.Refuse<>(applicant.request(), retryAfter(beginsNanos, leftNanos)));
+                actions.add(new AdmissionAction.Refuse<>(applicant.request(), retryAfter(beginsNanos, leftNanos)));
             } else {
                 ahead++;
             }
@@ -231,6 +231,6 @@
     private Duration retryAfter(double beginsNanos, long leftNanos) {
         Duration room = Duration.ofNanos(Math.max(LEAST_RETRY.toNanos(), (long) beginsNanos));
         Duration obeyed = Duration.ofNanos(Math.max(LEAST_RETRY.toNanos(), leftNanos / OBEYED_DIVISOR));
-        return RetrySpread.spread(room, obeyed, random);
+        return RetryAfterJitter.spread(room, obeyed, random);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/Applicant.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/QueuedRequest.java
@@ -17,7 +17,7 @@
  * @param goalNanos when its answer loses most of its worth
  * @param deadlineNanos when its caller stops waiting
  */
-public record Applicant<T>(
+public record QueuedRequest<T>(
         T request,
         int rank,
         String team,
@@ -27,7 +27,7 @@
         long goalNanos,
         long deadlineNanos) {
     /** Refuses weights and costs that are not above zero. */
-    public Applicant {
+    public QueuedRequest {
         checkArgument(weight > 0, "the weight %s is not above 0", weight);
         checkArgument(calls > 0, "a request of %s calls", calls);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/admission/RetrySpread.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/admission/RetryAfterJitter.java
@@ -10,8 +10,8 @@
  * be refused again. So the times are spread evenly from the earliest useful moment to twice as far. Stateless and safe
  * for use by many threads.
  */
-public final class RetrySpread {
-    private RetrySpread() {}
+public final class RetryAfterJitter {
+    private RetryAfterJitter() {}
 
     /** Returns a time between the earliest and twice that. */
     public static Duration spread(Duration earliest, RandomGenerator random) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/AdmissionTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/AdmissionTest.java
@@ -81,7 +81,7 @@
         for (int number = 0; number < 60; number++) {
             offer("slow" + number, "p", Priority.NORMAL, 5_000 * MILLI);
             decisions.addAll(
-                    admission.finished(ticket("any", "p", Priority.NORMAL, 5_000 * MILLI), 10_000 * MILLI, MILLI));
+                    admission.onFinished(ticket("any", "p", Priority.NORMAL, 5_000 * MILLI), 10_000 * MILLI, MILLI));
         }
         decisions.clear();
         offer("next", "p", Priority.NORMAL, 500 * MILLI);
@@ -120,7 +120,7 @@
     }
 
     private void finish(String partner) {
-        decisions.addAll(admission.finished(ticket("any", partner, Priority.NORMAL, FAR), 10 * MILLI, MILLI));
+        decisions.addAll(admission.onFinished(ticket("any", partner, Priority.NORMAL, FAR), 10 * MILLI, MILLI));
     }
 
     private List<String> admitted() {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/OnceOnlyRequestTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/OnceOnlyRequestTest.java
@@ -28,85 +28,85 @@
     @Test
     void dispatchesNothingBeforeTheClaimIsGranted() {
         assertThat(dispatches()).isEqualTo(0);
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
         assertThat(dispatches()).isEqualTo(1);
     }
 
     @Test
     void answersOnceItsOutcomeIsRecorded() {
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
-        take(request.reply(reply("o-1"), 2 * MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
+        take(request.onReply(reply("o-1"), 2 * MILLI));
         assertThat(actions).contains(new OnceOnlyAction.RecordRan(payload()));
         assertThat(request.isAnswered()).isFalse();
-        take(request.recorded());
+        take(request.onRecorded());
         assertThat(actions).contains(new OnceOnlyAction.DeliverRan(payload(), false));
     }
 
     @Test
-    void aClaimThatComesAfterTheRefusalIsGivenBackAndNeverUsed() {
+    void aClaimGrantedAfterTheRefusalIsReleasedAndNeverUsed() {
         take(request.wake(DEADLINE));
         assertThat(refusal().kind()).isEqualTo(RefusalKind.NO_QUORUM);
-        take(request.claimDecided(new ClaimVerdict.Granted(), DEADLINE + MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), DEADLINE + MILLI));
         assertThat(dispatches()).isEqualTo(0);
         assertThat(records(OnceOnlyAction.RecordNotRun.class)).isAtLeast(1);
     }
 
     @Test
-    void aStalledAttemptThatWakesAfterItsTimeDoesNotDispatch() {
-        take(request.claimDecided(new ClaimVerdict.Granted(), DEADLINE - MILLI));
+    void aStalledAttemptDoesNotDispatchAfterItsDeadline() {
+        take(request.onClaimResult(new ClaimResult.Granted(), DEADLINE - MILLI));
         assertThat(dispatches()).isEqualTo(0);
-        take(request.recorded());
+        take(request.onRecorded());
         assertThat(refusal().kind().runState()).isEqualTo(RunState.NOT_RUN);
     }
 
     @ParameterizedTest
     @EnumSource(value = LeafFailure.class, mode = EnumSource.Mode.EXCLUDE, names = "HARMFUL")
     void isRepeatedOnlyIfItCertainlyDidNotRun(LeafFailure failure) {
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
-        take(request.failure(failure, 2 * MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
+        take(request.onFailure(failure, 2 * MILLI));
         assertThat(dispatches()).isEqualTo(failure.isCertainlyNotRun() ? 2 : 1);
         assertThat(records(OnceOnlyAction.RecordUnknown.class)).isEqualTo(failure.isCertainlyNotRun() ? 0 : 1);
         if (failure.isCertainlyNotRun()) {
-            take(request.failure(failure, 3 * MILLI));
+            take(request.onFailure(failure, 3 * MILLI));
             assertThat(dispatches()).isEqualTo(2);
         }
-        take(request.recorded());
+        take(request.onRecorded());
         RunState expected = failure.isCertainlyNotRun() ? RunState.NOT_RUN : RunState.MAY_HAVE_RUN;
         assertThat(refusal().kind().runState()).isEqualTo(expected);
     }
 
     @Test
     void whatEndsUpstreamsIsHandedToNoOtherOne() {
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
-        take(request.failure(LeafFailure.HARMFUL, 2 * MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
+        take(request.onFailure(LeafFailure.HARMFUL, 2 * MILLI));
         assertThat(dispatches()).isEqualTo(1);
-        take(request.recorded());
+        take(request.onRecorded());
         assertThat(refusal().kind()).isEqualTo(RefusalKind.HARMFUL);
     }
 
     @Test
     void aLateReplyTurnsAnUnknownOutcomeIntoOneThatRan() {
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
         take(request.wake(DEADLINE));
         assertThat(refusal().kind()).isEqualTo(RefusalKind.OUTCOME_UNKNOWN);
-        take(request.reply(reply("o-1"), DEADLINE + MILLI));
+        take(request.onReply(reply("o-1"), DEADLINE + MILLI));
         assertThat(actions).contains(new OnceOnlyAction.RecordRan(payload()));
     }
 
     @Test
     void cancelsBeforeTheDeadlineAndBelievesATruthfulCancellation() {
-        take(request.claimDecided(new ClaimVerdict.Granted(), MILLI));
+        take(request.onClaimResult(new ClaimResult.Granted(), MILLI));
         take(request.wake(900 * MILLI));
         assertThat(records(OnceOnlyAction.CancelDispatch.class)).isEqualTo(1);
-        take(request.failure(LeafFailure.CANCELLED, 910 * MILLI));
-        take(request.recorded());
+        take(request.onFailure(LeafFailure.CANCELLED, 910 * MILLI));
+        take(request.onRecorded());
         assertThat(dispatches()).isEqualTo(1);
         assertThat(refusal().kind()).isEqualTo(RefusalKind.UPSTREAM_REFUSED);
     }
 
     @Test
     void aResendGetsTheRecordedAnswer() {
-        take(request.claimDecided(new ClaimVerdict.AlreadyRan(payload()), MILLI));
+        take(request.onClaimResult(new ClaimResult.AlreadyRan(payload()), MILLI));
         assertThat(actions).contains(new OnceOnlyAction.DeliverRan(payload(), true));
         assertThat(dispatches()).isEqualTo(0);
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryRun.java
@@ -32,15 +32,15 @@
     }
 
     void reply(QueryAction.SendLeaf send, long nowNanos) {
-        take(query.reply(send.attempt(), service.reply(send), nowNanos));
+        take(query.onReply(send.attempt(), service.reply(send), nowNanos));
     }
 
     void reply(int attempt, LeafReply reply, long nowNanos) {
-        take(query.reply(attempt, reply, nowNanos));
+        take(query.onReply(attempt, reply, nowNanos));
     }
 
     void fail(QueryAction.SendLeaf send, LeafFailure failure, long nowNanos) {
-        take(query.failure(send.attempt(), failure, nowNanos));
+        take(query.onFailure(send.attempt(), failure, nowNanos));
     }
 
     void wake(long nowNanos) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/QueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/QueryTest.java
@@ -134,11 +134,11 @@
     @Test
     void cancelsEverythingWhenTheCallerGoesAway() {
         QueryRun run = run(Preference.TIME);
-        long cancels = run.query.callerGone(MILLI).stream()
+        long cancels = run.query.onCallerGone(MILLI).stream()
                 .filter(action -> action instanceof QueryAction.CancelLeaf)
                 .count();
         assertThat(cancels).isEqualTo(SHARDS);
-        assertThat(run.query.reply(0, service.reply(run.sent.get(0)), MILLI))
+        assertThat(run.query.onReply(0, service.reply(run.sent.get(0)), MILLI))
                 .containsExactly(new QueryAction.Count(QueryCounter.LATE_REPLY));
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryRoomTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/admission/EntryAdmissionTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** What each class and team gets at a host that has more to do than it can, by the pattern of the load. */
-final class EntryRoomTest {
+final class EntryAdmissionTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
-    private static final long LOOK_NANOS = EntryRoom.BEHIND.toNanos();
+    private static final long LOOK_NANOS = EntryAdmission.LAG_THRESHOLD.toNanos();
     private static final int URGENT = 0;
     private static final int USUAL = 1;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final EntryRoom<String> room = new EntryRoom<>(0, Duration.ofNanos(200_000), random);
+    private final EntryAdmission<String> room = new EntryAdmission<>(0, Duration.ofNanos(200_000), random);
     private final Map<String, Integer> asked = new HashMap<>();
     private final Map<String, Integer> begun = new HashMap<>();
     private final Map<String, Integer> refused = new HashMap<>();
@@ -29,7 +29,7 @@
     private int number;
 
     @Test
-    void aHostThatIsNotBehindHoldsAndRefusesNobody() {
+    void aHostThatIsNotLaggingStartsEveryRequestAtOnce() {
         for (int each = 0; each < 1_000; each++) {
             arrive("hot", USUAL, 1, 90, 500);
             nowNanos += MILLI;
@@ -83,7 +83,7 @@
     @Test
     void oneTeamAtManyTimesItsUsualTakesNothingFromTheOthers() {
         for (int times : new int[] {4, 7, 10}) {
-            EntryRoomTest day = new EntryRoomTest();
+            EntryAdmissionTest day = new EntryAdmissionTest();
             day.lagNanos = 30 * MILLI;
             for (int look = 0; look < 1_000; look++) {
                 for (int each = 0; each < times && look % 5 == 0; each++) {
@@ -163,23 +163,23 @@
     }
 
     @Test
-    void roomNeverStandsFreeWhileARequestWaits() {
+    void everyDrainStartsARequestWhileAnyIsQueued() {
         for (int look = 0; look < 5_000; look++) {
             lagNanos = random.nextLong(60 * MILLI);
             for (int each = random.nextInt(4); each > 0; each--) {
                 arrive("t" + random.nextInt(3), random.nextInt(3), 1 + random.nextInt(5), 1 + random.nextInt(90), 800);
             }
-            int waitingBefore = room.waitingCount();
+            int waitingBefore = room.queuedCount();
             int begunBefore = order.size();
             look();
             assertThat(order.size() > begunBefore || waitingBefore == 0).isTrue();
             if (lagNanos == 0) {
-                assertThat(room.waitingCount()).isEqualTo(0);
+                assertThat(room.queuedCount()).isEqualTo(0);
             }
         }
         int done = begun.values().stream().mapToInt(each -> each).sum()
                 + refused.values().stream().mapToInt(each -> each).sum();
-        assertThat(done + room.waitingCount()).isEqualTo(number);
+        assertThat(done + room.queuedCount()).isEqualTo(number);
     }
 
     @Test
@@ -189,7 +189,7 @@
             arrive("a", USUAL, 1, 90, 1_000);
         }
         room.withdraw("a-1#2");
-        assertThat(room.waitingCount()).isEqualTo(1);
+        assertThat(room.queuedCount()).isEqualTo(1);
     }
 
     /**
@@ -219,7 +219,7 @@
      * Returns how many of 100 urgent requests begin within 60 ms, among 300 others, where each takes 30 ms of the host.
      */
     private static int urgentInTimeAtAThird(boolean ranked) {
-        EntryRoomTest day = new EntryRoomTest();
+        EntryAdmissionTest day = new EntryAdmissionTest();
         day.lagNanos = 30 * MILLI;
         Map<Integer, Long> cameNanos = new HashMap<>();
         int inTime = 0;
@@ -256,8 +256,8 @@
     private void arrive(String team, int rank, double weight, int calls, long leftMillis, long goalMillis) {
         number++;
         asked.merge(team + "-" + rank, 1, Integer::sum);
-        take(room.arrive(
-                new Applicant<>(
+        take(room.offer(
+                new QueuedRequest<>(
                         team + "-" + rank + "#" + number,
                         rank,
                         teamOf(team),
@@ -277,15 +277,15 @@
 
     private void look() {
         nowNanos += LOOK_NANOS + lagNanos;
-        take(room.look(lagNanos, nowNanos));
+        take(room.drain(lagNanos, nowNanos));
     }
 
-    private void take(List<RoomAction<String>> actions) {
-        for (RoomAction<String> action : actions) {
-            if (action instanceof RoomAction.Start<String> start) {
+    private void take(List<AdmissionAction<String>> actions) {
+        for (AdmissionAction<String> action : actions) {
+            if (action instanceof AdmissionAction.Start<String> start) {
                 order.add(kind(start.request()));
                 begun.merge(kind(start.request()), 1, Integer::sum);
-            } else if (action instanceof RoomAction.Refuse<String> refuse) {
+            } else if (action instanceof AdmissionAction.Refuse<String> refuse) {
                 retries.add(refuse.retryAfter());
                 refused.merge(kind(refuse.request()), 1, Integer::sum);
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/AnswerWriter.java
@@ -87,7 +87,7 @@
             json.writeStringField("message", refusal.message());
             boolean notRun = refusal.kind().runState() == RunState.NOT_RUN;
             json.writeStringField("ran", notRun ? "not-run" : "may-have-run");
-            json.writeBooleanField("retry", refusal.kind().isWorthRetrying());
+            json.writeBooleanField("retry", refusal.kind().isRetryable());
             if (refusal.retryAfter().isPresent()) {
                 json.writeNumberField("retryAfterMs", refusal.retryAfter().get().toMillis());
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
@@ -15,7 +15,7 @@
 import org.bramblerack.process.agreement.Digests;
 import org.bramblerack.process.directory.ServiceDirectory;
 import org.bramblerack.process.directory.ServiceView;
-import org.bramblerack.request.ClaimVerdict;
+import org.bramblerack.request.ClaimResult;
 import org.bramblerack.request.OnceOnlyRequest;
 import org.bramblerack.request.Refusal;
 import org.bramblerack.request.RefusalKind;
@@ -140,7 +140,7 @@
     }
 
     private void claim(
-            CallerOperation asked, Operation operation, String attempt, Duration time, Consumer<ClaimVerdict> decided) {
+            CallerOperation asked, Operation operation, String attempt, Duration time, Consumer<ClaimResult> decided) {
         ByteString identity = ByteString.copyFromUtf8(asked.operation() + "\n").concat(asked.body());
         Command command = Command.newBuilder()
                 .setClaim(ClaimRequest.newBuilder()
@@ -158,32 +158,32 @@
                 .with(
                         result -> workers.run(() -> decided.accept(toVerdict(result))),
                         failure -> workers.run(
-                                () -> decided.accept(new ClaimVerdict.NoQuorum(String.valueOf(failure.getMessage())))));
+                                () -> decided.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
     }
 
-    private static ClaimVerdict toVerdict(ProposalResult result) {
+    private static ClaimResult toVerdict(ProposalResult result) {
         if (!(result instanceof ProposalResult.Applied applied)) {
             String reason = result instanceof ProposalResult.NotTaken notTaken ? notTaken.reason() : "no decision";
-            return new ClaimVerdict.NoQuorum(reason);
+            return new ClaimResult.NoQuorum(reason);
         }
         CommandResult agreed = applied.result();
         return switch (agreed.getKind()) {
-            case CLAIMED -> new ClaimVerdict.Granted();
-            case MISMATCH -> new ClaimVerdict.Mismatch();
-            case EXPIRED -> new ClaimVerdict.Expired();
+            case CLAIMED -> new ClaimResult.Granted();
+            case MISMATCH -> new ClaimResult.Mismatch();
+            case EXPIRED -> new ClaimResult.Expired();
             case ALREADY -> toVerdict(agreed);
-            case INVALID -> new ClaimVerdict.NoQuorum("its issue time lies in the future; correct the caller's clock");
-            case NO_ROOM -> new ClaimVerdict.NoQuorum("too many old requests are remembered; state issuedAtMs");
-            default -> new ClaimVerdict.NoQuorum("the claim was not granted");
+            case INVALID -> new ClaimResult.NoQuorum("its issue time lies in the future; correct the caller's clock");
+            case NO_ROOM -> new ClaimResult.NoQuorum("too many old requests are remembered; state issuedAtMs");
+            default -> new ClaimResult.NoQuorum("the claim was not granted");
         };
     }
 
-    private static ClaimVerdict toVerdict(CommandResult agreed) {
+    private static ClaimResult toVerdict(CommandResult agreed) {
         return switch (agreed.getClaim().getKind()) {
-            case RAN -> new ClaimVerdict.AlreadyRan(agreed.getClaim().getAnswer());
-            case UNKNOWN -> new ClaimVerdict.OutcomeUnknown(agreed.getClaim().getReason());
-            case IN_PROGRESS -> new ClaimVerdict.HeldByAnother();
-            default -> new ClaimVerdict.NoQuorum("this attempt was given back");
+            case RAN -> new ClaimResult.AlreadyRan(agreed.getClaim().getAnswer());
+            case UNKNOWN -> new ClaimResult.OutcomeUnknown(agreed.getClaim().getReason());
+            case IN_PROGRESS -> new ClaimResult.HeldByAnother();
+            default -> new ClaimResult.NoQuorum("this attempt was given back");
         };
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
@@ -177,7 +177,7 @@
     }
 
     private void release(Admission.Ticket ticket, long tookNanos) {
-        decide(() -> admission.finished(ticket, tookNanos, clock.nowNanos()));
+        decide(() -> admission.onFinished(ticket, tookNanos, clock.nowNanos()));
     }
 
     private void overloaded(Admission.Decision.Refuse refused) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.bramblerack.daemon.peer.Workers;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.request.ClaimVerdict;
+import org.bramblerack.request.ClaimResult;
 import org.bramblerack.request.LeafOutcome;
 import org.bramblerack.request.LeafRequest;
 import org.bramblerack.request.OnceOnlyAction;
@@ -62,23 +62,23 @@
     /** How the claim is asked for. */
     @FunctionalInterface
     interface Claiming {
-        void claim(Consumer<ClaimVerdict> decided);
+        void claim(Consumer<ClaimResult> decided);
     }
 
     void start(Claiming claiming) {
         handle(nowNanos -> request.start(), claiming);
     }
 
-    private void claimed(ClaimVerdict verdict) {
-        handle(nowNanos -> request.claimDecided(verdict, nowNanos));
+    private void claimed(ClaimResult verdict) {
+        handle(nowNanos -> request.onClaimResult(verdict, nowNanos));
     }
 
     private void ended(LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
-            handle(nowNanos -> request.reply(replied.reply(), nowNanos));
+            handle(nowNanos -> request.onReply(replied.reply(), nowNanos));
         } else if (outcome instanceof LeafOutcome.Failed failed) {
             metrics.count(failed.failure());
-            handle(nowNanos -> request.failure(failed.failure(), nowNanos));
+            handle(nowNanos -> request.onFailure(failed.failure(), nowNanos));
         }
     }
 
@@ -148,7 +148,7 @@
                 .setAnswer(answer)
                 .setReason(reason)
                 .build();
-        recorder.record(outcome, () -> workers.run(() -> handle(nowNanos -> request.recorded())));
+        recorder.record(outcome, () -> workers.run(() -> handle(nowNanos -> request.onRecorded())));
     }
 
     /** One event of the request at a time. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
@@ -52,7 +52,7 @@
     }
 
     void callerGone() {
-        handle(query::callerGone);
+        handle(query::onCallerGone);
     }
 
     private void wake() {
@@ -61,10 +61,10 @@
 
     private void ended(int attempt, LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
-            handle(nowNanos -> query.reply(attempt, replied.reply(), nowNanos));
+            handle(nowNanos -> query.onReply(attempt, replied.reply(), nowNanos));
         } else if (outcome instanceof LeafOutcome.Failed failed) {
             metrics.count(failed.failure());
-            handle(nowNanos -> query.failure(attempt, failed.failure(), nowNanos));
+            handle(nowNanos -> query.onFailure(attempt, failed.failure(), nowNanos));
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -12,7 +12,7 @@
 import org.bramblerack.daemon.leaf.CallHeaders;
 import org.bramblerack.daemon.leaf.LeafAnswer;
 import org.bramblerack.daemon.leaf.LeafRequest;
-import org.bramblerack.request.admission.RetrySpread;
+import org.bramblerack.request.admission.RetryAfterJitter;
 import org.bramblerack.request.routed.CallerCheck;
 import org.bramblerack.request.routed.MergedAnswer;
 import org.bramblerack.request.routed.RefusalReason;
@@ -161,14 +161,17 @@
                     case TOO_FEW_SHARDS, OUTCOME_UNKNOWN ->
                         new Told(BAD_GATEWAY, RETRY_BUSY, "no whole answer came; it may have run");
                 };
-        refuse(told.status(), retryAfter.orElseGet(() -> RetrySpread.spread(told.retryFrom(), random)), told.text());
+        refuse(
+                told.status(),
+                retryAfter.orElseGet(() -> RetryAfterJitter.spread(told.retryFrom(), random)),
+                told.text());
     }
 
     /** Tells the caller that the request was not looked at and when to come back. */
     void notReady() {
         refuse(
                 UNAVAILABLE,
-                RetrySpread.spread(RETRY_STARTED, random),
+                RetryAfterJitter.spread(RETRY_STARTED, random),
                 "this host does not know its configuration yet; come back soon");
     }
 
@@ -176,7 +179,7 @@
     void stopping() {
         refuse(
                 UNAVAILABLE,
-                RetrySpread.spread(RETRY_ELSEWHERE, random),
+                RetryAfterJitter.spread(RETRY_ELSEWHERE, random),
                 "this host is stopping; another one takes the request");
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestRoom.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestRoom.java
@@ -9,9 +9,9 @@
 import java.util.random.RandomGenerator;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.leaf.LagSamplingPeriod;
-import org.bramblerack.request.admission.Applicant;
-import org.bramblerack.request.admission.EntryRoom;
-import org.bramblerack.request.admission.RoomAction;
+import org.bramblerack.request.admission.AdmissionAction;
+import org.bramblerack.request.admission.EntryAdmission;
+import org.bramblerack.request.admission.QueuedRequest;
 import org.bramblerack.version.routing.RateLimit;
 import org.bramblerack.version.routing.Team;
 
@@ -26,7 +26,7 @@
     private final GatewayMetrics metrics;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final EntryRoom<Held> room;
+    private final EntryAdmission<Held> room;
     private boolean looking;
 
     RequestRoom(FleetView view, GatewayMetrics metrics, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
@@ -34,7 +34,7 @@
         this.metrics = metrics;
         this.clock = clock;
         this.loop = loop;
-        this.room = new EntryRoom<>(clock.nowNanos(), CALL_COST, random);
+        this.room = new EntryAdmission<>(clock.nowNanos(), CALL_COST, random);
     }
 
     /** A request, told from others by identity. */
@@ -58,7 +58,7 @@
     Optional<Runnable> admit(RoutedCall call, int calls, Runnable start, Consumer<Duration> refuse) {
         long nowNanos = clock.nowNanos();
         Held held = new Held(start, refuse);
-        Applicant<Held> applicant = new Applicant<>(
+        QueuedRequest<Held> applicant = new QueuedRequest<>(
                 held,
                 call.priority(),
                 call.caller().teamName(),
@@ -72,8 +72,8 @@
                 view.latency(call.route()).medianNanos(),
                 call.times().goalNanos(),
                 call.times().deadlineNanos());
-        carryOut(room.arrive(applicant, lagNanos(nowNanos), nowNanos));
-        if (!room.isWaiting(held)) {
+        carryOut(room.offer(applicant, lagNanos(nowNanos), nowNanos));
+        if (!room.isQueued(held)) {
             return Optional.empty();
         }
         metrics.heldForRoom();
@@ -83,9 +83,9 @@
 
     /** Returns how the room stands, for a log line. */
     String describe() {
-        return "waiting=" + room.waitingCount() + " lagMillis="
+        return "waiting=" + room.queuedCount() + " lagMillis="
                 + TimeUnit.NANOSECONDS.toMillis(lagNanos(clock.nowNanos())) + " turnMillis="
-                + room.turnTime().toMillis();
+                + room.startInterval().toMillis();
     }
 
     private void lookLater() {
@@ -98,8 +98,8 @@
     private void look() {
         looking = false;
         long nowNanos = clock.nowNanos();
-        carryOut(room.look(lagNanos(nowNanos), nowNanos));
-        if (room.waitingCount() > 0) {
+        carryOut(room.drain(lagNanos(nowNanos), nowNanos));
+        if (room.queuedCount() > 0) {
             lookLater();
         }
     }
@@ -108,11 +108,11 @@
         return view.routing().eventLoopLag().lagNanos(nowNanos);
     }
 
-    private static void carryOut(List<RoomAction<Held>> actions) {
-        for (RoomAction<Held> action : actions) {
-            if (action instanceof RoomAction.Start<Held> start) {
+    private static void carryOut(List<AdmissionAction<Held>> actions) {
+        for (AdmissionAction<Held> action : actions) {
+            if (action instanceof AdmissionAction.Start<Held> start) {
                 start.request().start.run();
-            } else if (action instanceof RoomAction.Refuse<Held> refuse) {
+            } else if (action instanceof AdmissionAction.Refuse<Held> refuse) {
                 refuse.request().refuse.accept(refuse.retryAfter());
             }
         }
