--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -32,7 +32,7 @@
  * An entry host: what it knows of the leafs and of other hosts, by the product's own classes. Its own work takes no
  * time. Not safe for use by several threads.
  */
-final class ModelHost implements StagePlanner.Ways {
+final class ModelHost implements StagePlanner.Topology {
     /** Before any window that a run can see: the budget of a first window is not what is modelled. */
     private static final long LONG_AGO_NANOS = -Duration.ofHours(1).toNanos();
 
@@ -146,7 +146,7 @@
     }
 
     LatencyTracker latency(Load load) {
-        return latencies.computeIfAbsent(load.name(), unused -> HedgeTiming.newLatency(load.goal()));
+        return latencies.computeIfAbsent(load.name(), unused -> HedgeTiming.newLatencyTracker(load.goal()));
     }
 
     ImmutableList<StageAttempt> plan(long expectedNanos, long hedgeDelayNanos) {
@@ -192,7 +192,7 @@
     }
 
     @Override
-    public boolean isBehind(String host) {
+    public boolean isLagging(String host) {
         return false;
     }
 
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public long silenceNanos(String host, long hedgeDelayNanos) {
-        return StageTiming.silenceNanos(hedgeDelayNanos, 2 * wayNanosTo(host(host)));
+    public long silenceTimeoutNanos(String host, long hedgeDelayNanos) {
+        return StageTiming.silenceTimeoutNanos(hedgeDelayNanos, 2 * wayNanosTo(host(host)));
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
@@ -84,7 +84,7 @@
                 pools,
                 planned,
                 bounds,
-                inPieces ? ScatterQuery.Delivery.IN_PIECES : ScatterQuery.Delivery.AT_ONCE,
+                inPieces ? ScatterQuery.Delivery.INCREMENTAL : ScatterQuery.Delivery.SINGLE,
                 host.context(),
                 host.random());
     }
@@ -97,7 +97,7 @@
         RequestBounds bounds = new RequestBounds(
                 nowNanos + load.goal().toNanos() - run.fleet().sealLead().toNanos(),
                 arrival.deadlineNanos() - run.fleet().toCaller().toNanos(),
-                HedgeTiming.delayNanos(latency, load.goal()),
+                HedgeTiming.hedgeDelayNanos(latency, load.goal()),
                 latency.medianNanos(),
                 load.attempts());
         ImmutableList.Builder<Integer> all = ImmutableList.builder();
@@ -120,26 +120,26 @@
 
     private void carryOut(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.Ask ask) {
+            if (action instanceof RoutedAction.CallLeaf ask) {
                 send(ask.attempt());
-            } else if (action instanceof RoutedAction.GiveUp giveUp) {
+            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
                 giveUp(giveUp.attempt());
-            } else if (action instanceof RoutedAction.AskStage ask) {
+            } else if (action instanceof RoutedAction.CallStage ask) {
                 askStage(ask.stage());
-            } else if (action instanceof RoutedAction.GiveUpStage giveUp) {
+            } else if (action instanceof RoutedAction.AbandonStage giveUp) {
                 giveUpStage(giveUp.stage());
             } else if (action instanceof RoutedAction.Wake wake) {
                 long number = ++wakeNumber;
                 run.time().at(wake.atNanos(), () -> wake(number));
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 wakeNumber++;
-                sink.progress(query.askedTwice());
+                sink.progress(query.hedgedShards());
                 sink.deliver(deliver.answer());
-            } else if (action instanceof RoutedAction.DeliverPiece deliver) {
-                sink.piece(deliver.piece());
+            } else if (action instanceof RoutedAction.DeliverPartial deliver) {
+                sink.piece(deliver.partial());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 wakeNumber++;
-                sink.progress(query.askedTwice());
+                sink.progress(query.hedgedShards());
                 sink.refuse(refuse.reason());
             } else if (action instanceof RoutedAction.Count count) {
                 run.tally().count(count.counter());
@@ -150,7 +150,7 @@
     private void wake(long number) {
         if (number == wakeNumber && !query.isOver()) {
             carryOut(query.wake(run.time().nowNanos()));
-            sink.progress(query.askedTwice());
+            sink.progress(query.hedgedShards());
         }
     }
 
@@ -180,11 +180,11 @@
         if (outcome == LeafOutcome.SUCCEEDED) {
             latency.record(nowNanos - evidence.sentNanos(), nowNanos);
             PartReply part = new PartReply(run.newSignature(), NO_RECORDS);
-            carryOut(query.answered(attempt, part, nowNanos));
+            carryOut(query.onAnswer(attempt, part, nowNanos));
         } else {
             run.tally().leafRefused();
             run.checks().notRun(arrival, attempt.leaf().service());
-            carryOut(query.failed(attempt, outcome, nowNanos));
+            carryOut(query.onFailure(attempt, outcome, nowNanos));
         }
     }
 
@@ -202,7 +202,7 @@
         long nowNanos = run.time().nowNanos();
         host.stageBegins(stage.host());
         RequestBounds theirs = new RequestBounds(
-                nowNanos + wayNanos + StageTiming.goalNanos(bounds.goalNanos() - nowNanos, 2 * wayNanos),
+                nowNanos + wayNanos + StageTiming.remoteGoalNanos(bounds.goalNanos() - nowNanos, 2 * wayNanos),
                 bounds.deadlineNanos() - wayNanos,
                 bounds.hedgeDelayNanos(),
                 other.latency(arrival.load()).medianNanos(),
@@ -246,27 +246,27 @@
         public void deliver(MergedAnswer answer) {
             back(now -> {
                 host.stageEnds(stage.host());
-                carryOut(query.stageAnswered(stage, reply(answer), now));
+                carryOut(query.onStageReply(stage, reply(answer), now));
             });
         }
 
         @Override
         public void piece(MergedAnswer piece) {
-            back(now -> carryOut(query.stageBrought(stage, reply(piece), now)));
+            back(now -> carryOut(query.onStagePartial(stage, reply(piece), now)));
         }
 
         @Override
         public void progress(List<Integer> askedTwice) {
             ImmutableList<Integer> translated =
                     askedTwice.stream().map(shards::get).collect(ImmutableList.toImmutableList());
-            back(now -> query.stageProgress(stage, translated));
+            back(now -> query.onStageProgress(stage, translated));
         }
 
         @Override
         public void refuse(RefusalReason reason) {
             back(now -> {
                 host.stageEnds(stage.host());
-                carryOut(query.stageFailed(stage, reason.isNotRun(), now));
+                carryOut(query.onStageFailure(stage, reason.isNotRun(), now));
             });
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/Attempt.java
@@ -81,7 +81,7 @@
     }
 
     /** Notes that this attempt, which was given up, had not been sent. */
-    public void neverSent() {
+    public void markNeverSent() {
         if (state == State.GIVEN_UP) {
             state = State.NOT_SENT;
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerCheck.java
@@ -26,11 +26,11 @@
         record Known(CallerIdentity caller) implements Result {}
 
         /** The caller needs a key and showed none that is known. */
-        record Unknown(Shown shown) implements Result {}
+        record Unknown(PresentedCredentials presented) implements Result {}
     }
 
     /** What a caller shows. */
-    public enum Shown {
+    public enum PresentedCredentials {
         /** Nothing. */
         NOTHING,
         /** Credentials of another kind. */
@@ -50,26 +50,28 @@
         if (teams.isEmpty()) {
             return new Result.Known(CallerIdentity.ANONYMOUS);
         }
-        Shown shown = shown(credentials);
-        Optional<Team> team = shown == Shown.A_KEY ? key(credentials.get(0)).flatMap(teams::withKey) : Optional.empty();
+        PresentedCredentials shown = shown(credentials);
+        Optional<Team> team = shown == PresentedCredentials.A_KEY
+                ? key(credentials.get(0)).flatMap(teams::withKey)
+                : Optional.empty();
         return team.isPresent() || route.isPublic()
                 ? new Result.Known(new CallerIdentity(team))
                 : new Result.Unknown(shown);
     }
 
     /** Returns true if credentials may hold the key of a team, whether it is known or not. */
-    public static boolean mayHoldKey(String credentials) {
+    public static boolean mayContainKey(String credentials) {
         return key(credentials).isPresent();
     }
 
-    private static Shown shown(List<String> credentials) {
+    private static PresentedCredentials shown(List<String> credentials) {
         if (credentials.isEmpty()) {
-            return Shown.NOTHING;
+            return PresentedCredentials.NOTHING;
         }
         if (credentials.size() > 1) {
-            return Shown.SEVERAL;
+            return PresentedCredentials.SEVERAL;
         }
-        return mayHoldKey(credentials.get(0)) ? Shown.A_KEY : Shown.NO_KEY;
+        return mayContainKey(credentials.get(0)) ? PresentedCredentials.A_KEY : PresentedCredentials.NO_KEY;
     }
 
     private static Optional<KeyDigest> key(String credentials) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerWaits.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerElapsedTime.java
@@ -12,7 +12,7 @@
  * are told apart wrongly, so what follows from it may change the order of requests only. Not safe for use by several
  * threads.
  */
-public final class CallerWaits {
+public final class CallerElapsedTime {
     private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
     /**
      * So many tries tell more than the time-out, which may be far longer than anyone waits: even after an outage, one
@@ -28,7 +28,7 @@
      * @param waitNanos how long the caller goes on waiting
      * @param timeoutNanos the time-out of the route
      */
-    public long usedNanos(String route, long waitNanos, long timeoutNanos, long nowNanos) {
+    public long elapsedNanos(String route, long waitNanos, long timeoutNanos, long nowNanos) {
         Longest longest = longestByRoute.computeIfAbsent(route, unused -> new Longest());
         longest.note(Math.min(waitNanos, timeoutNanos), nowNanos);
         return Math.max(0, longest.nanos(timeoutNanos) - waitNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the regions that may serve a request on a route. */
-    public HomeRegions homes(Route route) {
+    public HomeRegions homeRegions(Route route) {
         return team.map(known -> known.homeRegions().intersect(route.homeRegions()))
                 .orElse(route.homeRegions());
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/LateStarts.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/DeferredStarts.java
@@ -14,7 +14,7 @@
  *
  * @param <T> what stands for a request
  */
-public final class LateStarts<T> {
+public final class DeferredStarts<T> {
     private final PriorityQueue<Held<T>> held = new PriorityQueue<>(
             Comparator.<Held<T>>comparingLong(Held::startByNanos).thenComparingLong(Held::number));
     private long lastNumber;
@@ -26,12 +26,12 @@
      *
      * @param startByNanos when it starts at the latest
      */
-    public void hold(T request, long startByNanos) {
+    public void defer(T request, long startByNanos) {
         held.add(new Held<>(request, startByNanos, ++lastNumber));
     }
 
     /** Forgets a request whose caller went away. */
-    public void forget(T request) {
+    public void remove(T request) {
         held.removeIf(each -> each.request().equals(request));
     }
 
@@ -39,7 +39,7 @@
      * Returns the requests that start now, which are not held any more: those whose limit has come, and one more if the
      * leafs have room.
      */
-    public ImmutableList<T> due(boolean room, long nowNanos) {
+    public ImmutableList<T> pollDue(boolean room, long nowNanos) {
         ImmutableList.Builder<T> due = ImmutableList.builder();
         boolean roomLeft = room;
         while (!held.isEmpty() && (roomLeft || nowNanos - held.peek().startByNanos() >= 0)) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/SealLead.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/FinalizeLead.java
@@ -15,7 +15,7 @@
  * falls behind is noticed within a few tenths of a second, and one that has caught up is trusted again after some
  * seconds. State is constant. Not safe for use by several threads.
  */
-public final class SealLead {
+public final class FinalizeLead {
     /** The way to the caller: one to three milliseconds at the users' sites, and as much again for a slow link. */
     private static final long WAY_NANOS = Duration.ofMillis(7).toNanos();
     /** A few times as long as the spells in which a host is behind while others of its zone start or queries burst. */
@@ -44,7 +44,7 @@
     private long decayedAtNanos;
 
     /** Creates the lead of a host that has just started. */
-    public SealLead(long nowNanos) {
+    public FinalizeLead(long nowNanos) {
         decayedAtNanos = nowNanos;
         weights[FIRST_OVERRUN_MILLIS] = FIRST_WEIGHT_SECONDS;
     }
@@ -81,13 +81,13 @@
      *
      * @param periodNanos how often it is meant to run
      */
-    public void taskRan(long lateNanos, long periodNanos, long nowNanos) {
+    public void recordTaskDelay(long lateNanos, long periodNanos, long nowNanos) {
         Duration stoodFor = Duration.ofNanos(periodNanos + lateNanos);
         note(lateNanos, stoodFor.toNanos() / (double) Duration.ofSeconds(1).toNanos(), nowNanos);
     }
 
     /** Notes when an answer was written that was to be sealed at a given time and was not waiting for more shards. */
-    public void sealed(long plannedNanos, long writtenNanos) {
+    public void recordFinalized(long plannedNanos, long writtenNanos) {
         note(writtenNanos - plannedNanos, ANSWER_WEIGHT_SECONDS, writtenNanos);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ForwardedRequest.java
@@ -43,7 +43,7 @@
     }
 
     /** Takes a whole answer of a leaf that counts as success. */
-    public List<RoutedAction> answered(Attempt attempt) {
+    public List<RoutedAction> onAnswer(Attempt attempt) {
         List<RoutedAction> actions = new ArrayList<>(1);
         if (over) {
             attempt.finish(Attempt.State.ANSWERED);
@@ -61,7 +61,7 @@
      *
      * @param hasAnswer true if the leaf answered with a failure of its own that may be passed on to the caller
      */
-    public List<RoutedAction> failed(Attempt attempt, LeafOutcome outcome, boolean hasAnswer, long nowNanos) {
+    public List<RoutedAction> onFailure(Attempt attempt, LeafOutcome outcome, boolean hasAnswer, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (hasAnswer) {
             lastFailure = Optional.of(attempt);
@@ -101,7 +101,7 @@
      * Returns why the request is refused, by what came of the attempts that were given up with it: if none of them had
      * been sent, it has not run.
      */
-    public RefusalReason truthful(RefusalReason decided) {
+    public RefusalReason finalRefusalReason(RefusalReason decided) {
         return request.isNotRun() ? request.notRunReason() : decided;
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HedgeTiming.java
@@ -42,7 +42,7 @@
      *
      * @param goal the goal of the route, or zero if it has none
      */
-    public static LatencyTracker newLatency(Duration goal) {
+    public static LatencyTracker newLatencyTracker(Duration goal) {
         Duration guess = goal.isZero() ? EXPECTED_WITHOUT_GOAL : goal;
         return new LatencyTracker(LATE_QUANTILE_PERCENT, guess.dividedBy(GOAL_PARTS));
     }
@@ -67,7 +67,7 @@
      *
      * @param goal the goal of the route, or zero if it has none
      */
-    public static long delayNanos(LatencyTracker latency, Duration goal) {
+    public static long hedgeDelayNanos(LatencyTracker latency, Duration goal) {
         long lateNanos = latency.lateNanos();
         if (goal.isZero()) {
             return lateNanos;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/HolderChoice.java
@@ -17,7 +17,7 @@
     private HolderChoice() {}
 
     /** What this host knows of the hosts that are named for a shard. */
-    public interface Known {
+    public interface HostView {
         /** Returns true for this host. */
         boolean isSelf(String host);
 
@@ -25,7 +25,7 @@
         boolean isUsable(String host);
 
         /** Returns true if a host said of late that it is behind with its work. */
-        boolean isBehind(String host);
+        boolean isLagging(String host);
     }
 
     /**
@@ -36,7 +36,7 @@
      * @param passedOver those that whoever asks this host passed over, which counts only if this host is named as well:
      *     another has no way of its own to the leaf
      */
-    public static Optional<String> choose(List<String> named, Collection<String> passedOver, Known known) {
+    public static Optional<String> choose(List<String> named, Collection<String> passedOver, HostView known) {
         // Plain loops: this is decided for each shard of a query.
         boolean standsIn = isSelfAmong(named, known);
         Optional<String> behind = Optional.empty();
@@ -45,7 +45,7 @@
                 return Optional.empty();
             }
             boolean usable = known.isUsable(host) && !(standsIn && passedOver.contains(host));
-            if (usable && !known.isBehind(host)) {
+            if (usable && !known.isLagging(host)) {
                 return Optional.of(host);
             }
             if (usable && behind.isEmpty()) {
@@ -55,7 +55,7 @@
         return behind;
     }
 
-    private static boolean isSelfAmong(List<String> named, Known known) {
+    private static boolean isSelfAmong(List<String> named, HostView known) {
         for (String host : named) {
             if (known.isSelf(host)) {
                 return true;
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/QueryStages.java
@@ -29,7 +29,7 @@
     void ask(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             actions.add(new RoutedAction.Count(AttemptCounter.STAGE));
-            actions.add(new RoutedAction.AskStage(stage));
+            actions.add(new RoutedAction.CallStage(stage));
         }
     }
 
@@ -55,7 +55,7 @@
     void giveUp(List<RoutedAction> actions) {
         for (StageAttempt stage : stages) {
             if (!stage.isOver()) {
-                actions.add(new RoutedAction.GiveUpStage(stage));
+                actions.add(new RoutedAction.AbandonStage(stage));
             }
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/RoutedAction.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/RoutedAction.java
@@ -3,19 +3,19 @@
 /** What a routed request wants done. The actions of one call are carried out in order. */
 public sealed interface RoutedAction {
     /** Send the request to the attempt's leaf. */
-    record Ask(Attempt attempt) implements RoutedAction {}
+    record CallLeaf(Attempt attempt) implements RoutedAction {}
 
     /** Stop an attempt of which nothing is expected any more, so that its leaf can drop it. */
-    record GiveUp(Attempt attempt) implements RoutedAction {}
+    record AbandonAttempt(Attempt attempt) implements RoutedAction {}
 
     /** Have another host ask some shards. */
-    record AskStage(StageAttempt stage) implements RoutedAction {}
+    record CallStage(StageAttempt stage) implements RoutedAction {}
 
     /** Leave the host of a stage alone for a while: it is silent for too long. */
     record SuspectStage(StageAttempt stage) implements RoutedAction {}
 
     /** Tell the host of a stage that nobody waits for its reply any more. */
-    record GiveUpStage(StageAttempt stage) implements RoutedAction {}
+    record AbandonStage(StageAttempt stage) implements RoutedAction {}
 
     /** Call {@code wake} at the given time, unless the request is over by then. */
     record Wake(long atNanos) implements RoutedAction {}
@@ -24,7 +24,7 @@
     record DeliverMerged(MergedAnswer answer) implements RoutedAction {}
 
     /** Send on the parts that came since the last piece; more may follow. */
-    record DeliverPiece(MergedAnswer piece) implements RoutedAction {}
+    record DeliverPartial(MergedAnswer partial) implements RoutedAction {}
 
     /** Answer the caller with what the attempt's leaf answered. */
     record DeliverAnswer(Attempt attempt) implements RoutedAction {}
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -63,12 +63,12 @@
     /** What becomes of the parts that are in at the goal. */
     public enum Delivery {
         /** They are the answer, if they are enough; one answer is given. */
-        AT_ONCE,
+        SINGLE,
         /**
          * They are sent on, however few, and later ones follow as they come, since only the host that asked for them
          * knows whether they are enough.
          */
-        IN_PIECES
+        INCREMENTAL
     }
 
     /**
@@ -114,7 +114,7 @@
     }
 
     /** Takes a whole, signed answer of a leaf. */
-    public List<RoutedAction> answered(Attempt attempt, PartReply reply, long nowNanos) {
+    public List<RoutedAction> onAnswer(Attempt attempt, PartReply reply, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         ShardRequest shard = attempt.shard();
         if (over || shard.isFinished()) {
@@ -123,7 +123,7 @@
             return actions;
         }
         if (!parts.add(shards.numberOf(shard), reply)) {
-            return failed(attempt, LeafOutcome.GARBLED, nowNanos);
+            return onFailure(attempt, LeafOutcome.GARBLED, nowNanos);
         }
         shard.answered(attempt, actions);
         if (breaks.isInDoubt()) {
@@ -137,7 +137,7 @@
     }
 
     /** Takes the failure of an attempt. */
-    public List<RoutedAction> failed(Attempt attempt, LeafOutcome outcome, long nowNanos) {
+    public List<RoutedAction> onFailure(Attempt attempt, LeafOutcome outcome, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         closeAtGoal(nowNanos, actions);
         if (outcome.showsSurvival()) {
@@ -151,7 +151,7 @@
     }
 
     /** Takes what another host gathered so far; more may follow. */
-    public List<RoutedAction> stageBrought(StageAttempt stage, StageReply piece, long nowNanos) {
+    public List<RoutedAction> onStagePartial(StageAttempt stage, StageReply piece, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (over || stage.isOver()) {
             actions.add(new RoutedAction.Count(AttemptCounter.LATE_ANSWER));
@@ -164,7 +164,7 @@
     }
 
     /** Takes the last of what another host gathered; shards that it lacks are asked here if attempts are left. */
-    public List<RoutedAction> stageAnswered(StageAttempt stage, StageReply reply, long nowNanos) {
+    public List<RoutedAction> onStageReply(StageAttempt stage, StageReply reply, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>(2);
         if (over || stage.isOver()) {
             actions.add(new RoutedAction.Count(AttemptCounter.LATE_ANSWER));
@@ -186,7 +186,7 @@
     }
 
     /** Notes that another host is at work and has asked second leafs of some shards. */
-    public void stageProgress(StageAttempt stage, List<Integer> askedTwice) {
+    public void onStageProgress(StageAttempt stage, List<Integer> askedTwice) {
         stage.hear();
         for (int shard : askedTwice) {
             if (stage.shards().contains(shard)) {
@@ -200,7 +200,7 @@
      *
      * @param notRun true if it has certainly not sent the request to any leaf
      */
-    public List<RoutedAction> stageFailed(StageAttempt stage, boolean notRun, long nowNanos) {
+    public List<RoutedAction> onStageFailure(StageAttempt stage, boolean notRun, long nowNanos) {
         List<RoutedAction> actions = new ArrayList<>();
         if (over || stage.isOver()) {
             return actions;
@@ -227,7 +227,7 @@
             if (stage.shards().stream().noneMatch(shard -> shards.get(shard).isAwaitedElsewhere())) {
                 // A host that begins late would ask second and third leafs of shards that are asked here by now.
                 stage.finish();
-                actions.add(new RoutedAction.GiveUpStage(stage));
+                actions.add(new RoutedAction.AbandonStage(stage));
             }
         }
         Optional<AttemptCounter> denial = hedgeDenial(lagNanos, nowNanos);
@@ -255,17 +255,17 @@
     }
 
     /** Returns true if its answer lacks shards because its goal had come, and was enough by then. */
-    public boolean wasSealedByClock() {
+    public boolean wasFinalizedAtGoal() {
         return sealedByClock;
     }
 
     /** Returns true while shards of it are left to other hosts. */
-    public boolean waitsForOthers() {
+    public boolean isAwaitingStages() {
         return !over && stages.areAwaited();
     }
 
     /** Returns the numbers of the shards at which more than one leaf was asked. */
-    public ImmutableList<Integer> askedTwice() {
+    public ImmutableList<Integer> hedgedShards() {
         return shards.askedTwice();
     }
 
@@ -273,22 +273,22 @@
      * Returns why the query is refused, by what came of the attempts that were given up with it: if none of them had
      * been sent, it has not run.
      */
-    public RefusalReason truthful(RefusalReason decided) {
+    public RefusalReason finalRefusalReason(RefusalReason decided) {
         return shards.areNotRun() ? shards.refusalReason(false) : decided;
     }
 
     /** Notes that a call to another host, which was given up, had not been sent. */
-    public void neverSent(StageAttempt stage) {
+    public void onStageNeverSent(StageAttempt stage) {
         stage.shards().forEach(shard -> shards.get(shard).neverSentElsewhere());
     }
 
     /** Returns how many shards are not in. */
-    public int shardsMissing() {
+    public int missingShardCount() {
         return shards.count() - parts.count();
     }
 
     /** Returns true while no shard is in. */
-    public boolean hasNothing() {
+    public boolean noShardAnswered() {
         return parts.count() == 0;
     }
 
@@ -333,7 +333,7 @@
         boolean deadlineCome = nowNanos - bounds.deadlineNanos() >= 0;
         boolean goalCome = nowNanos - bounds.goalNanos() >= 0;
         boolean finished = nothingToWaitFor || deadlineCome;
-        if (isEnough() && (finished || (goalCome && delivery == Delivery.AT_ONCE))) {
+        if (isEnough() && (finished || (goalCome && delivery == Delivery.SINGLE))) {
             ImmutableList<Integer> notSent = shards.notSent();
             sealedByClock = goalCome && !lookedAfterGoal && !nothingToWaitFor;
             end(actions);
@@ -347,15 +347,15 @@
             return true;
         }
         lookedAfterGoal |= goalCome;
-        if (goalCome && delivery == Delivery.IN_PIECES && parts.hasNew()) {
-            actions.add(new RoutedAction.DeliverPiece(parts.takeNew(ImmutableList.of())));
+        if (goalCome && delivery == Delivery.INCREMENTAL && parts.hasNew()) {
+            actions.add(new RoutedAction.DeliverPartial(parts.takeNew(ImmutableList.of())));
         }
         return false;
     }
 
     /** After its goal a query for another host makes no attempts: that host may make them itself, and counts them. */
     private void closeAtGoal(long nowNanos, List<RoutedAction> actions) {
-        if (delivery == Delivery.IN_PIECES && nowNanos - bounds.goalNanos() >= 0) {
+        if (delivery == Delivery.INCREMENTAL && nowNanos - bounds.goalNanos() >= 0) {
             for (ShardRequest shard : shards) {
                 shard.close(actions);
             }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ShardRequest.java
@@ -201,7 +201,7 @@
         for (Attempt attempt : attempts) {
             if (!attempt.isFinished()) {
                 attempt.finish(Attempt.State.GIVEN_UP);
-                actions.add(new RoutedAction.GiveUp(attempt));
+                actions.add(new RoutedAction.AbandonAttempt(attempt));
             }
         }
     }
@@ -433,7 +433,7 @@
     private void ask(Leaf leaf, Attempt.Purpose purpose, long nowNanos, List<RoutedAction> actions) {
         Attempt attempt = new Attempt(this, leaf, purpose, nowNanos, overdueNanos(leaf, nowNanos));
         attempts.add(attempt);
-        actions.add(new RoutedAction.Ask(attempt));
+        actions.add(new RoutedAction.CallLeaf(attempt));
     }
 
     /** Returns when an attempt that is made now will be overdue at its leaf. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -26,11 +26,11 @@
     /** A region is as good as the best if it has this part of the best one's shards. */
     private static final double GOOD_COVER = 0.8;
 
-    private final Ways ways;
+    private final Topology ways;
     private final RandomGenerator random;
 
     /** Creates a planner. */
-    public StagePlanner(Ways ways, RandomGenerator random) {
+    public StagePlanner(Topology ways, RandomGenerator random) {
         this.ways = ways;
         this.random = random;
     }
@@ -44,7 +44,7 @@
     }
 
     /** What is known of the ways to leafs and to other hosts. */
-    public interface Ways {
+    public interface Topology {
         /** Returns the region of a host if it is another one than this host's. */
         Optional<String> otherRegionOf(String host);
 
@@ -58,7 +58,7 @@
         String regionOf(Leaf leaf);
 
         /** Returns true if a host said of late that it is behind with its work. */
-        boolean isBehind(String host);
+        boolean isLagging(String host);
 
         /** Returns the host of a region that can be asked and has the least under way for this one. */
         Optional<String> leastBusyIn(String region);
@@ -68,7 +68,7 @@
          *
          * @param hedgeDelayNanos after which it asks second leafs, and says so
          */
-        long silenceNanos(String host, long hedgeDelayNanos);
+        long silenceTimeoutNanos(String host, long hedgeDelayNanos);
     }
 
     /**
@@ -136,13 +136,13 @@
     /** Draws one of the holders of a region that are not behind, or of all if all are. */
     private String relayOf(List<String> holders) {
         List<String> withRoom =
-                holders.stream().filter(holder -> !ways.isBehind(holder)).toList();
+                holders.stream().filter(holder -> !ways.isLagging(holder)).toList();
         List<String> drawn = withRoom.isEmpty() ? holders : withRoom;
         return drawn.get(random.nextInt(drawn.size()));
     }
 
     private StageAttempt stage(String host, ImmutableList<Integer> shards, long hedgeDelayNanos) {
-        return new StageAttempt(host, shards, ways.silenceNanos(host, hedgeDelayNanos));
+        return new StageAttempt(host, shards, ways.silenceTimeoutNanos(host, hedgeDelayNanos));
     }
 
     private List<Integer> farShards(
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageTiming.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StageTiming.java
@@ -18,7 +18,7 @@
      *
      * @param leftNanos the time until the goal here
      */
-    public static long goalNanos(long leftNanos, long roundTripNanos) {
+    public static long remoteGoalNanos(long leftNanos, long roundTripNanos) {
         return leftNanos - roundTripNanos - GOAL_SLACK_NANOS;
     }
 
@@ -29,7 +29,7 @@
      * @param givenNanos the time until the goal that it was told
      * @param overrunNanos what it takes beyond the moment at which it means to send what is in
      */
-    public static long goalNanosHere(long givenNanos, long overrunNanos) {
+    public static long localGoalNanos(long givenNanos, long overrunNanos) {
         return givenNanos - Math.max(0, overrunNanos - GOAL_SLACK_NANOS);
     }
 
@@ -38,7 +38,7 @@
      *
      * @param hedgeDelayNanos after which it asks second leafs, and says so
      */
-    public static long silenceNanos(long hedgeDelayNanos, long roundTripNanos) {
+    public static long silenceTimeoutNanos(long hedgeDelayNanos, long roundTripNanos) {
         return hedgeDelayNanos + (long) (SILENT_ROUND_TRIPS * roundTripNanos) + SILENCE_SLACK_NANOS;
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -51,11 +51,11 @@
     @Test
     void aCallerThatShowsNothingOrCredentialsTwiceIsNotKnown() {
         assertThat(CallerCheck.check(TEAMS, CLOSED, List.of()))
-                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.Shown.NOTHING));
+                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.NOTHING));
         assertThat(CallerCheck.check(TEAMS, CLOSED, List.of("Token key-1", "Token key-3")))
-                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.Shown.SEVERAL));
+                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.SEVERAL));
         assertThat(CallerCheck.check(TEAMS, CLOSED, List.of("Basic eA==")))
-                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.Shown.NO_KEY));
+                .isEqualTo(new CallerCheck.Result.Unknown(CallerCheck.PresentedCredentials.NO_KEY));
     }
 
     @Test
@@ -86,10 +86,11 @@
     void theHomesOfTeamAndRouteBindTogetherAndTheRankOfTheTeamGoesFirst() {
         CallerIdentity caller = new CallerIdentity(Optional.of(new Team(
                 "a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, HomeRegions.of(List.of("r2", "r3")))));
-        assertThat(caller.homes(CLOSED)).isEqualTo(HomeRegions.of(List.of("r2")));
-        assertThat(caller.homes(route(false, HomeRegions.of(List.of("r1")))).allowsNone())
+        assertThat(caller.homeRegions(CLOSED)).isEqualTo(HomeRegions.of(List.of("r2")));
+        assertThat(caller.homeRegions(route(false, HomeRegions.of(List.of("r1"))))
+                        .allowsNone())
                 .isTrue();
-        assertThat(caller.homes(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
+        assertThat(caller.homeRegions(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
         assertThat(caller.priority(CLOSED)).isEqualTo(0);
         assertThat(new CallerIdentity(Optional.of(TEAM)).priority(CLOSED)).isEqualTo(7);
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerWaitsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerElapsedTimeTest.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-final class CallerWaitsTest {
+final class CallerElapsedTimeTest {
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final long TIMEOUT = 3 * SECOND;
 
-    private final CallerWaits waits = new CallerWaits();
+    private final CallerElapsedTime waits = new CallerElapsedTime();
 
     @Test
     void atFirstTheTimeOutIsTakenForTheWaitOfAFirstTry() {
@@ -47,11 +47,11 @@
         for (int call = 0; call < 20; call++) {
             used(SECOND, call);
         }
-        assertThat(waits.usedNanos("other", TIMEOUT, TIMEOUT, 20)).isEqualTo(0);
-        assertThat(waits.usedNanos("other", SECOND, TIMEOUT, 21)).isEqualTo(2 * SECOND);
+        assertThat(waits.elapsedNanos("other", TIMEOUT, TIMEOUT, 20)).isEqualTo(0);
+        assertThat(waits.elapsedNanos("other", SECOND, TIMEOUT, 21)).isEqualTo(2 * SECOND);
     }
 
     private long used(long waitNanos, long nowNanos) {
-        return waits.usedNanos("route", waitNanos, TIMEOUT, nowNanos);
+        return waits.elapsedNanos("route", waitNanos, TIMEOUT, nowNanos);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/BreakProbeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/DisconnectProbeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Calls of one query that break on many shards in one moment, by a request that ends leafs or by lost connections. */
-final class BreakProbeTest {
+final class DisconnectProbeTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final int SHARDS = 20;
 
@@ -81,7 +81,7 @@
                 world.pools(),
                 ImmutableList.of(),
                 RoutedWorld.bounds(2),
-                ScatterQuery.Delivery.AT_ONCE,
+                ScatterQuery.Delivery.SINGLE,
                 RoutingContext.plain(),
                 RoutedWorld.random());
         world.carryOut(query.start(0), 0);
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/SealLeadTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/FinalizeLeadTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What callers get of the answers that a host seals at their goal, by how far behind the host is. */
-final class SealLeadTest {
+final class FinalizeLeadTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final Duration GOAL = Duration.ofMillis(89);
     private static final long PERIOD_NANOS = 20 * MILLI;
@@ -16,7 +16,7 @@
     private static final long WAY_NANOS = 3 * MILLI;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final SealLead lead = new SealLead(0);
+    private final FinalizeLead lead = new FinalizeLead(0);
     private final TwiceTheMean twiceTheMean = new TwiceTheMean();
     private long nowNanos;
     private int answers;
@@ -36,7 +36,7 @@
     void aHostThatWritesLateEachTimeCoversThat() {
         for (int answer = 0; answer < 30; answer++) {
             nowNanos += Duration.ofMillis(300).toNanos();
-            lead.sealed(nowNanos - 6 * MILLI, nowNanos);
+            lead.recordFinalized(nowNanos - 6 * MILLI, nowNanos);
         }
         assertThat(lead.overrunNanos(GOAL)).isAtLeast(6 * MILLI);
         assertThat(lead.overrunNanos(GOAL)).isAtMost(8 * MILLI);
@@ -63,7 +63,7 @@
     void oneLateTimerAmongManyChangesNothing() {
         play(Duration.ofSeconds(10), this::calm);
         long before = lead.nanos(GOAL);
-        lead.taskRan(40 * MILLI, PERIOD_NANOS, nowNanos);
+        lead.recordTaskDelay(40 * MILLI, PERIOD_NANOS, nowNanos);
         assertThat(lead.nanos(GOAL)).isEqualTo(before);
     }
 
@@ -115,7 +115,7 @@
         while (nowNanos < untilNanos) {
             long lateNanos = overruns.getAsLong();
             nowNanos += PERIOD_NANOS + lateNanos;
-            lead.taskRan(lateNanos, PERIOD_NANOS, nowNanos);
+            lead.recordTaskDelay(lateNanos, PERIOD_NANOS, nowNanos);
             if (nowNanos >= nextAnswerNanos) {
                 nextAnswerNanos = nowNanos + Duration.ofMillis(100).toNanos();
                 answer(overruns.getAsLong());
@@ -129,7 +129,7 @@
         worth += worthOf(lead.nanos(GOAL), overrunNanos);
         worthOfTwiceTheMean += worthOf(twiceTheMean.nanos(), overrunNanos);
         worthOfMost += worthOf(7 * MILLI + 30 * MILLI, overrunNanos);
-        lead.sealed(nowNanos - overrunNanos, nowNanos);
+        lead.recordFinalized(nowNanos - overrunNanos, nowNanos);
         twiceTheMean.sealed(overrunNanos);
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/PassedOnQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedQueryTest.java
@@ -14,7 +14,7 @@
  * A query on behalf of another host, one of whose shards is left to a third host, as a holder does whose own leaf is
  * dark or slow.
  */
-final class PassedOnQueryTest {
+final class ForwardedQueryTest {
     private static final long MILLI = Duration.ofMillis(1).toNanos();
     private static final long AFTER_GOAL = RoutedWorld.GOAL_NANOS + MILLI;
 
@@ -32,48 +32,48 @@
                 world.pools(),
                 ImmutableList.of(stage),
                 RoutedWorld.bounds(2),
-                ScatterQuery.Delivery.IN_PIECES,
+                ScatterQuery.Delivery.INCREMENTAL,
                 RoutingContext.plain(),
                 RoutedWorld.random());
         world.carryOut(query.start(0), 0);
         assertThat(world.asked).hasSize(1);
-        world.carryOut(query.answered(world.asked.get(0), part("sig0"), MILLI), MILLI);
+        world.carryOut(query.onAnswer(world.asked.get(0), part("sig0"), MILLI), MILLI);
     }
 
     @Test
     void whatTheThirdHostBringsAfterTheGoalIsSentOn() {
         world.carryOut(query.wake(RoutedWorld.GOAL_NANOS), RoutedWorld.GOAL_NANOS);
         assertThat(world.pieces.get(0).signatures()).containsExactly("sig0");
-        world.carryOut(query.stageAnswered(stage, reply("sig1"), AFTER_GOAL), AFTER_GOAL);
+        world.carryOut(query.onStageReply(stage, reply("sig1"), AFTER_GOAL), AFTER_GOAL);
         assertThat(world.delivered.get(0).signatures()).containsExactly("sig1");
     }
 
     @Test
     void afterTheGoalAThirdHostThatFailsIsNotReplaced() {
         world.carryOut(query.wake(RoutedWorld.GOAL_NANOS), RoutedWorld.GOAL_NANOS);
-        world.carryOut(query.stageFailed(stage, false, AFTER_GOAL), AFTER_GOAL);
+        world.carryOut(query.onStageFailure(stage, false, AFTER_GOAL), AFTER_GOAL);
         assertThat(world.asked).hasSize(1);
         assertThat(query.isOver()).isTrue();
     }
 
     @Test
     void beforeTheGoalItIs() {
-        world.carryOut(query.stageFailed(stage, true, 2 * MILLI), 2 * MILLI);
+        world.carryOut(query.onStageFailure(stage, true, 2 * MILLI), 2 * MILLI);
         assertThat(world.asked).hasSize(2);
     }
 
     /** The host that asked must know: it would make a third attempt otherwise. */
     @Test
     void aShardThatTheThirdHostAskedTwiceIsToldAsSuch() {
-        assertThat(query.askedTwice()).isEmpty();
-        query.stageProgress(stage, ImmutableList.of(1));
-        assertThat(query.askedTwice()).containsExactly(1);
+        assertThat(query.hedgedShards()).isEmpty();
+        query.onStageProgress(stage, ImmutableList.of(1));
+        assertThat(query.hedgedShards()).containsExactly(1);
     }
 
     @Test
     void aShardThatWasAskedThereAndHereIsToldAsAskedTwice() {
-        world.carryOut(query.stageFailed(stage, false, 2 * MILLI), 2 * MILLI);
-        assertThat(query.askedTwice()).containsExactly(1);
+        world.carryOut(query.onStageFailure(stage, false, 2 * MILLI), 2 * MILLI);
+        assertThat(query.hedgedShards()).containsExactly(1);
     }
 
     private static PartReply part(String signature) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedRequestTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ForwardedRequestTest.java
@@ -14,7 +14,7 @@
     void theAnswerOfTheLeafIsPassedOn() {
         ForwardedRequest request = request(2, true, 0);
         world.end(world.asked.get(0), LeafOutcome.SUCCEEDED, 1);
-        world.carryOut(request.answered(world.asked.get(0)), 1);
+        world.carryOut(request.onAnswer(world.asked.get(0)), 1);
         assertThat(world.passed).containsExactly(world.asked.get(0));
     }
 
@@ -104,6 +104,6 @@
     private void fail(ForwardedRequest request, int attempt, LeafOutcome outcome, boolean hasAnswer) {
         Attempt failed = world.asked.get(attempt);
         world.end(failed, outcome, 1);
-        world.carryOut(request.failed(failed, outcome, hasAnswer, 1), 1);
+        world.carryOut(request.onFailure(failed, outcome, hasAnswer, 1), 1);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/HolderChoiceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/HolderChoiceTest.java
@@ -61,7 +61,7 @@
     }
 
     private Optional<String> chosenBy(String self, String... passedOver) {
-        return HolderChoice.choose(NAMED, ImmutableList.copyOf(passedOver), new HolderChoice.Known() {
+        return HolderChoice.choose(NAMED, ImmutableList.copyOf(passedOver), new HolderChoice.HostView() {
             @Override
             public boolean isSelf(String host) {
                 return host.equals(self);
@@ -73,7 +73,7 @@
             }
 
             @Override
-            public boolean isBehind(String host) {
+            public boolean isLagging(String host) {
                 return behind.contains(host);
             }
         });
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafHedgeTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafHedgeTest.java
@@ -114,7 +114,7 @@
                 world.pools(),
                 ImmutableList.of(),
                 new RequestBounds(goalNanos, RoutedWorld.DEADLINE_NANOS, ROUTE_DELAY, EXPECTED, 2),
-                ScatterQuery.Delivery.AT_ONCE,
+                ScatterQuery.Delivery.SINGLE,
                 RoutingContext.plain(),
                 RoutedWorld.random());
         world.carryOut(query.start(0), 0);
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/PlacesScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -24,7 +24,7 @@
  * while queries and single requests are under way: no attempt leaves the homes of its request or goes to a drained
  * zone.
  */
-final class PlacesScheduleTest {
+final class LeafLocationScheduleTest {
     private static final int SCHEDULES = 10_000;
     private static final int SHARDS = 4;
     private static final int STEPS = 30;
@@ -129,8 +129,8 @@
                     Attempt ended = open.remove(random.nextInt(open.size()));
                     carryOut(
                             random.nextInt(3) == 0
-                                    ? request.answered(ended)
-                                    : request.failed(ended, failure(), random.nextBoolean(), nowNanos));
+                                    ? request.onAnswer(ended)
+                                    : request.onFailure(ended, failure(), random.nextBoolean(), nowNanos));
                 }
             }
         }
@@ -144,7 +144,7 @@
                     permitted(),
                     stages,
                     RoutedWorld.bounds(2),
-                    random.nextBoolean() ? ScatterQuery.Delivery.AT_ONCE : ScatterQuery.Delivery.IN_PIECES,
+                    random.nextBoolean() ? ScatterQuery.Delivery.SINGLE : ScatterQuery.Delivery.INCREMENTAL,
                     RoutingContext.plain(),
                     random.split());
             carryOut(query.start(nowNanos));
@@ -157,15 +157,15 @@
         private List<RoutedAction> happening(ScatterQuery query, ImmutableList<StageAttempt> stages) {
             int kind = random.nextInt(4);
             if (kind == 0 && !stages.isEmpty()) {
-                return query.stageFailed(stages.get(0), random.nextBoolean(), nowNanos);
+                return query.onStageFailure(stages.get(0), random.nextBoolean(), nowNanos);
             }
             if (kind == 1 || open.isEmpty()) {
                 return query.wake(nowNanos);
             }
             Attempt ended = open.remove(random.nextInt(open.size()));
             return kind == 2
-                    ? query.answered(ended, RoutedWorld.part("sig" + asked + "-" + nowNanos, 1), nowNanos)
-                    : query.failed(ended, failure(), nowNanos);
+                    ? query.onAnswer(ended, RoutedWorld.part("sig" + asked + "-" + nowNanos, 1), nowNanos)
+                    : query.onFailure(ended, failure(), nowNanos);
         }
 
         private LeafOutcome failure() {
@@ -194,7 +194,7 @@
 
         private void carryOut(List<RoutedAction> actions) {
             for (RoutedAction action : actions) {
-                if (action instanceof RoutedAction.Ask ask) {
+                if (action instanceof RoutedAction.CallLeaf ask) {
                     asked++;
                     Leaf leaf = ask.attempt().leaf();
                     open.add(ask.attempt());
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/NotSentTest.java
@@ -22,25 +22,25 @@
 
     @Test
     void anAttemptAfterOneThatWasNotSentIsNotPaidFor() {
-        ScatterQuery query = query(0, ScatterQuery.Delivery.AT_ONCE, ImmutableList.of());
+        ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
         fail(query, LeafOutcome.UNREACHABLE);
         assertThat(world.asked).hasSize(3);
     }
 
     @Test
     void anAttemptAfterARefusalOfALeafIs() {
-        ScatterQuery query = query(0, ScatterQuery.Delivery.AT_ONCE, ImmutableList.of());
+        ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
         fail(query, LeafOutcome.REFUSED_BUSY);
         assertThat(world.asked).hasSize(2);
     }
 
     @Test
     void shardsThatAHolderSentToNoLeafAreAskedHereAtNoCost() {
-        ScatterQuery query = query(0, ScatterQuery.Delivery.AT_ONCE, ImmutableList.of(stage));
+        ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of(stage));
         assertThat(world.asked).hasSize(1);
         StageReply reply =
                 new StageReply(ImmutableList.of(), ImmutableList.of(), ImmutableList.of(1), ByteString.EMPTY);
-        world.carryOut(query.stageAnswered(stage, reply, MILLI), MILLI);
+        world.carryOut(query.onStageReply(stage, reply, MILLI), MILLI);
         assertThat(world.asked).hasSize(2);
         assertThat(world.asked.get(1).leaf().service()).isEqualTo("s1");
     }
@@ -48,11 +48,11 @@
     @Test
     void aHolderTellsWhichShardsItSentToNoLeaf() {
         world.service("empty", 0, 10);
-        ScatterQuery query = query(10, ScatterQuery.Delivery.IN_PIECES, ImmutableList.of());
+        ScatterQuery query = query(10, ScatterQuery.Delivery.INCREMENTAL, ImmutableList.of());
         for (int number = 0; number < 2; number++) {
             Attempt attempt = world.asked.get(number);
             world.end(attempt, LeafOutcome.SUCCEEDED, MILLI);
-            world.carryOut(query.answered(attempt, RoutedWorld.part("sig" + number, 1), MILLI), MILLI);
+            world.carryOut(query.onAnswer(attempt, RoutedWorld.part("sig" + number, 1), MILLI), MILLI);
         }
         assertThat(world.delivered.get(0).notSent()).containsExactly(0);
         assertThat(world.delivered.get(0).shards()).containsExactly(1, 2);
@@ -61,24 +61,24 @@
     /** All connections to the leafs are in use until the caller's time is up. */
     @Test
     void aQueryWhoseCallsWereGivenUpBeforeTheyWereSentHasNotRun() {
-        ScatterQuery query = query(0, ScatterQuery.Delivery.AT_ONCE, ImmutableList.of());
+        ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of());
         world.carryOut(query.wake(RoutedWorld.DEADLINE_NANOS), RoutedWorld.DEADLINE_NANOS);
         assertThat(world.refused).containsExactly(RefusalReason.TIME_UP);
-        world.givenUp.get(0).neverSent();
-        assertThat(query.truthful(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
-        world.givenUp.get(1).neverSent();
-        assertThat(query.truthful(RefusalReason.TIME_UP).isNotRun()).isTrue();
+        world.givenUp.get(0).markNeverSent();
+        assertThat(query.finalRefusalReason(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
+        world.givenUp.get(1).markNeverSent();
+        assertThat(query.finalRefusalReason(RefusalReason.TIME_UP).isNotRun()).isTrue();
     }
 
     /** The link to the other host did not come up before the caller's time was up. */
     @Test
     void aQueryWhoseCallToAnotherHostWasNeverSentHasNotRun() {
-        ScatterQuery query = query(0, ScatterQuery.Delivery.AT_ONCE, ImmutableList.of(stage));
+        ScatterQuery query = query(0, ScatterQuery.Delivery.SINGLE, ImmutableList.of(stage));
         world.carryOut(query.wake(RoutedWorld.DEADLINE_NANOS), RoutedWorld.DEADLINE_NANOS);
-        world.givenUp.forEach(Attempt::neverSent);
-        assertThat(query.truthful(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
-        query.neverSent(stage);
-        assertThat(query.truthful(RefusalReason.TIME_UP).isNotRun()).isTrue();
+        world.givenUp.forEach(Attempt::markNeverSent);
+        assertThat(query.finalRefusalReason(RefusalReason.TIME_UP)).isEqualTo(RefusalReason.TIME_UP);
+        query.onStageNeverSent(stage);
+        assertThat(query.finalRefusalReason(RefusalReason.TIME_UP).isNotRun()).isTrue();
     }
 
     private ScatterQuery query(int budget, ScatterQuery.Delivery delivery, ImmutableList<StageAttempt> stages) {
@@ -99,6 +99,6 @@
     private void fail(ScatterQuery query, LeafOutcome outcome) {
         Attempt attempt = world.asked.get(0);
         world.end(attempt, outcome, MILLI);
-        world.carryOut(query.failed(attempt, outcome, MILLI), MILLI);
+        world.carryOut(query.onFailure(attempt, outcome, MILLI), MILLI);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/RoutedWorld.java
@@ -65,17 +65,17 @@
     /** Notes actions as a sender would carry them out. */
     void carryOut(List<RoutedAction> actions, long nowNanos) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.Ask ask) {
+            if (action instanceof RoutedAction.CallLeaf ask) {
                 asked.add(ask.attempt());
                 calls.put(ask.attempt(), ask.attempt().leaf().begin(EXPECTED_NANOS, nowNanos));
-            } else if (action instanceof RoutedAction.AskStage ask) {
+            } else if (action instanceof RoutedAction.CallStage ask) {
                 stages.add(ask.stage());
-            } else if (action instanceof RoutedAction.GiveUp giveUp) {
+            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
                 givenUp.add(giveUp.attempt());
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 delivered.add(deliver.answer());
-            } else if (action instanceof RoutedAction.DeliverPiece deliver) {
-                pieces.add(deliver.piece());
+            } else if (action instanceof RoutedAction.DeliverPartial deliver) {
+                pieces.add(deliver.partial());
             } else if (action instanceof RoutedAction.DeliverAnswer deliver) {
                 passed.add(deliver.attempt());
             } else if (action instanceof RoutedAction.Refuse refuse) {
@@ -137,12 +137,12 @@
     /** Brings the answer of one attempt. */
     void answer(ScatterQuery query, Attempt attempt, String signature, long nowNanos) {
         end(attempt, LeafOutcome.SUCCEEDED, nowNanos);
-        carryOut(query.answered(attempt, part(signature, 1), nowNanos), nowNanos);
+        carryOut(query.onAnswer(attempt, part(signature, 1), nowNanos), nowNanos);
     }
 
     /** Ends one attempt without an answer. */
     void fail(ScatterQuery query, Attempt attempt, LeafOutcome outcome, long nowNanos) {
         end(attempt, outcome, nowNanos);
-        carryOut(query.failed(attempt, outcome, nowNanos), nowNanos);
+        carryOut(query.onFailure(attempt, outcome, nowNanos), nowNanos);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/ScatterQueryTest.java
@@ -98,7 +98,7 @@
             world.answer(waited, world.asked.get(shard), "sig" + shard, RoutedWorld.GOAL_NANOS + shard * MILLI);
         }
         assertThat(world.delivered).hasSize(1);
-        assertThat(waited.wasSealedByClock()).isFalse();
+        assertThat(waited.wasFinalizedAtGoal()).isFalse();
     }
 
     @Test
@@ -110,7 +110,7 @@
         }
         world.carryOut(query.wake(RoutedWorld.GOAL_NANOS + 20 * MILLI), RoutedWorld.GOAL_NANOS + 20 * MILLI);
         assertThat(world.delivered).hasSize(1);
-        assertThat(query.wasSealedByClock()).isTrue();
+        assertThat(query.wasFinalizedAtGoal()).isTrue();
     }
 
     @Test
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void aSignatureThatCameTwiceIsNoPart() {
+    void aPartWithADuplicateSignatureIsDropped() {
         ScatterQuery query = query(2, 1, 0, 0.5);
         world.carryOut(query.start(0), 0);
         world.answer(query, world.asked.get(0), "same", MILLI);
@@ -264,7 +264,7 @@
                 world.pools(),
                 ImmutableList.of(),
                 RoutedWorld.bounds(2),
-                ScatterQuery.Delivery.AT_ONCE,
+                ScatterQuery.Delivery.SINGLE,
                 RoutingContext.plain(),
                 RoutedWorld.random());
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -129,7 +129,7 @@
         return pool;
     }
 
-    private final class KnownWays implements StagePlanner.Ways {
+    private final class KnownWays implements StagePlanner.Topology {
         @Override
         public Optional<String> otherRegionOf(String host) {
             return Optional.ofNullable(regionsOfHosts.get(host));
@@ -151,12 +151,12 @@
         }
 
         @Override
-        public boolean isBehind(String host) {
+        public boolean isLagging(String host) {
             return behind.contains(host);
         }
 
         @Override
-        public long silenceNanos(String host, long hedgeDelayNanos) {
+        public long silenceTimeoutNanos(String host, long hedgeDelayNanos) {
             return 2 * hedgeDelayNanos;
         }
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagedQueryTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagedQueryTest.java
@@ -24,7 +24,7 @@
         assertThat(world.asked).hasSize(2);
         world.answer(query, world.asked.get(0), "sig0", MILLI);
         world.answer(query, world.asked.get(1), "sig1", MILLI);
-        world.carryOut(query.stageAnswered(world.stages.get(0), reply(2, 3), 2 * MILLI), 2 * MILLI);
+        world.carryOut(query.onStageReply(world.stages.get(0), reply(2, 3), 2 * MILLI), 2 * MILLI);
         assertThat(world.delivered).hasSize(1);
         assertThat(world.delivered.get(0).signatures()).containsExactly("sig0", "sig1", "stage2", "stage3");
     }
@@ -39,7 +39,7 @@
         assertThat(world.asked).hasSize(4);
         world.answer(query, world.asked.get(2), "own2", STAGE_SILENCE + MILLI);
         world.carryOut(
-                query.stageAnswered(world.stages.get(0), reply(2, 3), STAGE_SILENCE + 2 * MILLI),
+                query.onStageReply(world.stages.get(0), reply(2, 3), STAGE_SILENCE + 2 * MILLI),
                 STAGE_SILENCE + 2 * MILLI);
         world.answer(query, world.asked.get(3), "own3", STAGE_SILENCE + 3 * MILLI);
         assertThat(world.delivered).hasSize(1);
@@ -55,7 +55,7 @@
         assertThat(world.asked).hasSize(2);
         assertThat(world.answers()).isEqualTo(0);
         world.carryOut(
-                query.stageAnswered(world.stages.get(0), reply(2, 3), STAGE_SILENCE + MILLI), STAGE_SILENCE + MILLI);
+                query.onStageReply(world.stages.get(0), reply(2, 3), STAGE_SILENCE + MILLI), STAGE_SILENCE + MILLI);
         world.answer(query, world.asked.get(0), "sig0", STAGE_SILENCE + MILLI);
         world.answer(query, world.asked.get(1), "sig1", STAGE_SILENCE + MILLI);
         assertThat(world.delivered.get(0).missing()).isEqualTo(0);
@@ -65,7 +65,7 @@
     void aHostThatSaysItIsAtWorkIsNotBackedUp() {
         ScatterQuery query = staged(4, 10, 2, 3);
         world.carryOut(query.start(0), 0);
-        query.stageProgress(world.stages.get(0), List.of(2));
+        query.onStageProgress(world.stages.get(0), List.of(2));
         world.carryOut(query.wake(STAGE_SILENCE), STAGE_SILENCE);
         assertThat(world.asked.stream()
                         .filter(attempt -> attempt.purpose() == Attempt.Purpose.RETRY)
@@ -77,8 +77,8 @@
     void aFailedHostLeavesOnlyTheAttemptsThatItDidNotUse() {
         ScatterQuery query = staged(4, 10, 2, 3);
         world.carryOut(query.start(0), 0);
-        query.stageProgress(world.stages.get(0), List.of(2));
-        world.carryOut(query.stageFailed(world.stages.get(0), false, MILLI), MILLI);
+        query.onStageProgress(world.stages.get(0), List.of(2));
+        world.carryOut(query.onStageFailure(world.stages.get(0), false, MILLI), MILLI);
         assertThat(world.asked).hasSize(3);
         assertThat(world.asked.get(2).leaf().service()).isEqualTo("s3");
     }
@@ -87,7 +87,7 @@
     void aHostThatDidNotRunItLeavesEveryAttempt() {
         ScatterQuery query = staged(4, 0, 2, 3);
         world.carryOut(query.start(0), 0);
-        world.carryOut(query.stageFailed(world.stages.get(0), true, MILLI), MILLI);
+        world.carryOut(query.onStageFailure(world.stages.get(0), true, MILLI), MILLI);
         assertThat(world.asked).hasSize(4);
     }
 
@@ -96,7 +96,7 @@
         ScatterQuery query = staged(4, 0, 2, 3);
         world.carryOut(query.start(0), 0);
         List<RoutedAction> actions = query.callerGone();
-        assertThat(actions).contains(new RoutedAction.GiveUpStage(world.stages.get(0)));
+        assertThat(actions).contains(new RoutedAction.AbandonStage(world.stages.get(0)));
     }
 
     @Test
@@ -104,9 +104,9 @@
         ScatterQuery query = staged(4, 0, 2, 3);
         world.carryOut(query.start(0), 0);
         world.answerAll(query, MILLI);
-        query.stageProgress(world.stages.get(0), List.of());
+        query.onStageProgress(world.stages.get(0), List.of());
         List<RoutedAction> actions = query.wake(RoutedWorld.GOAL_NANOS);
-        assertThat(actions).contains(new RoutedAction.GiveUpStage(world.stages.get(0)));
+        assertThat(actions).contains(new RoutedAction.AbandonStage(world.stages.get(0)));
         world.carryOut(actions, RoutedWorld.GOAL_NANOS);
         assertThat(world.delivered).hasSize(1);
     }
@@ -121,7 +121,7 @@
                 world.pools(),
                 ImmutableList.of(),
                 RoutedWorld.bounds(1),
-                ScatterQuery.Delivery.IN_PIECES,
+                ScatterQuery.Delivery.INCREMENTAL,
                 RoutingContext.plain(),
                 RoutedWorld.random());
         world.carryOut(query.start(0), 0);
@@ -147,7 +147,7 @@
                 world.pools(),
                 ImmutableList.of(),
                 RoutedWorld.bounds(2),
-                ScatterQuery.Delivery.IN_PIECES,
+                ScatterQuery.Delivery.INCREMENTAL,
                 RoutingContext.plain(),
                 RoutedWorld.random());
         world.carryOut(query.start(0), 0);
@@ -165,7 +165,7 @@
         world.carryOut(query.start(0), 0);
         world.answer(query, world.asked.get(0), "sig0", MILLI);
         long goal = RoutedWorld.GOAL_NANOS;
-        world.carryOut(query.stageBrought(world.stages.get(0), reply(1), goal), goal);
+        world.carryOut(query.onStagePartial(world.stages.get(0), reply(1), goal), goal);
         assertThat(world.delivered.get(0).signatures()).containsExactly("sig0", "stage1");
     }
 
@@ -173,8 +173,8 @@
     void piecesOfAStageAreMergedWithItsLastReply() {
         ScatterQuery query = staged(4, 0, 1, 2, 3);
         world.carryOut(query.start(0), 0);
-        world.carryOut(query.stageBrought(world.stages.get(0), reply(1), MILLI), MILLI);
-        world.carryOut(query.stageAnswered(world.stages.get(0), reply(2, 3), 2 * MILLI), 2 * MILLI);
+        world.carryOut(query.onStagePartial(world.stages.get(0), reply(1), MILLI), MILLI);
+        world.carryOut(query.onStageReply(world.stages.get(0), reply(2, 3), 2 * MILLI), 2 * MILLI);
         world.answer(query, world.asked.get(0), "sig0", 3 * MILLI);
         assertThat(world.asked).hasSize(1);
         assertThat(world.delivered.get(0).missing()).isEqualTo(0);
@@ -188,7 +188,7 @@
         List<RoutedAction> actions = query.wake(STAGE_SILENCE);
         int suspected = actions.indexOf(new RoutedAction.SuspectStage(world.stages.get(0)));
         assertThat(suspected).isAtLeast(0);
-        assertThat(actions.subList(0, suspected).stream().filter(action -> action instanceof RoutedAction.Ask))
+        assertThat(actions.subList(0, suspected).stream().filter(action -> action instanceof RoutedAction.CallLeaf))
                 .isEmpty();
     }
 
@@ -202,7 +202,7 @@
                 world.pools(),
                 ImmutableList.of(stage),
                 RoutedWorld.bounds(2),
-                ScatterQuery.Delivery.AT_ONCE,
+                ScatterQuery.Delivery.SINGLE,
                 RoutingContext.plain(),
                 RoutedWorld.random());
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -250,7 +250,7 @@
 
     /** Returns what is known of how long the calls of a route take. */
     public LatencyTracker latency(Route route) {
-        return latencies.computeIfAbsent(route.name(), unused -> HedgeTiming.newLatency(route.goal()));
+        return latencies.computeIfAbsent(route.name(), unused -> HedgeTiming.newLatencyTracker(route.goal()));
     }
 
     /**
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
@@ -54,17 +54,17 @@
     public void answered(Attempt attempt, LeafAnswer answer) {
         answers.put(attempt, answer);
         if (answer.outcome() == LeafOutcome.SUCCEEDED) {
-            carryOut(request.answered(attempt));
+            carryOut(request.onAnswer(attempt));
         } else {
             metrics.count(answer.outcome());
-            carryOut(request.failed(attempt, answer.outcome(), answer.mayBePassedOn(), clock.nowNanos()));
+            carryOut(request.onFailure(attempt, answer.outcome(), answer.mayBePassedOn(), clock.nowNanos()));
         }
     }
 
     @Override
     public void failed(Attempt attempt, LeafOutcome outcome) {
         metrics.count(outcome);
-        carryOut(request.failed(attempt, outcome, false, clock.nowNanos()));
+        carryOut(request.onFailure(attempt, outcome, false, clock.nowNanos()));
     }
 
     private void explain(LeafAnswer answer) {
@@ -84,10 +84,10 @@
 
     private void carryOut(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.Ask ask) {
+            if (action instanceof RoutedAction.CallLeaf ask) {
                 metrics.asked(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
-            } else if (action instanceof RoutedAction.GiveUp giveUp) {
+            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
                 sender.giveUp(giveUp.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
                 sender.wakeAt(wake.atNanos(), () -> carryOut(request.wake(clock.nowNanos())));
@@ -100,7 +100,7 @@
                 }
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 sender.finish();
-                RefusalReason reason = request.truthful(refuse.reason());
+                RefusalReason reason = request.finalRefusalReason(refuse.reason());
                 caller.refuse(reason);
                 explain(reason.name());
             } else if (action instanceof RoutedAction.Count count) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -23,10 +23,10 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.request.routed.CallerCheck;
+import org.bramblerack.request.routed.CallerElapsedTime;
 import org.bramblerack.request.routed.CallerIdentity;
-import org.bramblerack.request.routed.CallerWaits;
+import org.bramblerack.request.routed.FinalizeLead;
 import org.bramblerack.request.routed.RefusalReason;
-import org.bramblerack.request.routed.SealLead;
 import org.bramblerack.version.routing.Route;
 import org.bramblerack.version.routing.RouteTarget;
 import org.bramblerack.version.routing.Teams;
@@ -65,10 +65,10 @@
     private final EventLoop loop;
     private final RandomGenerator random;
     private final DecisionLog log;
-    private final SealLead sealLead;
+    private final FinalizeLead sealLead;
     private final QueryRuns runs;
     private final LateQueries lateQueries;
-    private final CallerWaits waits = new CallerWaits();
+    private final CallerElapsedTime waits = new CallerElapsedTime();
     private final StageLinks stages;
     private final StageServer stageServer;
     private final LagTimer lagTimer;
@@ -106,7 +106,7 @@
         this.clock = clock;
         this.loop = loop;
         this.random = random;
-        this.sealLead = new SealLead(clock.nowNanos());
+        this.sealLead = new FinalizeLead(clock.nowNanos());
         this.stages = new StageLinks(view, network, clock, loop, random);
         view.onHostsChanged(stages::hostsChanged);
         view.onConnectionEvent(metrics::count);
@@ -211,18 +211,19 @@
         List<String> credentials = exchange.headers().getAll(HttpHeaderNames.AUTHORIZATION);
         CallerCheck.Result check = CallerCheck.check(teams, route.get(), credentials);
         if (check instanceof CallerCheck.Result.Known known) {
-            if (!teams.isEmpty() && credentials.stream().anyMatch(CallerCheck::mayHoldKey)) {
+            if (!teams.isEmpty() && credentials.stream().anyMatch(CallerCheck::mayContainKey)) {
                 // From here on nothing can tell it to a leaf or another host.
                 exchange.headers().remove(HttpHeaderNames.AUTHORIZATION);
             }
             permit(exchange, route.get(), known.caller(), answers);
         } else if (check instanceof CallerCheck.Result.Unknown unknown) {
-            unknown(exchange, answers, unknown.shown(), newest);
+            unknown(exchange, answers, unknown.presented(), newest);
         }
     }
 
     /** Refuses a caller that is not known, once it is certain that no newer version of the configuration knows it. */
-    private void unknown(HttpExchange exchange, CallerAnswers answers, CallerCheck.Shown shown, Newest newest) {
+    private void unknown(
+            HttpExchange exchange, CallerAnswers answers, CallerCheck.PresentedCredentials shown, Newest newest) {
         if (newest == Newest.NOT_ASKED) {
             tables.confirmNewest(confirmed -> {
                 if (!exchange.isCallerGone()) {
@@ -245,7 +246,7 @@
 
     /** Asks whether the team may make one more request. */
     private void permit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
-        if (caller.homes(route).allowsNone()) {
+        if (caller.homeRegions(route).allowsNone()) {
             answers.refuse(RefusalReason.NO_LEAF_AT_HOME);
             logUnrouted(exchange, RefusalReason.NO_LEAF_AT_HOME.name(), line -> {});
             return;
@@ -255,7 +256,7 @@
                 exchange.uri(),
                 exchange.headers(),
                 exchange.body(),
-                caller.homes(route),
+                caller.homeRegions(route),
                 caller.teamName(),
                 names);
         RequestTimes times = times(exchange, route);
@@ -343,7 +344,8 @@
             StageCaller stageCaller =
                     runs.stageCaller(queryCall(exchange, call, target), target.shards(), call.times(), call.request());
             ScatterRun run = runs.scatter(call, target, stageCaller, caller);
-            run.onSealedAtGoal(writtenNanos -> sealLead.sealed(call.times().goalNanos(), writtenNanos));
+            run.onSealedAtGoal(
+                    writtenNanos -> sealLead.recordFinalized(call.times().goalNanos(), writtenNanos));
             run.onLostWhole(
                     () -> view.harm().recordNoShardAnswered(call.request().arrival(), clock.nowNanos()));
             begin(exchange, call, target, run);
@@ -357,7 +359,7 @@
     /** Starts a query, or holds it back if its answer will be late in any case and others need the leafs. */
     private void begin(HttpExchange exchange, RoutedCall call, RouteTarget.Scatter target, ScatterRun run) {
         long arrivedNanos = call.arrivedNanos();
-        long usedNanos = waits.usedNanos(
+        long usedNanos = waits.elapsedNanos(
                 call.route().name(),
                 call.times().leafDeadlineNanos() - arrivedNanos,
                 call.route().timeout().toNanos(),
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -7,7 +7,7 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.leaf.EventLoopLag;
 import org.bramblerack.process.leaf.LagSamplingPeriod;
-import org.bramblerack.request.routed.SealLead;
+import org.bramblerack.request.routed.FinalizeLead;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -16,7 +16,7 @@
  */
 final class LagTimer {
     private final EventLoopLag lag;
-    private final SealLead sealLead;
+    private final FinalizeLead sealLead;
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final LagSamplingPeriod period = new LagSamplingPeriod();
@@ -24,7 +24,7 @@
     private boolean atRest;
     private long waitedNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
 
-    LagTimer(EventLoopLag lag, SealLead sealLead, EventLoop loop, MonotonicClock clock) {
+    LagTimer(EventLoopLag lag, FinalizeLead sealLead, EventLoop loop, MonotonicClock clock) {
         this.lag = lag;
         this.sealLead = sealLead;
         this.loop = loop;
@@ -49,7 +49,7 @@
         Duration wait = period.next(nowNanos);
         atRest = wait.equals(LagSamplingPeriod.IDLE_PERIOD);
         lag.onTaskRun(nowNanos, wait);
-        sealLead.taskRan(lag.lagNanos(nowNanos), waitedNanos, nowNanos);
+        sealLead.recordTaskDelay(lag.lagNanos(nowNanos), waitedNanos, nowNanos);
         waitedNanos = wait.toNanos();
         next = loop.schedule(this::run, wait.toNanos(), TimeUnit.NANOSECONDS);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LateQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LateQueries.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 import org.bramblerack.process.MonotonicClock;
-import org.bramblerack.request.routed.LateStarts;
+import org.bramblerack.request.routed.DeferredStarts;
 import org.bramblerack.version.routing.RouteTarget;
 
 /** Starts the queries that were held back, as the leafs have room. Owned by the event loop. */
@@ -17,7 +17,7 @@
     private final FleetView view;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final LateStarts<Held> starts = new LateStarts<>();
+    private final DeferredStarts<Held> starts = new DeferredStarts<>();
     private boolean looking;
 
     LateQueries(FleetView view, MonotonicClock clock, EventLoop loop) {
@@ -36,10 +36,10 @@
      */
     Runnable startWhenRoom(ScatterRun run, RouteTarget.Scatter target, long startByNanos) {
         Held query = new Held(run, target);
-        starts.hold(query, startByNanos);
+        starts.defer(query, startByNanos);
         look();
         return () -> {
-            starts.forget(query);
+            starts.remove(query);
             run.callerGone();
         };
     }
@@ -49,7 +49,7 @@
         long nowNanos = clock.nowNanos();
         do {
             room = false;
-            for (Held query : starts.due(hasRoom(nowNanos), nowNanos)) {
+            for (Held query : starts.pollDue(hasRoom(nowNanos), nowNanos)) {
                 room = true;
                 query.run().start();
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
@@ -123,7 +123,7 @@
         if (sent != null) {
             attempt.leaf().abandon(sent.call(), clock.nowNanos());
             if (sent.ticket().giveUp()) {
-                attempt.neverSent();
+                attempt.markNeverSent();
             }
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -52,7 +52,7 @@
 
     /** Returns after how long an attempt of the route is hedged. */
     long hedgeDelayNanos(Route route) {
-        return HedgeTiming.delayNanos(view.latency(route), route.goal());
+        return HedgeTiming.hedgeDelayNanos(view.latency(route), route.goal());
     }
 
     /** Creates a run that may leave shards far away to other hosts. */
@@ -69,7 +69,7 @@
                 : ImmutableList.of();
         return run(
                 call,
-                new ScatterQuery(target, pools, stages, bounds, ScatterQuery.Delivery.AT_ONCE, view.routing(), random),
+                new ScatterQuery(target, pools, stages, bounds, ScatterQuery.Delivery.SINGLE, view.routing(), random),
                 caller,
                 sink);
     }
@@ -96,7 +96,7 @@
                         caller.query().getPassedOverList())
                 : ImmutableList.of();
         ScatterQuery query = new ScatterQuery(
-                target, pools, stages, bounds, ScatterQuery.Delivery.IN_PIECES, view.routing(), random);
+                target, pools, stages, bounds, ScatterQuery.Delivery.INCREMENTAL, view.routing(), random);
         return run(call, query, caller, sink);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
@@ -26,7 +26,7 @@
         RequestTimes times) {
     /** Returns the regions that may serve it. */
     HomeRegions homes() {
-        return caller.homes(route);
+        return caller.homeRegions(route);
     }
 
     /** Returns its rank; 0 is the highest. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -70,7 +70,7 @@
 
     void start() {
         carryOut(query.start(clock.nowNanos()));
-        if (query.waitsForOthers()) {
+        if (query.isAwaitingStages()) {
             // The host that asked would take the longer silence of a call that was passed on for a failure, and make
             // an attempt that the last host makes as well.
             onStillAtWork.run();
@@ -94,7 +94,7 @@
     }
 
     ImmutableList<Integer> askedTwice() {
-        return query.askedTwice();
+        return query.hedgedShards();
     }
 
     @Override
@@ -102,7 +102,7 @@
         Optional<String> signature = answer.signature();
         if (answer.outcome() == LeafOutcome.SUCCEEDED && signature.isPresent()) {
             PartReply part = new PartReply(signature.get(), answer.body());
-            carryOut(query.answered(attempt, part, clock.nowNanos()));
+            carryOut(query.onAnswer(attempt, part, clock.nowNanos()));
         } else {
             LeafOutcome outcome = answer.outcome() == LeafOutcome.SUCCEEDED ? LeafOutcome.FAILED : answer.outcome();
             failed(attempt, outcome);
@@ -112,14 +112,14 @@
     @Override
     public void failed(Attempt attempt, LeafOutcome outcome) {
         metrics.count(outcome);
-        carryOut(query.failed(attempt, outcome, clock.nowNanos()));
+        carryOut(query.onFailure(attempt, outcome, clock.nowNanos()));
     }
 
     /** Takes what comes of the shards that other hosts ask. */
     private final class StageEvents implements StageCaller.Taker {
         @Override
         public void progressed(StageAttempt stage, List<Integer> askedTwice) {
-            query.stageProgress(stage, askedTwice);
+            query.onStageProgress(stage, askedTwice);
             if (!query.isOver()) {
                 onStillAtWork.run();
             }
@@ -127,17 +127,17 @@
 
         @Override
         public void brought(StageAttempt stage, StageReply piece) {
-            carryOut(query.stageBrought(stage, piece, clock.nowNanos()));
+            carryOut(query.onStagePartial(stage, piece, clock.nowNanos()));
         }
 
         @Override
         public void answered(StageAttempt stage, StageReply reply) {
-            carryOut(query.stageAnswered(stage, reply, clock.nowNanos()));
+            carryOut(query.onStageReply(stage, reply, clock.nowNanos()));
         }
 
         @Override
         public void failed(StageAttempt stage, boolean notRun) {
-            carryOut(query.stageFailed(stage, notRun, clock.nowNanos()));
+            carryOut(query.onStageFailure(stage, notRun, clock.nowNanos()));
         }
     }
 
@@ -162,25 +162,25 @@
 
     /** Before the last reply: retries are made between wakes, and the host that asked must not make a third attempt. */
     private void sayWhatWasAskedTwice() {
-        if (!query.askedTwice().isEmpty()) {
+        if (!query.hedgedShards().isEmpty()) {
             onStillAtWork.run();
         }
     }
 
     private void carryOut(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.Ask ask) {
+            if (action instanceof RoutedAction.CallLeaf ask) {
                 metrics.asked(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
-            } else if (action instanceof RoutedAction.AskStage ask) {
+            } else if (action instanceof RoutedAction.CallStage ask) {
                 stages.call(ask.stage(), stageTaker);
             } else if (action instanceof RoutedAction.SuspectStage suspect) {
                 stages.suspect(suspect.stage());
-            } else if (action instanceof RoutedAction.GiveUpStage giveUp) {
+            } else if (action instanceof RoutedAction.AbandonStage giveUp) {
                 if (stages.giveUp(giveUp.stage())) {
-                    query.neverSent(giveUp.stage());
+                    query.onStageNeverSent(giveUp.stage());
                 }
-            } else if (action instanceof RoutedAction.GiveUp giveUp) {
+            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
                 sender.giveUp(giveUp.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
                 sender.wakeAt(wake.atNanos(), this::wake);
@@ -189,17 +189,17 @@
                 sayWhatWasAskedTwice();
                 explain(deliver.answer());
                 sink.deliver(deliver.answer());
-                if (query.wasSealedByClock()) {
+                if (query.wasFinalizedAtGoal()) {
                     onSealedAtGoal.accept(clock.nowNanos());
                 }
-            } else if (action instanceof RoutedAction.DeliverPiece deliver) {
-                sink.deliverPiece(deliver.piece());
+            } else if (action instanceof RoutedAction.DeliverPartial deliver) {
+                sink.deliverPiece(deliver.partial());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 sender.finish();
                 sayWhatWasAskedTwice();
-                RefusalReason reason = query.truthful(refuse.reason());
-                explain(reason.name(), query.shardsMissing());
-                if (reason == RefusalReason.TOO_FEW_SHARDS && query.hasNothing()) {
+                RefusalReason reason = query.finalRefusalReason(refuse.reason());
+                explain(reason.name(), query.missingShardCount());
+                if (reason == RefusalReason.TOO_FEW_SHARDS && query.noShardAnswered()) {
                     onLostWhole.run();
                 }
                 sink.refuse(reason);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -109,7 +109,7 @@
         }
         long nowNanos = clock.nowNanos();
         long roundTripNanos = sent.link.roundTripNanos();
-        long goalNanos = StageTiming.goalNanos(times.goalNanos() - nowNanos, roundTripNanos);
+        long goalNanos = StageTiming.remoteGoalNanos(times.goalNanos() - nowNanos, roundTripNanos);
         // Its last word, which may be that it sent nothing, is to be here when the caller is answered.
         long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - LAST_WORD_SLACK_NANOS;
         return call.toBuilder()
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -134,7 +134,7 @@
             return Optional.empty();
         }
         long nowNanos = clock.nowNanos();
-        return HolderChoice.choose(hosts, passedOver, new HolderChoice.Known() {
+        return HolderChoice.choose(hosts, passedOver, new HolderChoice.HostView() {
                     @Override
                     public boolean isSelf(String host) {
                         return view.isSelf(host);
@@ -148,7 +148,7 @@
                     }
 
                     @Override
-                    public boolean isBehind(String host) {
+                    public boolean isLagging(String host) {
                         return StageLinks.this.isBehind(link(host), nowNanos);
                     }
                 })
@@ -252,7 +252,7 @@
     }
 
     /** What the planner asks of the links. */
-    private final class KnownWays implements StagePlanner.Ways {
+    private final class KnownWays implements StagePlanner.Topology {
         private final ImmutableSet<String> passedOver;
 
         KnownWays(ImmutableSet<String> passedOver) {
@@ -278,12 +278,12 @@
         }
 
         @Override
-        public long silenceNanos(String host, long hedgeDelayNanos) {
-            return StageTiming.silenceNanos(hedgeDelayNanos, link(host).roundTripNanos);
+        public long silenceTimeoutNanos(String host, long hedgeDelayNanos) {
+            return StageTiming.silenceTimeoutNanos(hedgeDelayNanos, link(host).roundTripNanos);
         }
 
         @Override
-        public boolean isBehind(String host) {
+        public boolean isLagging(String host) {
             return StageLinks.this.isBehind(link(host), clock.nowNanos());
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -17,9 +17,9 @@
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.Permission;
 import org.bramblerack.request.routed.CallerIdentity;
+import org.bramblerack.request.routed.FinalizeLead;
 import org.bramblerack.request.routed.MergedAnswer;
 import org.bramblerack.request.routed.RefusalReason;
-import org.bramblerack.request.routed.SealLead;
 import org.bramblerack.request.routed.StageTiming;
 import org.bramblerack.version.routing.HomeRegions;
 import org.bramblerack.version.routing.RequestKind;
@@ -43,7 +43,7 @@
     private final FleetView view;
     private final QueryRuns runs;
     private final CallHeaders names;
-    private final SealLead sealLead;
+    private final FinalizeLead sealLead;
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final HeldLeafCalls leafCalls;
@@ -54,7 +54,7 @@
             FleetView view,
             QueryRuns runs,
             CallHeaders names,
-            SealLead sealLead,
+            FinalizeLead sealLead,
             MonotonicClock clock,
             EventLoop loop) {
         this.view = view;
@@ -272,7 +272,7 @@
     /** Returns how long after a call came what is in by then is sent; on a host that is behind, earlier. */
     private long goalNanos(StageCall call) {
         Duration goal = Duration.ofNanos(Math.max(0, TimeUnit.MICROSECONDS.toNanos(call.getGoalMicros())));
-        return StageTiming.goalNanosHere(goal.toNanos(), sealLead.overrunNanos(goal));
+        return StageTiming.localGoalNanos(goal.toNanos(), sealLead.overrunNanos(goal));
     }
 
     /** Turns the numbers of shards of a part into those of the whole. */
