--- a/bramblerack-core/src/main/java/org/bramblerack/process/DrainRegistry.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/DrainRegistry.java
@@ -13,7 +13,7 @@
  * back. Safe for use by many threads; nothing is called under its lock.
  */
 public final class DrainRegistry {
-    private final Map<UpstreamName, Set<String>> drainingAccordingTo = new HashMap<>();
+    private final Map<UpstreamName, Set<String>> drainingHolders = new HashMap<>();
 
     /**
      * Records what a holder says.
@@ -21,7 +21,7 @@
      * @return true if the upstream is leaving according to any holder
      */
     public synchronized boolean record(String holder, UpstreamName upstream, boolean draining) {
-        Set<String> holders = drainingAccordingTo.computeIfAbsent(upstream, unused -> new HashSet<>());
+        Set<String> holders = drainingHolders.computeIfAbsent(upstream, unused -> new HashSet<>());
         if (draining) {
             holders.add(holder);
         } else {
@@ -29,7 +29,7 @@
         }
         boolean any = !holders.isEmpty();
         if (!any) {
-            drainingAccordingTo.remove(upstream);
+            drainingHolders.remove(upstream);
         }
         return any;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
@@ -9,13 +9,13 @@
  * load. Not safe for use by several threads.
  */
 public final class EventRate {
-    private static final int PARTS = 5;
-    private static final long PART_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final int WINDOWS_A_MINUTE = (int) (Duration.ofMinutes(1).toNanos() / (PARTS * PART_NANOS));
+    private static final int BUCKETS = 5;
+    private static final long BUCKET_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int WINDOWS_PER_MINUTE = (int) (Duration.ofMinutes(1).toNanos() / (BUCKETS * BUCKET_NANOS));
 
     private final long startedNanos;
-    private final int[] counts = new int[PARTS];
-    private long currentPart;
+    private final int[] counts = new int[BUCKETS];
+    private long currentBucket;
 
     /** Creates a rate of zero. */
     public EventRate(long nowNanos) {
@@ -25,7 +25,7 @@
     /** Notes an event. */
     public void record(long nowNanos) {
         advance(nowNanos);
-        counts[index(currentPart)]++;
+        counts[index(currentBucket)]++;
     }
 
     /** Returns how many there would be in a minute at the rate of late. */
@@ -35,18 +35,18 @@
         for (int count : counts) {
             sum += count;
         }
-        return sum * WINDOWS_A_MINUTE;
+        return sum * WINDOWS_PER_MINUTE;
     }
 
     private void advance(long nowNanos) {
-        long part = Math.max(currentPart, (nowNanos - startedNanos) / PART_NANOS);
-        for (long passed = Math.max(currentPart + 1, part - PARTS + 1); passed <= part; passed++) {
-            counts[index(passed)] = 0;
+        long bucket = Math.max(currentBucket, (nowNanos - startedNanos) / BUCKET_NANOS);
+        for (long next = Math.max(currentBucket + 1, bucket - BUCKETS + 1); next <= bucket; next++) {
+            counts[index(next)] = 0;
         }
-        currentPart = part;
+        currentBucket = bucket;
     }
 
-    private static int index(long part) {
-        return (int) (part % PARTS);
+    private static int index(long bucket) {
+        return (int) (bucket % BUCKETS);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
@@ -22,16 +22,16 @@
      * The part of the budget that the hosts share out. The rest covers hosts that restart within the window, which
      * begin with a part of their share, and the moments in which hosts differ about how many they are.
      */
-    private static final double SHARED_OUT = 0.8;
+    private static final double ASSIGNED_FRACTION = 0.8;
 
     /** The part of the ratio that a host spends: the fleet counts requests in windows that a host cannot see. */
-    private static final double OWN_RATIO = 0.9;
+    private static final double HOST_PERCENT_FRACTION = 0.9;
 
     /** The part of its share that a host has in the first window after its start: it may have spent it just before. */
-    private static final double FIRST_SHARE = 0.3;
+    private static final double FIRST_WINDOW_FRACTION = 0.3;
 
     /** The part of a held shard's slack that may go to the hosts that do not hold it. */
-    private static final double BESIDE_HOLDERS = 0.5;
+    private static final double NON_HOLDER_FRACTION = 0.5;
 
     /** Refuses a negative budget. */
     public FleetBudget {
@@ -47,7 +47,7 @@
 
     /** Gives a host its part of the slack of a service that it connects to itself. */
     public void assignShare(WindowedBudget budget, Rank turn) {
-        budget.setReserve(turn.partOf(sharedOut()), turn.partOf(sharedOut() * FIRST_SHARE));
+        budget.setReserve(turn.shareOf(assignedSlack()), turn.shareOf(assignedSlack() * FIRST_WINDOW_FRACTION));
     }
 
     /**
@@ -55,8 +55,8 @@
      * fails, as far as half of the slack reaches.
      */
     public void assignNonHolderShare(WindowedBudget budget, Rank turn) {
-        double beside = besideHolders(turn.hosts());
-        budget.setReserve(turn.partOf(beside), turn.partOf(beside * FIRST_SHARE));
+        double slackOfNonHolders = nonHolderSlack(turn.hosts());
+        budget.setReserve(turn.shareOf(slackOfNonHolders), turn.shareOf(slackOfNonHolders * FIRST_WINDOW_FRACTION));
     }
 
     /**
@@ -65,21 +65,21 @@
      * @param zones in how many zones the shard has a holder
      */
     public void assignHolderShare(WindowedBudget budget, int hosts, int zones) {
-        double part = (sharedOut() - besideHolders(hosts)) / Math.max(1, zones);
-        budget.setReserve((int) part, (int) (part * FIRST_SHARE));
+        double share = (assignedSlack() - nonHolderSlack(hosts)) / Math.max(1, zones);
+        budget.setReserve((int) share, (int) (share * FIRST_WINDOW_FRACTION));
     }
 
     /** Returns the extra attempts that a host may make for 100 of its own requests. */
     public int ownPercent() {
-        return (int) Math.floor(extraPercent * OWN_RATIO);
+        return (int) Math.floor(extraPercent * HOST_PERCENT_FRACTION);
     }
 
-    private double sharedOut() {
-        return slack * SHARED_OUT;
+    private double assignedSlack() {
+        return slack * ASSIGNED_FRACTION;
     }
 
-    private double besideHolders(int hosts) {
-        return Math.min(hosts, Math.floor(sharedOut() * BESIDE_HOLDERS));
+    private double nonHolderSlack(int hosts) {
+        return Math.min(hosts, Math.floor(assignedSlack() * NON_HOLDER_FRACTION));
     }
 
     /**
@@ -104,7 +104,7 @@
         }
 
         /** Returns how much of a total is this host's; the parts of all hosts add up to its whole attempts. */
-        int partOf(double total) {
+        int shareOf(double total) {
             int whole = (int) Math.floor(total);
             return whole / hosts + (index < whole % hosts ? 1 : 0);
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/LatencyTracker.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/LatencyTracker.java
@@ -15,14 +15,14 @@
 public final class LatencyTracker {
     private static final int WINDOW_SAMPLES = 2_000;
     private static final long MAX_WINDOW_NANOS = Duration.ofSeconds(5).toNanos();
-    private static final int LEAST_SAMPLES = 100;
-    private static final long HIGHEST_MICROS = Duration.ofMinutes(10).toNanos() / 1_000;
+    private static final int MIN_SAMPLES = 100;
+    private static final long MAX_MICROS = Duration.ofMinutes(10).toNanos() / 1_000;
     private static final int SIGNIFICANT_DIGITS = 2;
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final int LATE_MEDIANS = 3;
+    private static final int MAX_LATE_MEDIANS = 3;
 
     private final double quantilePercent;
-    private final Histogram window = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram window = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     private long windowStartNanos = Long.MIN_VALUE;
     private volatile long quantileNanos;
     private volatile long medianNanos;
@@ -45,10 +45,10 @@
         if (windowStartNanos == Long.MIN_VALUE) {
             windowStartNanos = nowNanos;
         }
-        window.recordValue(Math.max(1, Math.min(HIGHEST_MICROS, latencyNanos / NANOS_PER_MICRO)));
+        window.recordValue(Math.max(1, Math.min(MAX_MICROS, latencyNanos / NANOS_PER_MICRO)));
         boolean full = window.getTotalCount() >= WINDOW_SAMPLES;
-        boolean old = nowNanos - windowStartNanos >= MAX_WINDOW_NANOS && window.getTotalCount() >= LEAST_SAMPLES;
-        if (full || old) {
+        boolean expired = nowNanos - windowStartNanos >= MAX_WINDOW_NANOS && window.getTotalCount() >= MIN_SAMPLES;
+        if (full || expired) {
             quantileNanos = window.getValueAtPercentile(quantilePercent) * NANOS_PER_MICRO;
             medianNanos = window.getValueAtPercentile(50) * NANOS_PER_MICRO;
             window.reset();
@@ -66,7 +66,7 @@
      * replies hides the next ones.
      */
     public long lateNanos() {
-        return Math.min(quantileNanos, LATE_MEDIANS * medianNanos);
+        return Math.min(quantileNanos, MAX_LATE_MEDIANS * medianNanos);
     }
 
     /** Returns the observed median in nanoseconds. */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
@@ -15,7 +15,7 @@
     /** How long a host counts as live after it was heard. */
     public static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(2);
 
-    private final Map<String, Heard> heard = new ConcurrentHashMap<>();
+    private final Map<String, LastContact> contacts = new ConcurrentHashMap<>();
 
     /**
      * Records a heartbeat.
@@ -25,15 +25,15 @@
      * @param revision the revision of the configuration that it has in force
      */
     public void record(String host, long incarnation, boolean leaving, long revision, long nowNanos) {
-        heard.merge(
+        contacts.merge(
                 host,
-                new Heard(incarnation, leaving, revision, nowNanos),
+                new LastContact(incarnation, leaving, revision, nowNanos),
                 (known, latest) -> latest.incarnation() < known.incarnation() ? known : latest);
     }
 
     /** Returns the present state of a host. */
     public HostState state(String host, long nowNanos) {
-        Heard known = heard.get(host);
+        LastContact known = contacts.get(host);
         if (known == null || nowNanos - known.atNanos() > LIVENESS_TIMEOUT.toNanos()) {
             return HostState.SILENT;
         }
@@ -43,9 +43,9 @@
     /** Returns the highest revision that each host was heard to have in force. */
     public ImmutableSortedMap<String, Long> revisions() {
         ImmutableSortedMap.Builder<String, Long> revisions = ImmutableSortedMap.naturalOrder();
-        heard.forEach((host, known) -> revisions.put(host, known.revision()));
+        contacts.forEach((host, known) -> revisions.put(host, known.revision()));
         return revisions.build();
     }
 
-    private record Heard(long incarnation, boolean leaving, long revision, long atNanos) {}
+    private record LastContact(long incarnation, boolean leaving, long revision, long atNanos) {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
@@ -15,9 +15,9 @@
  */
 public final class SharedReads<W> {
     private final int maxWaiting;
-    private List<W> answered = new ArrayList<>();
+    private List<W> current = new ArrayList<>();
     private List<W> next = new ArrayList<>();
-    private boolean underWay;
+    private boolean inProgress;
 
     /**
      * Creates reads of which none is under way.
@@ -35,24 +35,24 @@
 
     /** Begins a read if somebody waits and none is under way; returns true if the caller is to carry it out. */
     public boolean begin() {
-        if (underWay || next.isEmpty()) {
+        if (inProgress || next.isEmpty()) {
             return false;
         }
-        underWay = true;
-        answered = next;
+        inProgress = true;
+        current = next;
         next = new ArrayList<>();
         return true;
     }
 
     /** Returns whom the read that was begun answers, once. */
     public ImmutableList<W> takeWaiters() {
-        ImmutableList<W> done = ImmutableList.copyOf(answered);
-        answered = new ArrayList<>();
+        ImmutableList<W> done = ImmutableList.copyOf(current);
+        current = new ArrayList<>();
         return done;
     }
 
     /** Lets the next read begin. */
     public void end() {
-        underWay = false;
+        inProgress = false;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SuspendDetector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SuspendDetector.java
@@ -10,27 +10,27 @@
  * without one. A time that is set back tells nothing. Not safe for use by several threads.
  */
 public final class SuspendDetector {
-    private final long leastMillis;
-    private long aheadMillis;
+    private final long minMillis;
+    private long wallOffsetMillis;
 
     /**
      * Creates a watch.
      *
-     * @param least shorter suspensions are not told
+     * @param min shorter suspensions are not told
      */
-    public SuspendDetector(Duration least, long nowNanos, long wallMillis) {
-        this.leastMillis = least.toMillis();
-        this.aheadMillis = ahead(nowNanos, wallMillis);
+    public SuspendDetector(Duration min, long nowNanos, long wallMillis) {
+        this.minMillis = min.toMillis();
+        this.wallOffsetMillis = wallOffset(nowNanos, wallMillis);
     }
 
     /** Takes readings of both clocks, often enough, and returns true if this host was suspended since the last ones. */
     public boolean wasSuspended(long nowNanos, long wallMillis) {
-        long before = aheadMillis;
-        aheadMillis = ahead(nowNanos, wallMillis);
-        return aheadMillis - before >= leastMillis;
+        long previousMillis = wallOffsetMillis;
+        wallOffsetMillis = wallOffset(nowNanos, wallMillis);
+        return wallOffsetMillis - previousMillis >= minMillis;
     }
 
-    private static long ahead(long nowNanos, long wallMillis) {
+    private static long wallOffset(long nowNanos, long wallMillis) {
         return wallMillis - TimeUnit.NANOSECONDS.toMillis(nowNanos);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamEvidence.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamEvidence.java
@@ -16,10 +16,10 @@
 public final class UpstreamEvidence {
     private static final int FAILURES_TO_EJECT = 3;
     private static final long FIRST_EJECTION_NANOS = Duration.ofMillis(500).toNanos();
-    private static final long LONGEST_EJECTION_NANOS = Duration.ofSeconds(8).toNanos();
+    private static final long MAX_EJECTION_NANOS = Duration.ofSeconds(8).toNanos();
     private static final long SLOW_START_NANOS = Duration.ofSeconds(3).toNanos();
     private static final double SLOW_START_PENALTY = 4.0;
-    private static final long FADE_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long DECAY_NANOS = Duration.ofSeconds(10).toNanos();
     private static final double SMOOTHING = 0.2;
 
     private int slots;
@@ -92,8 +92,7 @@
         consecutiveFailures++;
         lastEvidenceNanos = nowNanos;
         if (consecutiveFailures >= FAILURES_TO_EJECT) {
-            ejectionNanos =
-                    ejectionNanos == 0 ? FIRST_EJECTION_NANOS : Math.min(LONGEST_EJECTION_NANOS, 2 * ejectionNanos);
+            ejectionNanos = ejectionNanos == 0 ? FIRST_EJECTION_NANOS : Math.min(MAX_EJECTION_NANOS, 2 * ejectionNanos);
             ejectedUntilNanos = nowNanos + ejectionNanos;
             ejected = true;
         }
@@ -141,7 +140,7 @@
     /** Returns the latency to expect of one more call, in nanoseconds. */
     public synchronized double expectedNanos(long nowNanos) {
         long ageNanos = Math.max(0, nowNanos - lastEvidenceNanos);
-        double weight = (double) FADE_NANOS / (FADE_NANOS + ageNanos);
+        double weight = (double) DECAY_NANOS / (DECAY_NANOS + ageNanos);
         double base = latencyNanos * weight + priorNanos * (1 - weight);
         double queue = 1.0 + (double) inFlight / slots;
         double cold = 1.0;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
@@ -23,12 +23,12 @@
      * Tables change in series while a fleet starts, and a host holds many shards for a moment while it knows few
      * others.
      */
-    static final Duration SETTLED = Duration.ofSeconds(1);
+    static final Duration SETTLE_TIME = Duration.ofSeconds(1);
 
     private static final long UNSET = Long.MIN_VALUE;
 
     private int served;
-    private long callsLeafsSinceNanos = UNSET;
+    private long callsLeavesSinceNanos = UNSET;
 
     /** What the agreed tables say of the calls to leafs that a query takes. */
     public enum LeafCalls {
@@ -65,12 +65,12 @@
             return Step.END;
         }
         if (calls != LeafCalls.MADE_HERE) {
-            callsLeafsSinceNanos = UNSET;
+            callsLeavesSinceNanos = UNSET;
             return Step.WAIT;
         }
-        if (callsLeafsSinceNanos == UNSET) {
-            callsLeafsSinceNanos = nowNanos;
+        if (callsLeavesSinceNanos == UNSET) {
+            callsLeavesSinceNanos = nowNanos;
         }
-        return nowNanos - callsLeafsSinceNanos >= SETTLED.toNanos() ? Step.SERVE : Step.WAIT;
+        return nowNanos - callsLeavesSinceNanos >= SETTLE_TIME.toNanos() ? Step.SERVE : Step.WAIT;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
@@ -19,26 +19,26 @@
  */
 public final class WindowedBudget {
     /** In how many parts a window is counted: what was spent comes back up to a tenth of the window late. */
-    private static final int PARTS = 10;
+    private static final int BUCKETS = 10;
 
     private static final int PERCENT = 100;
 
     private final int extraPercent;
     private final long windowNanos;
-    private final long partNanos;
+    private final long bucketNanos;
     private final long startedNanos;
     /** One part more than a window has, since the oldest may reach into it. */
-    private final int[] extras = new int[PARTS + 1];
+    private final int[] extraAttempts = new int[BUCKETS + 1];
 
-    private final int[] firsts = new int[PARTS + 1];
-    private long currentPart;
+    private final int[] firstAttempts = new int[BUCKETS + 1];
+    private long currentBucket;
     private int reserve;
     private int firstReserve;
 
     private WindowedBudget(int extraPercent, Duration window, long startedNanos) {
         this.extraPercent = extraPercent;
         this.windowNanos = window.toNanos();
-        this.partNanos = windowNanos / PARTS;
+        this.bucketNanos = windowNanos / BUCKETS;
         this.startedNanos = startedNanos;
     }
 
@@ -50,7 +50,7 @@
      */
     public static WindowedBudget create(int extraPercent, Duration window, long startedNanos) {
         checkArgument(extraPercent >= 0, "extra attempts of %s percent", extraPercent);
-        checkArgument(window.toNanos() >= PARTS, "a window of %s", window);
+        checkArgument(window.toNanos() >= BUCKETS, "a window of %s", window);
         return new WindowedBudget(extraPercent, window, startedNanos);
     }
 
@@ -71,7 +71,7 @@
     /** Notes a first attempt. */
     public void recordFirstAttempt(long nowNanos) {
         advance(nowNanos);
-        firsts[index(currentPart)]++;
+        firstAttempts[index(currentBucket)]++;
     }
 
     /** Takes one extra attempt out of the budget; returns false if it is spent. */
@@ -91,7 +91,7 @@
         if (allowed - spentHundredths() - PERCENT < reserved) {
             return false;
         }
-        extras[index(currentPart)]++;
+        extraAttempts[index(currentBucket)]++;
         return true;
     }
 
@@ -104,17 +104,17 @@
 
     /** Returns what may be spent in the window that ends now, in hundredths of an attempt. */
     private long allowedHundredths(long nowNanos) {
-        boolean first = nowNanos - startedNanos < windowNanos;
+        boolean inFirstWindow = nowNanos - startedNanos < windowNanos;
         long recent = 0;
-        for (int back = 0; back < PARTS; back++) {
-            recent += firsts[index(currentPart - back)];
+        for (int age = 0; age < BUCKETS; age++) {
+            recent += firstAttempts[index(currentBucket - age)];
         }
-        return (long) (first ? firstReserve : reserve) * PERCENT + recent * extraPercent;
+        return (long) (inFirstWindow ? firstReserve : reserve) * PERCENT + recent * extraPercent;
     }
 
     private long spentHundredths() {
         long spent = 0;
-        for (int extra : extras) {
+        for (int extra : extraAttempts) {
             spent += extra;
         }
         return spent * PERCENT;
@@ -122,16 +122,16 @@
 
     /** Forgets what is older than a window. */
     private void advance(long nowNanos) {
-        long part = Math.floorDiv(nowNanos - startedNanos, partNanos);
-        long newest = Math.max(part, currentPart);
-        for (long passed = Math.max(currentPart + 1, newest - PARTS); passed <= newest; passed++) {
-            extras[index(passed)] = 0;
-            firsts[index(passed)] = 0;
+        long bucket = Math.floorDiv(nowNanos - startedNanos, bucketNanos);
+        long newest = Math.max(bucket, currentBucket);
+        for (long next = Math.max(currentBucket + 1, newest - BUCKETS); next <= newest; next++) {
+            extraAttempts[index(next)] = 0;
+            firstAttempts[index(next)] = 0;
         }
-        currentPart = newest;
+        currentBucket = newest;
     }
 
-    private static int index(long part) {
-        return Math.floorMod(part, PARTS + 1);
+    private static int index(long bucket) {
+        return Math.floorMod(bucket, BUCKETS + 1);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprint.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprint.java
@@ -23,7 +23,7 @@
  * @param low the last eight bytes
  */
 public record Fingerprint(long high, long low) {
-    private static final char QUERY_SIGN = '?';
+    private static final char QUERY_SEPARATOR = '?';
 
     /**
      * Returns the fingerprint of a request.
@@ -63,7 +63,7 @@
 
     /** Returns a target without its query. */
     static String pathOf(String target) {
-        int query = target.indexOf(QUERY_SIGN);
+        int query = target.indexOf(QUERY_SEPARATOR);
         int end = query < 0 ? target.length() : query;
         return target.substring(0, end);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
@@ -19,8 +19,8 @@
  * What is known of requests under which leafs ended, and which of them are sent to no leaf any more.
  *
  * <p>Invariants: a request is barred only while a leaf ended with it on it and no leaf has survived it since; either
- * {@link #ENDS_TO_QUARANTINE} leafs ended, or it came {@link #ARRIVALS_OF_HARM} times and broke each time. That much
- * happens to bystanders as well, when all leafs end at once or next to a harmful request. What tells them apart: a
+ * {@link #ENDS_TO_QUARANTINE} leafs ended, or it came {@link #ARRIVALS_TO_QUARANTINE} times and broke each time. That
+ * much happens to bystanders as well, when all leafs end at once or next to a harmful request. What tells them apart: a
  * harmful request comes again later and ends leafs again, and the ends of a bystander are explained by another one.
  * Until that shows, a request is on trial: of all arrivals at all hosts one at a time is let through. The verdicts
  * follow from all that was reported, anew after each report. The number of records and of ends is bounded. No clock is
@@ -44,7 +44,7 @@
      * How often a request comes that can be no bystander each time: callers mostly try again once. Arrivals whose call
      * broke count as well once one leaf was found to have ended: a leaf may be back before a host has looked.
      */
-    static final int ARRIVALS_OF_HARM = 3;
+    static final int ARRIVALS_TO_QUARANTINE = 3;
     /**
      * For how long nobody else may try a request: the longest mean work of a leaf on the users' sheets, 163 ms, several
      * times over, a report's 100 ms and up to 300 ms until it is agreed on. Half as long made no difference in 1,000
@@ -56,7 +56,7 @@
      * of many leafs, with callers that come again at once; a harmful request shows again when it comes later, which
      * costs one trial.
      */
-    static final long LEAST_SPREAD_MILLIS = 1_000;
+    static final long MIN_SPREAD_MILLIS = 1_000;
     /** How many arrivals of a request are told apart. */
     static final int MAX_ARRIVALS = 8;
     /** How many records are kept: with the ends below, a megabyte and a half by estimate. */
@@ -64,11 +64,11 @@
     /** How many ends are kept for one request: those of every leaf of the largest index, twice over. */
     static final int MAX_ENDS = 1_024;
     /** How many ends are kept for all requests. */
-    static final int MAX_ENDS_IN_ALL = 16_384;
+    static final int MAX_TOTAL_ENDS = 16_384;
     /** How long ends count: a request may come rarely, but what it met long ago says little of it. */
-    static final long KEEP_SUSPECTED_MILLIS = 10L * 60 * 1_000;
+    static final long SUSPECT_RETENTION_MILLIS = 10L * 60 * 1_000;
     /** How long a request is barred after the last leaf that ended with it: leafs are repaired meanwhile, or it is. */
-    static final long KEEP_BARRED_MILLIS = 60L * 60 * 1_000;
+    static final long QUARANTINE_MILLIS = 60L * 60 * 1_000;
 
     private final Map<Fingerprint, SuspectRequest> records = new LinkedHashMap<>();
     private long clockMillis;
@@ -86,10 +86,10 @@
                 .forEach(evidence -> Fingerprint.fromBytes(evidence.getFingerprint())
                         .ifPresent(fingerprint -> add(fingerprint, evidence)));
         report.getSurvivedList().forEach(bytes -> Fingerprint.fromBytes(bytes).ifPresent(this::clear));
-        forgetOld();
-        judge();
+        expireOld();
+        updateVerdicts();
         boundSize();
-        return markChanged(revision);
+        return publishVerdicts(revision);
     }
 
     /** Has an arrival of a request tried, unless another is; returns true if it may be sent to leafs. */
@@ -103,7 +103,8 @@
                     .filter(request -> !request.isCleared())
                     .ifPresent(onTrial::add);
         }
-        boolean free = onTrial.stream().noneMatch(request -> request.isBarred() || request.isTried(clockMillis));
+        boolean free =
+                onTrial.stream().noneMatch(request -> request.isQuarantined() || request.isTrialRunning(clockMillis));
         if (free) {
             onTrial.forEach(request -> request.grantTrial(trial.getArrival(), clockMillis + TRIAL_MILLIS));
         }
@@ -123,14 +124,14 @@
         for (ByteString bytes : trial.getFingerprintsList()) {
             Fingerprint.fromBytes(bytes)
                     .map(records::get)
-                    .filter(request -> request.giveBackTrial(trial.getArrival()))
-                    .ifPresent(request -> takeOutcome(request, trial));
+                    .filter(request -> request.endTrial(trial.getArrival()))
+                    .ifPresent(request -> applyTrialOutcome(request, trial));
         }
-        judge();
-        return markChanged(revision);
+        updateVerdicts();
+        return publishVerdicts(revision);
     }
 
-    private void takeOutcome(SuspectRequest request, TakeTrial trial) {
+    private void applyTrialOutcome(SuspectRequest request, TakeTrial trial) {
         if (trial.getOutcome() == TakeTrial.Outcome.ANSWERED) {
             request.clear(clockMillis);
         } else if (trial.getOutcome() == TakeTrial.Outcome.BROKEN) {
@@ -144,7 +145,7 @@
 
     /** Returns true if a report says anything that is not known. */
     public boolean wouldChange(HarmReport report) {
-        return report.getEndedList().stream().anyMatch(this::isNews)
+        return report.getEndedList().stream().anyMatch(this::hasNewEvidence)
                 || report.getSurvivedList().stream()
                         .anyMatch(bytes -> Fingerprint.fromBytes(bytes)
                                 .map(records::get)
@@ -160,7 +161,7 @@
     /** Returns how many requests are barred or on trial. */
     public int restrictedCount() {
         return (int) records.values().stream()
-                .filter(request -> request.isBarred() || request.isOnTrial())
+                .filter(request -> request.isQuarantined() || request.isOnTrial())
                 .count();
     }
 
@@ -200,10 +201,10 @@
         }
     }
 
-    private boolean isNews(HarmEvidence evidence) {
+    private boolean hasNewEvidence(HarmEvidence evidence) {
         return Fingerprint.fromBytes(evidence.getFingerprint())
                 .map(records::get)
-                .map(request -> request.isNews(evidence))
+                .map(request -> request.hasNewEvidence(evidence))
                 .orElse(true);
     }
 
@@ -223,11 +224,11 @@
      * Decides anew which requests are barred: the one under which most leafs ended first. Of two with the same ends the
      * narrower fingerprint, and else the one that was heard of first, goes first.
      */
-    private void judge() {
+    private void updateVerdicts() {
         Set<Long> explained = new HashSet<>();
         List<SuspectRequest> candidates = new ArrayList<>();
         for (SuspectRequest request : records.values()) {
-            request.judge(false, mayBeHarmful(request));
+            request.setRestriction(false, needsTrial(request));
             if (request.endCount() > 0) {
                 candidates.add(request);
             }
@@ -236,24 +237,24 @@
                 .thenComparingLong(SuspectRequest::number));
         for (SuspectRequest request : candidates) {
             if (isHarmful(request, explained)) {
-                request.judge(true, true);
+                request.setRestriction(true, true);
                 explained.addAll(request.leafStarts());
             }
         }
     }
 
-    private static boolean mayBeHarmful(SuspectRequest request) {
+    private static boolean needsTrial(SuspectRequest request) {
         return request.endCount() >= ENDS_TO_TRIAL
                 || request.lostArrivalCount() >= ENDS_TO_TRIAL
-                || (request.wasLostWhole() && request.endCount() > 0);
+                || (request.hadNoShardAnswered() && request.endCount() > 0);
     }
 
     /** Returns true if a request ends leafs itself, as far as that can be told. */
     private static boolean isHarmful(SuspectRequest request, Set<Long> explained) {
-        if (request.spreadMillis() < LEAST_SPREAD_MILLIS) {
+        if (request.spreadMillis() < MIN_SPREAD_MILLIS) {
             return false;
         }
-        if (request.lostArrivalCount() >= ARRIVALS_OF_HARM) {
+        if (request.lostArrivalCount() >= ARRIVALS_TO_QUARANTINE) {
             return true;
         }
         long unexplained = request.leafStarts().stream()
@@ -262,15 +263,16 @@
         return unexplained >= ENDS_TO_QUARANTINE && request.arrivalCount() > 1;
     }
 
-    private void forgetOld() {
+    private void expireOld() {
         for (SuspectRequest request : records.values()) {
-            long keptMillis = request.isBarred() ? KEEP_BARRED_MILLIS : KEEP_SUSPECTED_MILLIS;
-            if (!request.isCleared() && clockMillis - request.seenMillis() > keptMillis) {
+            long retentionMillis = request.isQuarantined() ? QUARANTINE_MILLIS : SUSPECT_RETENTION_MILLIS;
+            if (!request.isCleared() && clockMillis - request.lastEvidenceMillis() > retentionMillis) {
                 request.clear(clockMillis);
             }
         }
         records.values()
-                .removeIf(request -> request.isCleared() && clockMillis - request.seenMillis() > KEEP_SUSPECTED_MILLIS);
+                .removeIf(request ->
+                        request.isCleared() && clockMillis - request.lastEvidenceMillis() > SUSPECT_RETENTION_MILLIS);
     }
 
     /**
@@ -281,18 +283,18 @@
         long ends = records.values().stream()
                 .mapToLong(request -> request.endCount())
                 .sum();
-        if (records.size() <= MAX_RECORDS && ends <= MAX_ENDS_IN_ALL) {
+        if (records.size() <= MAX_RECORDS && ends <= MAX_TOTAL_ENDS) {
             return;
         }
-        List<Map.Entry<Fingerprint, SuspectRequest>> leastFirst = new ArrayList<>(records.entrySet());
-        leastFirst.sort(Comparator.comparing((Map.Entry<Fingerprint, SuspectRequest> entry) ->
-                        entry.getValue().isBarred())
+        List<Map.Entry<Fingerprint, SuspectRequest>> evictionOrder = new ArrayList<>(records.entrySet());
+        evictionOrder.sort(Comparator.comparing((Map.Entry<Fingerprint, SuspectRequest> entry) ->
+                        entry.getValue().isQuarantined())
                 .thenComparing(entry -> !entry.getValue().isCleared())
                 .thenComparing(entry -> entry.getValue().endCount() > 0)
-                .thenComparing(entry -> entry.getValue().seenMillis())
+                .thenComparing(entry -> entry.getValue().lastEvidenceMillis())
                 .thenComparing(entry -> entry.getValue().number()));
-        for (Map.Entry<Fingerprint, SuspectRequest> entry : leastFirst) {
-            if (records.size() <= MAX_RECORDS && ends <= MAX_ENDS_IN_ALL) {
+        for (Map.Entry<Fingerprint, SuspectRequest> entry : evictionOrder) {
+            if (records.size() <= MAX_RECORDS && ends <= MAX_TOTAL_ENDS) {
                 return;
             }
             ends -= entry.getValue().endCount();
@@ -300,10 +302,10 @@
         }
     }
 
-    private boolean markChanged(long revision) {
+    private boolean publishVerdicts(long revision) {
         boolean changed = false;
         for (SuspectRequest request : records.values()) {
-            changed |= request.markChanged(revision);
+            changed |= request.updateVerdict(revision);
         }
         return changed;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
@@ -27,22 +27,22 @@
      * How long a survived request is remembered: hosts that saw another part of it tell of leafs that ended after at
      * most a few seconds.
      */
-    private static final long SURVIVED_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long SURVIVAL_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
     /**
      * How many survived requests are remembered: 25 s' worth of the 160 queries a second of an entry host of the
      * planned size. One that holds leafs for others answers more, and remembers less than the time above.
      */
     private static final int MAX_SURVIVED = 4_096;
     /** How many requests are remembered that were tried by the word of this host alone: as many as are on trial. */
-    private static final int MAX_TRIED_ALONE = HarmRecords.MAX_RECORDS;
+    private static final int MAX_LOCAL_TRIALS = HarmRecords.MAX_RECORDS;
 
-    private final Map<Fingerprint, HarmRecord.Verdict> agreed = new HashMap<>();
-    private final HarmRecords own = new HarmRecords();
-    private final Map<Fingerprint, Long> recordSurvival = new LinkedHashMap<>();
-    private final Map<Fingerprint, Long> triedAlone = new LinkedHashMap<>();
-    private final UnreportedEvidence untold = new UnreportedEvidence();
-    private int agreedRestricted;
-    private int ownRestricted;
+    private final Map<Fingerprint, HarmRecord.Verdict> replicated = new HashMap<>();
+    private final HarmRecords local = new HarmRecords();
+    private final Map<Fingerprint, Long> survived = new LinkedHashMap<>();
+    private final Map<Fingerprint, Long> localTrials = new LinkedHashMap<>();
+    private final UnreportedEvidence unreported = new UnreportedEvidence();
+    private int replicatedRestricted;
+    private int locallyRestricted;
 
     /** Returns whether a request may be sent to leafs; works its fingerprints out only if any request may not. */
     public Permission permission(Supplier<Fingerprints> request) {
@@ -57,17 +57,17 @@
 
     /** Returns true if any request may not be sent to leafs freely. */
     public boolean hasRestrictions() {
-        return agreedRestricted + ownRestricted > 0;
+        return replicatedRestricted + locallyRestricted > 0;
     }
 
     /** Returns how many requests are barred or on trial by the evidence that this host has, for a log line. */
     public int locallyRestrictedCount() {
-        return ownRestricted;
+        return locallyRestricted;
     }
 
     /** Returns how many requests are barred or on trial by agreement, for a log line. */
     public int replicatedRestrictedCount() {
-        return agreedRestricted;
+        return replicatedRestricted;
     }
 
     /**
@@ -75,20 +75,20 @@
      *
      * @param leafStart tells this start of the leaf from others
      */
-    public void recordLeafEnd(long leafStart, List<Arrival> onIt, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
-        for (Arrival arrival : onIt) {
+    public void recordLeafEnd(long leafStart, List<Arrival> arrivals, long nowNanos) {
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        for (Arrival arrival : arrivals) {
             for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-                if (!survivedOfLate(fingerprint, nowNanos)) {
-                    untold.ended(fingerprint, leafStart, arrival.digest());
-                    seen.addEnded(HarmEvidence.newBuilder()
+                if (!survivedRecently(fingerprint, nowNanos)) {
+                    unreported.addLeafEnd(fingerprint, leafStart, arrival.digest());
+                    evidence.addEnded(HarmEvidence.newBuilder()
                             .setFingerprint(fingerprint.toBytes())
                             .addLeafStarts(leafStart)
                             .addArrivals(arrival.digest()));
                 }
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
     /**
@@ -96,38 +96,38 @@
      * that they ended; then arrivals that broke, and none that was answered, are all that shows.
      */
     public void recordDisconnect(Arrival arrival, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-            if (!survivedOfLate(fingerprint, nowNanos)) {
-                untold.broke(fingerprint, List.of(arrival.digest()));
-                seen.addEnded(HarmEvidence.newBuilder()
+            if (!survivedRecently(fingerprint, nowNanos)) {
+                unreported.addDisconnects(fingerprint, List.of(arrival.digest()));
+                evidence.addEnded(HarmEvidence.newBuilder()
                         .setFingerprint(fingerprint.toBytes())
                         .addBrokenArrivals(arrival.digest()));
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
     /** Notes that a query over several shards broke and was given up before a leaf of any shard had answered it. */
     public void recordNoShardAnswered(Arrival arrival, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-            if (!survivedOfLate(fingerprint, nowNanos)) {
-                untold.lostWhole(fingerprint);
-                seen.addEnded(HarmEvidence.newBuilder()
+            if (!survivedRecently(fingerprint, nowNanos)) {
+                unreported.addNoShardAnswered(fingerprint);
+                evidence.addEnded(HarmEvidence.newBuilder()
                         .setFingerprint(fingerprint.toBytes())
                         .setLostWhole(true));
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
     /** Notes that a leaf answered a request, with success or a failure of its own. */
     public void recordSurvival(Fingerprints request, long nowNanos) {
         for (Fingerprint fingerprint : request.all()) {
-            noteLast(recordSurvival, fingerprint, nowNanos, MAX_SURVIVED);
-            if (isAccused(fingerprint)) {
-                acquit(fingerprint);
+            recordTime(survived, fingerprint, nowNanos, MAX_SURVIVED);
+            if (isSuspect(fingerprint)) {
+                clear(fingerprint);
             }
         }
     }
@@ -135,30 +135,30 @@
     /**
      * Takes what was agreed on.
      *
-     * @param whole true if what the records lack is not held any more
+     * @param isFull true if what the records lack is not held any more
      */
-    public void applyReplicated(List<HarmRecord> records, boolean whole, long nowNanos) {
-        if (whole) {
-            agreed.clear();
+    public void applyReplicated(List<HarmRecord> records, boolean isFull, long nowNanos) {
+        if (isFull) {
+            replicated.clear();
         }
         for (HarmRecord record : records) {
             Fingerprint.fromBytes(record.getFingerprint())
                     .ifPresent(fingerprint -> applyReplicated(fingerprint, record.getVerdict(), nowNanos));
         }
-        agreedRestricted = (int) agreed.values().stream()
+        replicatedRestricted = (int) replicated.values().stream()
                 .filter(verdict -> verdict != HarmRecord.Verdict.SUSPECTED)
                 .count();
     }
 
     /** Takes what another host saw, where hosts tell one another and nothing is agreed. */
     public void applyPeerReport(HarmReport report, long nowNanos) {
-        takeOwn(report.toBuilder()
+        applyLocally(report.toBuilder()
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
         for (HarmEvidence evidence : report.getEndedList()) {
             Fingerprint.fromBytes(evidence.getFingerprint())
-                    .filter(fingerprint -> survivedOfLate(fingerprint, nowNanos))
-                    .ifPresent(this::acquit);
+                    .filter(fingerprint -> survivedRecently(fingerprint, nowNanos))
+                    .ifPresent(this::clear);
         }
     }
 
@@ -168,14 +168,14 @@
      */
     public boolean tryStartLocalTrial(Arrival arrival, long nowNanos) {
         Fingerprints request = arrival.fingerprints();
-        if (request.all().stream().anyMatch(fingerprint -> triedOfLate(fingerprint, nowNanos))) {
+        if (request.all().stream().anyMatch(fingerprint -> localTrialRunning(fingerprint, nowNanos))) {
             return false;
         }
-        boolean granted = own.tryStartTrial(newTrialRequest(arrival)
+        boolean granted = local.tryStartTrial(newTrialRequest(arrival)
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
         if (granted) {
-            request.all().forEach(fingerprint -> noteLast(triedAlone, fingerprint, nowNanos, MAX_TRIED_ALONE));
+            request.all().forEach(fingerprint -> recordTime(localTrials, fingerprint, nowNanos, MAX_LOCAL_TRIALS));
         }
         return granted;
     }
@@ -183,29 +183,30 @@
     /**
      * Ends a trial; whether a leaf answered it is known here.
      *
-     * @param broke true if it reached a leaf and its call broke there
+     * @param disconnected true if it reached a leaf and its call broke there
      * @return what to tell control, without the time
      */
-    public TakeTrial.Builder endTrial(Arrival arrival, boolean broke, long nowNanos) {
+    public TakeTrial.Builder endTrial(Arrival arrival, boolean disconnected, long nowNanos) {
         List<Fingerprint> request = arrival.fingerprints().all();
-        request.forEach(triedAlone::remove);
+        request.forEach(localTrials::remove);
         TakeTrial.Builder trial =
-                newTrialRequest(arrival).setGivenBack(true).setOutcome(outcome(request, broke, nowNanos));
-        own.endTrial(
+                newTrialRequest(arrival).setGivenBack(true).setOutcome(outcome(request, disconnected, nowNanos));
+        local.endTrial(
                 trial.clone()
                         .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                         .build(),
                 0);
-        ownRestricted = own.restrictedCount();
+        locallyRestricted = local.restrictedCount();
         return trial;
     }
 
-    private TakeTrial.Outcome outcome(List<Fingerprint> request, boolean broke, long nowNanos) {
-        if (request.stream().allMatch(fingerprint -> survivedOfLate(fingerprint, nowNanos))) {
+    private TakeTrial.Outcome outcome(List<Fingerprint> request, boolean disconnected, long nowNanos) {
+        if (request.stream().allMatch(fingerprint -> survivedRecently(fingerprint, nowNanos))) {
             return TakeTrial.Outcome.ANSWERED;
         }
-        boolean accuses = broke && request.stream().noneMatch(fingerprint -> survivedOfLate(fingerprint, nowNanos));
-        return accuses ? TakeTrial.Outcome.BROKEN : TakeTrial.Outcome.OUTCOME_UNSPECIFIED;
+        boolean isEvidence =
+                disconnected && request.stream().noneMatch(fingerprint -> survivedRecently(fingerprint, nowNanos));
+        return isEvidence ? TakeTrial.Outcome.BROKEN : TakeTrial.Outcome.OUTCOME_UNSPECIFIED;
     }
 
     /** Returns the question whether an arrival may be tried, without the time. */
@@ -216,42 +217,42 @@
     }
 
     /** Another host may have told of the request, so that there is no evidence of this host's own to hold the time. */
-    private boolean triedOfLate(Fingerprint fingerprint, long nowNanos) {
-        Long atNanos = triedAlone.get(fingerprint);
+    private boolean localTrialRunning(Fingerprint fingerprint, long nowNanos) {
+        Long atNanos = localTrials.get(fingerprint);
         return atNanos != null && nowNanos - atNanos < TimeUnit.MILLISECONDS.toNanos(HarmRecords.TRIAL_MILLIS);
     }
 
     /** Notes the time of what was done with a request, and forgets what was noted first beyond a bound. */
-    private static void noteLast(Map<Fingerprint, Long> times, Fingerprint fingerprint, long nowNanos, int bound) {
+    private static void recordTime(Map<Fingerprint, Long> times, Fingerprint fingerprint, long nowNanos, int bound) {
         times.remove(fingerprint);
         times.put(fingerprint, nowNanos);
-        Iterator<Fingerprint> firstNoted = times.keySet().iterator();
+        Iterator<Fingerprint> oldestFirst = times.keySet().iterator();
         for (int excess = times.size() - bound; excess > 0; excess--) {
-            firstNoted.next();
-            firstNoted.remove();
+            oldestFirst.next();
+            oldestFirst.remove();
         }
     }
 
     /** Takes what is to be told, if anything is; it counts as told unless it is handed back. */
     public Optional<HarmReport> takeReport() {
-        return untold.takeReport();
+        return unreported.takeReport();
     }
 
     /** Takes over what a host saw to which control gives no answer, to tell it in that host's place. */
     public void adoptReport(HarmReport report, long nowNanos) {
-        untold.handBack(report);
+        unreported.restore(report);
         applyPeerReport(report, nowNanos);
     }
 
     /** Takes back a report that was not agreed on, to make it again. */
     public void restoreReport(HarmReport report) {
-        untold.handBack(report);
+        unreported.restore(report);
     }
 
     private Permission permission(Fingerprint fingerprint) {
-        HarmRecord.Verdict verdict = agreed.get(fingerprint);
+        HarmRecord.Verdict verdict = replicated.get(fingerprint);
         if (verdict == null) {
-            verdict = own.verdict(fingerprint).orElse(HarmRecord.Verdict.CLEARED);
+            verdict = local.verdict(fingerprint).orElse(HarmRecord.Verdict.CLEARED);
         }
         return switch (verdict) {
             case BARRED -> Permission.QUARANTINED;
@@ -261,43 +262,44 @@
     }
 
     private void applyReplicated(Fingerprint fingerprint, HarmRecord.Verdict verdict, long nowNanos) {
-        if (!accuses(verdict)) {
-            agreed.remove(fingerprint);
-            takeOwn(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
+        if (!isRestrictive(verdict)) {
+            replicated.remove(fingerprint);
+            applyLocally(
+                    HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
             return;
         }
-        agreed.put(fingerprint, verdict);
-        if (survivedOfLate(fingerprint, nowNanos)) {
-            acquit(fingerprint);
+        replicated.put(fingerprint, verdict);
+        if (survivedRecently(fingerprint, nowNanos)) {
+            clear(fingerprint);
         }
     }
 
-    private boolean isAccused(Fingerprint fingerprint) {
-        return agreed.containsKey(fingerprint)
-                || own.verdict(fingerprint)
-                        .filter(HarmfulRequestFilter::accuses)
+    private boolean isSuspect(Fingerprint fingerprint) {
+        return replicated.containsKey(fingerprint)
+                || local.verdict(fingerprint)
+                        .filter(HarmfulRequestFilter::isRestrictive)
                         .isPresent();
     }
 
-    private static boolean accuses(HarmRecord.Verdict verdict) {
+    private static boolean isRestrictive(HarmRecord.Verdict verdict) {
         return switch (verdict) {
             case SUSPECTED, ON_TRIAL, BARRED -> true;
             default -> false;
         };
     }
 
-    private boolean survivedOfLate(Fingerprint fingerprint, long nowNanos) {
-        Long atNanos = recordSurvival.get(fingerprint);
-        return atNanos != null && nowNanos - atNanos <= SURVIVED_NANOS;
+    private boolean survivedRecently(Fingerprint fingerprint, long nowNanos) {
+        Long atNanos = survived.get(fingerprint);
+        return atNanos != null && nowNanos - atNanos <= SURVIVAL_RETENTION_NANOS;
     }
 
-    private void acquit(Fingerprint fingerprint) {
-        untold.survived(fingerprint);
-        takeOwn(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
+    private void clear(Fingerprint fingerprint) {
+        unreported.clear(fingerprint);
+        applyLocally(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
     }
 
-    private void takeOwn(HarmReport report) {
-        own.applyReport(report, 0);
-        ownRestricted = own.restrictedCount();
+    private void applyLocally(HarmReport report) {
+        local.applyReport(report, 0);
+        locallyRestricted = local.restrictedCount();
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
@@ -22,42 +22,43 @@
      * How long after a call was given up the end of its leaf may be of it: what leafs do with a call that they have
      * begun takes them some tens of milliseconds, and word of their end as long again.
      */
-    private static final long AFTER_GIVING_UP_NANOS = Duration.ofMillis(250).toNanos();
+    private static final long ABANDONED_CALL_RETENTION_NANOS =
+            Duration.ofMillis(250).toNanos();
     /** How many calls that were given up are remembered: more than a leaf works on and queues. */
-    private static final int MAX_GIVEN_UP = 32;
+    private static final int MAX_ABANDONED = 32;
 
-    private final List<T> atWork = new ArrayList<>(4);
-    private final List<T> broken = new ArrayList<>(0);
-    private final Deque<GivenUp<T>> onAbandoned = new ArrayDeque<>(0);
-    private boolean inDoubtWithoutBreak;
-    private long inDoubtSinceNanos;
+    private final List<T> inFlight = new ArrayList<>(4);
+    private final List<T> disconnected = new ArrayList<>(0);
+    private final Deque<AbandonedCall<T>> abandoned = new ArrayDeque<>(0);
+    private boolean suspectedByIdleClose;
+    private long suspectedSinceNanos;
 
     /** Notes that a call was sent. */
     public void onSent(T call) {
-        atWork.add(call);
+        inFlight.add(call);
     }
 
     /** Notes that a call was answered, so that the leaf has survived it. */
     public void onAnswered(T call) {
-        atWork.remove(call);
+        inFlight.remove(call);
     }
 
     /** Notes that a call was given up by this host. */
     public void onAbandoned(T call, long nowNanos) {
-        if (!atWork.remove(call)) {
+        if (!inFlight.remove(call)) {
             return;
         }
-        onAbandoned.addLast(new GivenUp<>(call, nowNanos));
-        if (onAbandoned.size() > MAX_GIVEN_UP) {
-            onAbandoned.removeFirst();
+        abandoned.addLast(new AbandonedCall<>(call, nowNanos));
+        if (abandoned.size() > MAX_ABANDONED) {
+            abandoned.removeFirst();
         }
     }
 
     /** Notes that the connection of a call ended; whether the leaf has is to be found out by connecting to it. */
     public void onDisconnected(T call, long nowNanos) {
-        if (atWork.remove(call)) {
-            doubt(nowNanos);
-            broken.add(call);
+        if (inFlight.remove(call)) {
+            markSuspected(nowNanos);
+            disconnected.add(call);
         }
     }
 
@@ -66,34 +67,34 @@
      * leaf, under a call that it worked on all the same.
      */
     public void onIdleConnectionClosed(long nowNanos) {
-        GivenUp<T> last = onAbandoned.peekLast();
-        if (last != null && isOfLate(last, nowNanos)) {
-            doubt(nowNanos);
-            inDoubtWithoutBreak = true;
+        AbandonedCall<T> last = abandoned.peekLast();
+        if (last != null && isRecent(last, nowNanos)) {
+            markSuspected(nowNanos);
+            suspectedByIdleClose = true;
         }
     }
 
-    private void doubt(long nowNanos) {
+    private void markSuspected(long nowNanos) {
         if (!isEndSuspected()) {
-            inDoubtSinceNanos = nowNanos;
+            suspectedSinceNanos = nowNanos;
         }
     }
 
     /** Returns true while it is to be found out whether the leaf has ended. */
     public boolean isEndSuspected() {
-        return inDoubtWithoutBreak || !broken.isEmpty();
+        return suspectedByIdleClose || !disconnected.isEmpty();
     }
 
     /**
      * Notes that the leaf took a connection: what broke broke for another reason. A connection that was begun before
      * the leaf came into doubt says nothing: the leaf may have taken it and ended then.
      *
-     * @param begunNanos when the connection was begun
+     * @param connectStartNanos when the connection was begun
      */
-    public void onConnected(long begunNanos) {
-        if (isEndSuspected() && begunNanos - inDoubtSinceNanos >= 0) {
-            broken.clear();
-            inDoubtWithoutBreak = false;
+    public void onConnected(long connectStartNanos) {
+        if (isEndSuspected() && connectStartNanos - suspectedSinceNanos >= 0) {
+            disconnected.clear();
+            suspectedByIdleClose = false;
         }
     }
 
@@ -102,23 +103,23 @@
         if (!isEndSuspected()) {
             return ImmutableList.of();
         }
-        ImmutableList.Builder<T> onIt =
-                ImmutableList.<T>builder().addAll(broken).addAll(atWork);
-        for (GivenUp<T> next : onAbandoned) {
-            if (isOfLate(next, nowNanos)) {
-                onIt.add(next.call());
+        ImmutableList.Builder<T> onLeaf =
+                ImmutableList.<T>builder().addAll(disconnected).addAll(inFlight);
+        for (AbandonedCall<T> next : abandoned) {
+            if (isRecent(next, nowNanos)) {
+                onLeaf.add(next.call());
             }
         }
-        broken.clear();
-        inDoubtWithoutBreak = false;
-        atWork.clear();
-        onAbandoned.clear();
-        return onIt.build();
+        disconnected.clear();
+        suspectedByIdleClose = false;
+        inFlight.clear();
+        abandoned.clear();
+        return onLeaf.build();
     }
 
-    private static boolean isOfLate(GivenUp<?> call, long nowNanos) {
-        return nowNanos - call.atNanos() <= AFTER_GIVING_UP_NANOS;
+    private static boolean isRecent(AbandonedCall<?> call, long nowNanos) {
+        return nowNanos - call.atNanos() <= ABANDONED_CALL_RETENTION_NANOS;
     }
 
-    private record GivenUp<T>(T call, long atNanos) {}
+    private record AbandonedCall<T>(T call, long atNanos) {}
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/SuspectRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/SuspectRequest.java
@@ -15,22 +15,22 @@
  * safe for use by several threads.
  */
 final class SuspectRequest {
-    private static final long NOT_SEEN = -1;
+    private static final long NO_EVIDENCE = -1;
 
     private final long number;
     private final Set<Long> leafStarts = new LinkedHashSet<>();
     private final Set<Long> arrivals = new LinkedHashSet<>(2);
-    private final Set<Long> brokenArrivals = new LinkedHashSet<>(2);
+    private final Set<Long> disconnectedArrivals = new LinkedHashSet<>(2);
     private HarmRecord.Verdict verdict = HarmRecord.Verdict.VERDICT_UNSPECIFIED;
-    private boolean barred;
+    private boolean quarantined;
     private boolean onTrial;
     private boolean cleared;
-    private boolean lostWhole;
+    private boolean noShardAnswered;
     private long trialUntilMillis;
     private long trialArrival;
     private long changedRevision;
-    private long firstMillis = NOT_SEEN;
-    private long seenMillis;
+    private long firstEvidenceMillis = NO_EVIDENCE;
+    private long lastEvidenceMillis;
 
     /**
      * Creates a record that holds nothing against the request.
@@ -46,76 +46,76 @@
         SuspectRequest request = new SuspectRequest(record.getNumber());
         request.leafStarts.addAll(record.getLeafStartsList());
         request.arrivals.addAll(record.getArrivalsList());
-        request.brokenArrivals.addAll(record.getBrokenArrivalsList());
+        request.disconnectedArrivals.addAll(record.getBrokenArrivalsList());
         request.verdict = record.getVerdict();
-        request.barred = record.getVerdict() == HarmRecord.Verdict.BARRED;
+        request.quarantined = record.getVerdict() == HarmRecord.Verdict.BARRED;
         request.onTrial = record.getVerdict() == HarmRecord.Verdict.ON_TRIAL;
         request.cleared = record.getVerdict() == HarmRecord.Verdict.CLEARED;
-        request.lostWhole = record.getLostWhole();
+        request.noShardAnswered = record.getLostWhole();
         request.trialUntilMillis = record.getTrialUntilMillis();
         request.trialArrival = record.getTrialArrival();
         request.changedRevision = record.getChangedRevision();
-        request.firstMillis = record.getFirstMillis();
-        request.seenMillis = record.getSeenMillis();
+        request.firstEvidenceMillis = record.getFirstMillis();
+        request.lastEvidenceMillis = record.getSeenMillis();
         return request;
     }
 
     /** Adds what a host saw, as far as there is room for it. */
     void add(HarmEvidence evidence, long nowMillis) {
-        boolean isNew = evidence.getLostWhole() && !lostWhole;
-        lostWhole |= evidence.getLostWhole();
+        boolean isNew = evidence.getLostWhole() && !noShardAnswered;
+        noShardAnswered |= evidence.getLostWhole();
         isNew |= addUpTo(HarmRecords.MAX_ENDS, evidence.getLeafStartsList(), leafStarts);
         isNew |= addUpTo(HarmRecords.MAX_ARRIVALS, evidence.getArrivalsList(), arrivals);
-        isNew |= addUpTo(HarmRecords.MAX_ARRIVALS, evidence.getBrokenArrivalsList(), brokenArrivals);
+        isNew |= addUpTo(HarmRecords.MAX_ARRIVALS, evidence.getBrokenArrivalsList(), disconnectedArrivals);
         if (isNew) {
-            firstMillis = firstMillis == NOT_SEEN ? nowMillis : firstMillis;
-            seenMillis = nowMillis;
+            firstEvidenceMillis = firstEvidenceMillis == NO_EVIDENCE ? nowMillis : firstEvidenceMillis;
+            lastEvidenceMillis = nowMillis;
             cleared = false;
         }
     }
 
-    private static boolean addUpTo(int bound, List<Long> more, Set<Long> known) {
+    private static boolean addUpTo(int bound, List<Long> added, Set<Long> known) {
         boolean isNew = false;
-        for (long each : more) {
+        for (long each : added) {
             isNew |= known.size() < bound && known.add(each);
         }
         return isNew;
     }
 
     /** Returns true if evidence says anything that is not held and that there is room for. */
-    boolean isNews(HarmEvidence evidence) {
-        return (evidence.getLostWhole() && !lostWhole)
+    boolean hasNewEvidence(HarmEvidence evidence) {
+        return (evidence.getLostWhole() && !noShardAnswered)
                 || !leafStarts.containsAll(evidence.getLeafStartsList())
                 || lacks(arrivals, evidence.getArrivalsList())
-                || lacks(brokenArrivals, evidence.getBrokenArrivalsList());
+                || lacks(disconnectedArrivals, evidence.getBrokenArrivalsList());
     }
 
-    private static boolean lacks(Set<Long> known, List<Long> more) {
-        return known.size() < HarmRecords.MAX_ARRIVALS && !known.containsAll(more);
+    private static boolean lacks(Set<Long> known, List<Long> evidence) {
+        return known.size() < HarmRecords.MAX_ARRIVALS && !known.containsAll(evidence);
     }
 
     /** Lets go of everything that speaks against the request. */
     void clear(long nowMillis) {
         leafStarts.clear();
         arrivals.clear();
-        brokenArrivals.clear();
-        lostWhole = false;
-        barred = false;
+        disconnectedArrivals.clear();
+        noShardAnswered = false;
+        quarantined = false;
         onTrial = false;
         cleared = true;
-        firstMillis = NOT_SEEN;
-        seenMillis = nowMillis;
+        firstEvidenceMillis = NO_EVIDENCE;
+        lastEvidenceMillis = nowMillis;
     }
 
     /** Sets what is to become of the request. */
-    void judge(boolean isBarred, boolean isOnTrial) {
-        barred = isBarred;
+    void setRestriction(boolean isQuarantined, boolean isOnTrial) {
+        quarantined = isQuarantined;
         onTrial = isOnTrial;
     }
 
     /** Takes over the verdict that is to be told; returns true if it is another one than before. */
-    boolean markChanged(long revision) {
-        HarmRecord.Verdict now = judged();
+    boolean updateVerdict(long revision) {
+        HarmRecord.Verdict now = currentVerdict();
         if (now == verdict) {
             return false;
         }
@@ -124,11 +124,11 @@
         return true;
     }
 
-    private HarmRecord.Verdict judged() {
+    private HarmRecord.Verdict currentVerdict() {
         if (cleared) {
             return HarmRecord.Verdict.CLEARED;
         }
-        if (barred) {
+        if (quarantined) {
             return HarmRecord.Verdict.BARRED;
         }
         return onTrial ? HarmRecord.Verdict.ON_TRIAL : HarmRecord.Verdict.SUSPECTED;
@@ -141,20 +141,20 @@
     }
 
     /** Ends the trial of an arrival, if it is the one that is tried; returns true if it is. */
-    boolean giveBackTrial(long arrival) {
-        boolean tried = trialArrival == arrival && trialUntilMillis > 0;
-        if (tried) {
+    boolean endTrial(long arrival) {
+        boolean matches = trialArrival == arrival && trialUntilMillis > 0;
+        if (matches) {
             trialUntilMillis = 0;
         }
-        return tried;
+        return matches;
     }
 
-    boolean isTried(long nowMillis) {
+    boolean isTrialRunning(long nowMillis) {
         return nowMillis < trialUntilMillis;
     }
 
-    boolean isBarred() {
-        return barred;
+    boolean isQuarantined() {
+        return quarantined;
     }
 
     boolean isOnTrial() {
@@ -166,8 +166,8 @@
     }
 
     /** Returns true if a query broke before a leaf of any shard had answered it. */
-    boolean wasLostWhole() {
-        return lostWhole;
+    boolean hadNoShardAnswered() {
+        return noShardAnswered;
     }
 
     long number() {
@@ -198,16 +198,16 @@
 
     /** Returns how many arrivals were on leafs that ended, or had a call that broke. */
     int lostArrivalCount() {
-        return Sets.union(arrivals, brokenArrivals).size();
+        return Sets.union(arrivals, disconnectedArrivals).size();
     }
 
-    long seenMillis() {
-        return seenMillis;
+    long lastEvidenceMillis() {
+        return lastEvidenceMillis;
     }
 
     /** Returns how far apart in time what speaks against the request was seen. */
     long spreadMillis() {
-        return seenMillis - firstMillis;
+        return lastEvidenceMillis - firstEvidenceMillis;
     }
 
     /** Returns what hosts that follow the tables are told. */
@@ -220,8 +220,8 @@
         return record(fingerprint)
                 .addAllLeafStarts(leafStarts)
                 .addAllArrivals(arrivals)
-                .addAllBrokenArrivals(brokenArrivals)
-                .setLostWhole(lostWhole)
+                .addAllBrokenArrivals(disconnectedArrivals)
+                .setLostWhole(noShardAnswered)
                 .setTrialArrival(trialArrival)
                 .build();
     }
@@ -231,8 +231,8 @@
                 .setFingerprint(fingerprint.toBytes())
                 .setVerdict(verdict)
                 .setChangedRevision(changedRevision)
-                .setSeenMillis(seenMillis)
-                .setFirstMillis(firstMillis)
+                .setSeenMillis(lastEvidenceMillis)
+                .setFirstMillis(firstEvidenceMillis)
                 .setTrialUntilMillis(trialUntilMillis)
                 .setNumber(number);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/UnreportedEvidence.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/UnreportedEvidence.java
@@ -18,20 +18,20 @@
  */
 final class UnreportedEvidence {
     /** How many ends, and how many requests, wait to be told. */
-    private static final int MAX_WAITING = 4_096;
+    private static final int MAX_PENDING = 4_096;
     /** How many ends and fingerprints go into one report: about 10 KB. */
-    private static final int MAX_REPORTED = 512;
+    private static final int MAX_REPORT_SIZE = 512;
 
-    private final Map<Fingerprint, Against> against = new LinkedHashMap<>();
-    private final Set<Fingerprint> survived = new LinkedHashSet<>();
+    private final Map<Fingerprint, Evidence> evidence = new LinkedHashMap<>();
+    private final Set<Fingerprint> cleared = new LinkedHashSet<>();
     private int endCount;
 
     /** Notes that a leaf ended with an arrival of a request on it. */
-    void ended(Fingerprint fingerprint, long leafStart, long arrival) {
-        if (endCount >= MAX_WAITING || !hasRoomFor(fingerprint)) {
+    void addLeafEnd(Fingerprint fingerprint, long leafStart, long arrival) {
+        if (endCount >= MAX_PENDING || !hasCapacityFor(fingerprint)) {
             return;
         }
-        Against request = against(fingerprint);
+        Evidence request = evidence(fingerprint);
         request.arrivals.add(arrival);
         if (request.leafStarts.add(leafStart)) {
             endCount++;
@@ -39,91 +39,92 @@
     }
 
     /** Notes that calls of arrivals of a request broke. */
-    void broke(Fingerprint fingerprint, List<Long> arrivals) {
-        if (!arrivals.isEmpty() && hasRoomFor(fingerprint)) {
-            against(fingerprint).brokenArrivals.addAll(arrivals);
+    void addDisconnects(Fingerprint fingerprint, List<Long> arrivals) {
+        if (!arrivals.isEmpty() && hasCapacityFor(fingerprint)) {
+            evidence(fingerprint).disconnectedArrivals.addAll(arrivals);
         }
     }
 
     /** Notes that a query broke before a leaf of any shard had answered it. */
-    void lostWhole(Fingerprint fingerprint) {
-        if (hasRoomFor(fingerprint)) {
-            against(fingerprint).lostWhole = true;
+    void addNoShardAnswered(Fingerprint fingerprint) {
+        if (hasCapacityFor(fingerprint)) {
+            evidence(fingerprint).noShardAnswered = true;
         }
     }
 
     /** Notes that a leaf answered a request. */
-    void survived(Fingerprint fingerprint) {
-        survived.add(fingerprint);
-        Against request = against.remove(fingerprint);
+    void clear(Fingerprint fingerprint) {
+        cleared.add(fingerprint);
+        Evidence request = evidence.remove(fingerprint);
         endCount -= request == null ? 0 : request.leafStarts.size();
     }
 
     /** Takes a report of what waits, if anything does; it counts as told unless it is handed back. */
     Optional<HarmReport> takeReport() {
-        if (against.isEmpty() && survived.isEmpty()) {
+        if (evidence.isEmpty() && cleared.isEmpty()) {
             return Optional.empty();
         }
         HarmReport.Builder report = HarmReport.newBuilder();
         int size = 0;
-        Iterator<Fingerprint> acquitted = survived.iterator();
-        while (acquitted.hasNext() && size < MAX_REPORTED) {
-            report.addSurvived(acquitted.next().toBytes());
-            acquitted.remove();
+        Iterator<Fingerprint> clearedRequests = cleared.iterator();
+        while (clearedRequests.hasNext() && size < MAX_REPORT_SIZE) {
+            report.addSurvived(clearedRequests.next().toBytes());
+            clearedRequests.remove();
             size++;
         }
-        Iterator<Map.Entry<Fingerprint, Against>> accused = against.entrySet().iterator();
-        while (accused.hasNext() && size < MAX_REPORTED) {
-            Map.Entry<Fingerprint, Against> next = accused.next();
+        Iterator<Map.Entry<Fingerprint, Evidence>> suspects =
+                evidence.entrySet().iterator();
+        while (suspects.hasNext() && size < MAX_REPORT_SIZE) {
+            Map.Entry<Fingerprint, Evidence> next = suspects.next();
             report.addEnded(next.getValue().toEvidence(next.getKey()));
             int ends = next.getValue().leafStarts.size();
             size += ends + 1;
             endCount -= ends;
-            accused.remove();
+            suspects.remove();
         }
         return Optional.of(report.build());
     }
 
     /** Takes back a report that was not agreed on, to make it again. */
-    void handBack(HarmReport report) {
+    void restore(HarmReport report) {
         for (HarmEvidence evidence : report.getEndedList()) {
-            Fingerprint.fromBytes(evidence.getFingerprint()).ifPresent(fingerprint -> handBack(fingerprint, evidence));
+            Fingerprint.fromBytes(evidence.getFingerprint()).ifPresent(fingerprint -> restore(fingerprint, evidence));
         }
-        report.getSurvivedList().forEach(bytes -> Fingerprint.fromBytes(bytes).ifPresent(survived::add));
+        report.getSurvivedList().forEach(bytes -> Fingerprint.fromBytes(bytes).ifPresent(cleared::add));
     }
 
-    private void handBack(Fingerprint fingerprint, HarmEvidence evidence) {
-        broke(fingerprint, evidence.getBrokenArrivalsList());
+    private void restore(Fingerprint fingerprint, HarmEvidence evidence) {
+        addDisconnects(fingerprint, evidence.getBrokenArrivalsList());
         if (evidence.getLostWhole()) {
-            lostWhole(fingerprint);
+            addNoShardAnswered(fingerprint);
         }
         for (long arrival : evidence.getArrivalsList()) {
-            evidence.getLeafStartsList().forEach(leafStart -> ended(fingerprint, leafStart, arrival));
+            evidence.getLeafStartsList().forEach(leafStart -> addLeafEnd(fingerprint, leafStart, arrival));
         }
     }
 
-    private boolean hasRoomFor(Fingerprint fingerprint) {
-        return against.size() < MAX_WAITING || against.containsKey(fingerprint);
+    private boolean hasCapacityFor(Fingerprint fingerprint) {
+        return evidence.size() < MAX_PENDING || evidence.containsKey(fingerprint);
     }
 
-    private Against against(Fingerprint fingerprint) {
-        return against.computeIfAbsent(fingerprint, unused -> new Against());
+    private Evidence evidence(Fingerprint fingerprint) {
+        return evidence.computeIfAbsent(fingerprint, unused -> new Evidence());
     }
 
     /** What speaks against one request. */
-    private static final class Against {
+    private static final class Evidence {
         private final Set<Long> leafStarts = new LinkedHashSet<>();
         private final Set<Long> arrivals = new LinkedHashSet<>(2);
-        private final Set<Long> brokenArrivals = new LinkedHashSet<>(2);
-        private boolean lostWhole;
+        private final Set<Long> disconnectedArrivals = new LinkedHashSet<>(2);
+        private boolean noShardAnswered;
 
         HarmEvidence toEvidence(Fingerprint fingerprint) {
             return HarmEvidence.newBuilder()
                     .setFingerprint(fingerprint.toBytes())
                     .addAllLeafStarts(leafStarts)
                     .addAllArrivals(arrivals)
-                    .addAllBrokenArrivals(brokenArrivals)
-                    .setLostWhole(lostWhole)
+                    .addAllBrokenArrivals(disconnectedArrivals)
+                    .setLostWhole(noShardAnswered)
                     .build();
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdAllowance.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdAllowance.java
@@ -16,47 +16,47 @@
  */
 final class ColdAllowance {
     /** How many hosts may take themselves for the one that spends. */
-    static final int SPENDERS_AT_ONCE = 2;
+    static final int MAX_CONCURRENT_SENDERS = 2;
 
     /** What may be saved up: with more, less a second would be left within the bound. */
-    private static final double MOST_SAVED = 1;
+    private static final double MAX_TOKENS = 1;
 
-    private static final double NANOS_A_SECOND = Duration.ofSeconds(1).toNanos();
+    private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
     private final double perSecond;
-    private double saved;
-    private long savedAtNanos;
+    private double tokens;
+    private long refilledAtNanos;
 
     /**
      * Creates an allowance of which nothing is saved.
      *
-     * @param mostPerSecond how many requests the leaf bears in any second, from all hosts together
+     * @param maxPerSecond how many requests the leaf bears in any second, from all hosts together
      */
-    ColdAllowance(double mostPerSecond, long nowNanos) {
-        checkArgument(mostPerSecond >= 0, "%s requests a second", mostPerSecond);
-        this.perSecond = Math.max(0, mostPerSecond / SPENDERS_AT_ONCE - MOST_SAVED);
-        this.savedAtNanos = nowNanos;
+    ColdAllowance(double maxPerSecond, long nowNanos) {
+        checkArgument(maxPerSecond >= 0, "%s requests a second", maxPerSecond);
+        this.perSecond = Math.max(0, maxPerSecond / MAX_CONCURRENT_SENDERS - MAX_TOKENS);
+        this.refilledAtNanos = nowNanos;
     }
 
     /** Returns true if a request may be sent now. */
-    boolean isLeft(long nowNanos) {
-        return saved(nowNanos) >= 1;
+    boolean isAvailable(long nowNanos) {
+        return tokens(nowNanos) >= 1;
     }
 
     /** Spends one request, if it is left. */
-    boolean trySpend(long nowNanos) {
-        double before = saved(nowNanos);
-        saved = before;
-        savedAtNanos = nowNanos;
+    boolean tryAcquire(long nowNanos) {
+        double before = tokens(nowNanos);
+        tokens = before;
+        refilledAtNanos = nowNanos;
         if (before < 1) {
             return false;
         }
-        saved = before - 1;
+        tokens = before - 1;
         return true;
     }
 
-    private double saved(long nowNanos) {
-        double earned = perSecond * Math.max(0, nowNanos - savedAtNanos) / NANOS_A_SECOND;
-        return Math.min(MOST_SAVED, saved + earned);
+    private double tokens(long nowNanos) {
+        double refill = perSecond * Math.max(0, nowNanos - refilledAtNanos) / NANOS_PER_SECOND;
+        return Math.min(MAX_TOKENS, tokens + refill);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns how many requests a leaf bears in any second that is made for so many while it is cold. */
-    public double mostPerSecond(double madeFor) {
-        return madeFor * factor + slack;
+    public double mostPerSecond(double declaredPerSecond) {
+        return declaredPerSecond * factor + slack;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/DecayingAverage.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/DecayingAverage.java
@@ -12,7 +12,7 @@
 final class DecayingAverage {
     private final double neutral;
     private final double smoothing;
-    private final long fadeNanos;
+    private final long halfLifeNanos;
     private double value;
     private long observedAtNanos;
 
@@ -21,14 +21,14 @@
      *
      * @param neutral what is taken to hold where nothing was observed
      * @param smoothing how much of its distance from the average each observation adds, above 0 and at most 1
-     * @param fade after which half of what was observed still counts
+     * @param halfLife after which half of what was observed still counts
      */
-    DecayingAverage(double neutral, double smoothing, Duration fade, long nowNanos) {
+    DecayingAverage(double neutral, double smoothing, Duration halfLife, long nowNanos) {
         checkArgument(smoothing > 0 && smoothing <= 1, "a smoothing of %s", smoothing);
-        checkArgument(!fade.isZero() && !fade.isNegative(), "a fading time of %s", fade);
+        checkArgument(!halfLife.isZero() && !halfLife.isNegative(), "a fading time of %s", halfLife);
         this.neutral = neutral;
         this.smoothing = smoothing;
-        this.fadeNanos = fade.toNanos();
+        this.halfLifeNanos = halfLife.toNanos();
         this.value = neutral;
         this.observedAtNanos = nowNanos;
     }
@@ -40,7 +40,7 @@
     }
 
     double at(long nowNanos) {
-        double weight = (double) fadeNanos / (fadeNanos + Math.max(0, nowNanos - observedAtNanos));
+        double weight = (double) halfLifeNanos / (halfLifeNanos + Math.max(0, nowNanos - observedAtNanos));
         return neutral + (value - neutral) * weight;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
@@ -13,12 +13,12 @@
  */
 public final class EventLoopLag {
     /** Over how long a lag is averaged: a few queries of a busy host. */
-    private static final double AVERAGED_NANOS = Duration.ofMillis(300).toNanos();
+    private static final double AVERAGING_NANOS = Duration.ofMillis(300).toNanos();
 
     private long periodNanos;
-    private boolean begun;
+    private boolean started;
     private long lastRunNanos;
-    private long lastLateNanos;
+    private long lastLagNanos;
     private double averageNanos;
 
     private EventLoopLag(long periodNanos) {
@@ -51,13 +51,13 @@
 
     /** Notes that the regular task runs. */
     public void onTaskRun(long nowNanos) {
-        lastLateNanos = begun ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
-        if (begun) {
+        lastLagNanos = started ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
+        if (started) {
             double sinceNanos = Math.max(0, nowNanos - lastRunNanos);
-            averageNanos += sinceNanos / (sinceNanos + AVERAGED_NANOS) * (lastLateNanos - averageNanos);
+            averageNanos += sinceNanos / (sinceNanos + AVERAGING_NANOS) * (lastLagNanos - averageNanos);
         }
         lastRunNanos = nowNanos;
-        begun = true;
+        started = true;
     }
 
     /** Returns when what is read now may have arrived: on a host that is behind, some time ago. */
@@ -75,9 +75,9 @@
 
     /** Returns how long what is read now may have waited here. */
     public long lagNanos(long nowNanos) {
-        if (!begun) {
+        if (!started) {
             return 0;
         }
-        return Math.max(lastLateNanos, nowNanos - lastRunNanos - periodNanos);
+        return Math.max(lastLagNanos, nowNanos - lastRunNanos - periodNanos);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/HostCapacity.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/HostCapacity.java
@@ -17,14 +17,14 @@
      * A call and its answers wait that long each: twice this is half of the shortest goals of callers, 100 ms, which
      * leaves time for neither a hedge nor the way.
      */
-    private static final long BEHIND_NANOS = Duration.ofMillis(25).toNanos();
+    private static final long LAGGING_NANOS = Duration.ofMillis(25).toNanos();
     /** What a host is late by that has no more than its usual work. */
-    private static final long CAUGHT_UP_NANOS = Duration.ofMillis(10).toNanos();
+    private static final long RECOVERED_NANOS = Duration.ofMillis(10).toNanos();
     /** A host asks the same one every second or two in a large fleet; a slow spell lasts a few seconds. */
-    private static final long FRESH_NANOS = Duration.ofSeconds(3).toNanos();
+    private static final long REPORT_VALIDITY_NANOS = Duration.ofSeconds(3).toNanos();
 
-    private boolean behind;
-    private long toldAtNanos;
+    private boolean lagging;
+    private long reportedAtNanos;
 
     /** Creates the room of a host that has said nothing yet. */
     public HostCapacity() {}
@@ -35,12 +35,12 @@
      * @param lagNanos how long what arrives there waits to be read
      */
     public void record(long lagNanos, long nowNanos) {
-        behind = isLagging(nowNanos) ? lagNanos > CAUGHT_UP_NANOS : lagNanos > BEHIND_NANOS;
-        toldAtNanos = nowNanos;
+        lagging = isLagging(nowNanos) ? lagNanos > RECOVERED_NANOS : lagNanos > LAGGING_NANOS;
+        reportedAtNanos = nowNanos;
     }
 
     /** Returns true if it said of late that it is behind. */
     public boolean isLagging(long nowNanos) {
-        return behind && nowNanos - toldAtNanos < FRESH_NANOS;
+        return lagging && nowNanos - reportedAtNanos < REPORT_VALIDITY_NANOS;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagSamplingPeriod.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagSamplingPeriod.java
@@ -15,19 +15,19 @@
     /** Without work: about the shortest goal. */
     public static final Duration IDLE_PERIOD = Duration.ofMillis(100);
     /** Work that came this long ago is over in most cases, and in the others its late answers are few. */
-    static final Duration WORK_LASTS = Duration.ofMillis(300);
+    static final Duration BUSY_TIMEOUT = Duration.ofMillis(300);
 
     private long lastWorkNanos;
-    private boolean hasWorked;
+    private boolean hasHadWork;
 
     /** Notes that work comes. */
     public void onWork(long nowNanos) {
         lastWorkNanos = nowNanos;
-        hasWorked = true;
+        hasHadWork = true;
     }
 
     /** Returns after how long to look again. */
     public Duration next(long nowNanos) {
-        return hasWorked && nowNanos - lastWorkNanos < WORK_LASTS.toNanos() ? BUSY_PERIOD : IDLE_PERIOD;
+        return hasHadWork && nowNanos - lastWorkNanos < BUSY_TIMEOUT.toNanos() ? BUSY_PERIOD : IDLE_PERIOD;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
@@ -17,8 +17,8 @@
 public final class Leaf {
     private static final int FAILURES_TO_EJECT = 3;
     private static final long FIRST_EJECTION_NANOS = Duration.ofMillis(400).toNanos();
-    private static final long LONGEST_EJECTION_NANOS = Duration.ofSeconds(5).toNanos();
-    private static final long BUSY_NANOS = Duration.ofMillis(60).toNanos();
+    private static final long MAX_EJECTION_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final long BUSY_PENALTY_NANOS = Duration.ofMillis(60).toNanos();
     /** A stalled leaf is expected to take about this much longer: between half and the whole of an observed pause. */
     public static final long STALL_HANDICAP_NANOS = Duration.ofMillis(150).toNanos();
     /** What one certain failure costs a request, in time lost before the next attempt. */
@@ -31,22 +31,22 @@
     /** Overdue calls in a row that were given up with no answer between them, as a leaf that is dark leaves. */
     private static final int ABANDONED_TO_EJECT = 4;
     /** How fast old evidence of refusals fades: somewhat slower than a leaf gets calls to show it. */
-    private static final Duration EVIDENCE_FADE = Duration.ofSeconds(5);
+    private static final Duration REFUSAL_HALF_LIFE = Duration.ofSeconds(5);
     /**
      * The part of what other hosts had under way that the next call is taken to meet. All hosts learn of the same free
      * leaf at about the same time, so that the whole of it would send them all to and fro together; compared by the
      * experiment tool with 0.3 to 1.
      */
-    private static final double OTHERS_SHARE = 0.5;
+    private static final double OTHER_HOSTS_WEIGHT = 0.5;
 
     /**
      * Calls that fill slots slow one another a little: an eighth of the work each, chosen to break ties, not measured.
      */
     private static final double FREE_SLOT_DIVISOR = 8.0;
 
-    private static final double LEAST_SLOWNESS = 0.3;
-    private static final double MOST_SLOWNESS = 10.0;
-    private static final double STALLED_AFTER = 3.0;
+    private static final double MIN_SLOWNESS = 0.3;
+    private static final double MAX_SLOWNESS = 10.0;
+    private static final double STALL_FACTOR = 3.0;
     private static final double FAILURE_SMOOTHING = 0.15;
     private static final double REFUSAL_SMOOTHING = 0.15;
 
@@ -54,7 +54,7 @@
     private final String service;
     private final String address;
     private final LeafLocation location;
-    private final LeafWarmUp coldness;
+    private final LeafWarmUp warmUp;
     private final RoutingContext context;
     private final List<Call> calls = new ArrayList<>(4);
     private int slots;
@@ -63,7 +63,7 @@
     private long busyUntilNanos;
     private final LeafSlowness slowness;
     private final DecayingAverage refusalRate;
-    private final ReportedLoad told;
+    private final ReportedLoad reportedLoad;
     private long stalledUntilNanos;
     private int consecutiveAbandoned;
     private double failureRate;
@@ -101,14 +101,14 @@
         this.address = address;
         this.location = requireNonNull(place);
         this.slots = Math.max(1, slots);
-        this.coldness = new LeafWarmUp(nowNanos + coldFor.toNanos());
+        this.warmUp = new LeafWarmUp(nowNanos + coldFor.toNanos());
         this.context = context;
         this.busyUntilNanos = nowNanos;
         this.ejectedUntilNanos = nowNanos;
         this.stalledUntilNanos = nowNanos;
         this.slowness = new LeafSlowness(nowNanos);
-        this.refusalRate = new DecayingAverage(0, REFUSAL_SMOOTHING, EVIDENCE_FADE, nowNanos);
-        this.told = new ReportedLoad(nowNanos);
+        this.refusalRate = new DecayingAverage(0, REFUSAL_SMOOTHING, REFUSAL_HALF_LIFE, nowNanos);
+        this.reportedLoad = new ReportedLoad(nowNanos);
     }
 
     /** Returns the identifier of this start of the leaf. */
@@ -147,27 +147,27 @@
      * @param coldFor how much longer
      */
     public void markCold(Duration coldFor, long nowNanos) {
-        coldness.turnCold(coldFor, nowNanos);
+        warmUp.markCold(coldFor, nowNanos);
     }
 
     /**
      * States what it bears while it is cold.
      *
-     * @param mostPerSecond how many requests in any second, from all hosts together
-     * @param spendsHere whether this is the host that may send them
+     * @param maxPerSecond how many requests in any second, from all hosts together
+     * @param sendsHere whether this is the host that may send them
      */
-    public void limitColdRequests(double mostPerSecond, boolean spendsHere, long nowNanos) {
-        coldness.bound(mostPerSecond, spendsHere, nowNanos);
+    public void limitColdRequests(double maxPerSecond, boolean sendsHere, long nowNanos) {
+        warmUp.limit(maxPerSecond, sendsHere, nowNanos);
     }
 
     /** Returns true if it is cold and this host may send it nothing now. */
     public boolean isBlockedWhileCold(long nowNanos) {
-        return coldness.isSpent(nowNanos);
+        return warmUp.isBlocked(nowNanos);
     }
 
     /** Notes a request that is to be sent; returns false if it is cold and must not be sent this one. */
     public boolean tryAdmit(long nowNanos) {
-        return coldness.admit(nowNanos);
+        return warmUp.tryAdmit(nowNanos);
     }
 
     /**
@@ -207,7 +207,7 @@
     public void end(Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
         calls.remove(call);
         if (load.isPresent()) {
-            told.note(load.get(), calls.size(), nowNanos);
+            reportedLoad.record(load.get(), calls.size(), nowNanos);
             slots = Math.max(1, load.get().slots());
         }
         switch (outcome) {
@@ -217,7 +217,7 @@
             }
             case REFUSED_BUSY -> {
                 refusalRate.observe(1, nowNanos);
-                busyUntilNanos = nowNanos + BUSY_NANOS;
+                busyUntilNanos = nowNanos + BUSY_PENALTY_NANOS;
             }
             case REFUSED_GONE -> acceptsWork = false;
             case UNREACHABLE -> failed(FAILURES_TO_EJECT, nowNanos);
@@ -229,8 +229,8 @@
     }
 
     /** Returns how many times as long as usual work takes there, as far as the leaf has told of late. */
-    private double toldWork(long nowNanos) {
-        return context.uses(RoutingFeature.TOLD_WORK) ? told.work(nowNanos) : 1;
+    private double reportedWorkFactor(long nowNanos) {
+        return context.uses(RoutingFeature.TOLD_WORK) ? reportedLoad.workFactor(nowNanos) : 1;
     }
 
     /**
@@ -241,8 +241,8 @@
         if (!calls.remove(call)) {
             return;
         }
-        double ratio = ratio(call, nowNanos);
-        if (ratio < STALLED_AFTER) {
+        double ratio = slownessOf(call, nowNanos);
+        if (ratio < STALL_FACTOR) {
             return;
         }
         stalledUntilNanos = nowNanos + STALL_MEMORY_NANOS;
@@ -271,10 +271,10 @@
         if (nowNanos - stalledUntilNanos < 0) {
             return true;
         }
-        long readNanos = nowNanos - context.lagNanos(nowNanos);
+        long arrivalNanos = nowNanos - context.lagNanos(nowNanos);
         for (Call call : calls) {
-            if (readNanos - call.sentNanos
-                    > STALLED_AFTER * call.expectedNanos
+            if (arrivalNanos - call.sentNanos
+                    > STALL_FACTOR * call.expectedNanos
                             + 2 * location.distance().handicapNanos()) {
                 return true;
             }
@@ -284,7 +284,7 @@
 
     /** Returns true if one more call would wait behind as many as it works on at a time, or it just refused one. */
     public boolean isOverloaded(long nowNanos) {
-        return Math.max(calls.size(), told.calls(nowNanos)) >= 2 * slots || nowNanos - busyUntilNanos < 0;
+        return Math.max(calls.size(), reportedLoad.calls(nowNanos)) >= 2 * slots || nowNanos - busyUntilNanos < 0;
     }
 
     /** Returns true if one more call would begin at once, as far as this host knows. */
@@ -299,9 +299,9 @@
      */
     public double costNanos(long expectedNanos, long nowNanos) {
         double occupancy = occupancy(nowNanos);
-        double ahead = Math.max(0, occupancy + 1 - slots);
+        double queued = Math.max(0, occupancy + 1 - slots);
         double work = workNanos(expectedNanos, nowNanos);
-        double cost = work * (1 + ahead / slots) + location.distance().handicapNanos();
+        double cost = work * (1 + queued / slots) + location.distance().handicapNanos();
         cost += occupancy * work / (FREE_SLOT_DIVISOR * slots);
         cost += failureRate * FAILURE_HANDICAP_NANOS;
         if (nowNanos - busyUntilNanos < 0) {
@@ -317,8 +317,8 @@
      */
     public long workNanos(long expectedNanos, long nowNanos) {
         double work = context.uses(RoutingFeature.SLOWNESS) ? expectedNanos * slowness.at(nowNanos) : expectedNanos;
-        work *= toldWork(nowNanos);
-        return (long) (coldness.isCold(nowNanos) ? work * COLD_FACTOR : work);
+        work *= reportedWorkFactor(nowNanos);
+        return (long) (warmUp.isCold(nowNanos) ? work * COLD_FACTOR : work);
     }
 
     /** Returns the share of calls that it is expected to refuse; what was seen long ago fades. */
@@ -328,8 +328,8 @@
 
     /** Returns how many calls the next one is expected to meet at the leaf: those of this host and of others. */
     private double occupancy(long nowNanos) {
-        double others = context.uses(RoutingFeature.LOAD_OF_OTHERS) ? told.callsOfOthers(nowNanos) : 0;
-        return calls.size() + OTHERS_SHARE * others;
+        double others = context.uses(RoutingFeature.LOAD_OF_OTHERS) ? reportedLoad.callsOfOthers(nowNanos) : 0;
+        return calls.size() + OTHER_HOSTS_WEIGHT * others;
     }
 
     private void succeeded(Call call, long nowNanos) {
@@ -339,25 +339,24 @@
         stalledUntilNanos = nowNanos;
         failureRate -= FAILURE_SMOOTHING * failureRate;
         // What the leaf says of the moment is no property of the leaf.
-        observe(ratio(call, nowNanos) / toldWork(nowNanos), nowNanos);
+        observe(slownessOf(call, nowNanos) / reportedWorkFactor(nowNanos), nowNanos);
     }
 
     /** Returns how many times as long as usual a call has taken, without the time for which this host was behind. */
-    private double ratio(Call call, long nowNanos) {
+    private double slownessOf(Call call, long nowNanos) {
         long tookNanos = Math.max(0, nowNanos - context.lagNanos(nowNanos) - call.sentNanos);
         return (double) tookNanos / Math.max(1, call.expectedNanos);
     }
 
     private void observe(double ratio, long nowNanos) {
-        slowness.observe(Math.max(LEAST_SLOWNESS, Math.min(ratio, MOST_SLOWNESS)), nowNanos);
+        slowness.observe(Math.max(MIN_SLOWNESS, Math.min(ratio, MAX_SLOWNESS)), nowNanos);
     }
 
     private void failed(int weight, long nowNanos) {
         consecutiveFailures += weight;
         failureRate += FAILURE_SMOOTHING * (1 - failureRate);
         if (consecutiveFailures >= FAILURES_TO_EJECT) {
-            ejectionNanos =
-                    ejectionNanos == 0 ? FIRST_EJECTION_NANOS : Math.min(LONGEST_EJECTION_NANOS, 2 * ejectionNanos);
+            ejectionNanos = ejectionNanos == 0 ? FIRST_EJECTION_NANOS : Math.min(MAX_EJECTION_NANOS, 2 * ejectionNanos);
             ejectedUntilNanos = nowNanos + ejectionNanos;
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
@@ -32,13 +32,13 @@
      * come here for that leaf, and goes through a third host. As much as the way to another region, so that a queue of
      * a call or two is no reason for it, and a leaf that pauses, refuses or is slow is.
      */
-    private static final double PASS_ON_NANOS = Duration.ofMillis(40).toNanos();
+    private static final double FORWARD_NANOS = Duration.ofMillis(40).toNanos();
 
     private final String service;
     private final WindowedBudget budget;
     private final RoutingContext context;
     private final Map<String, Leaf> leaves = new LinkedHashMap<>();
-    private boolean heldHere;
+    private boolean heldLocally;
 
     /** Creates an empty pool. */
     public LeafPool(String service, WindowedBudget budget) {
@@ -101,7 +101,7 @@
      * calls for that leaf.
      */
     public void setHeldLocally(boolean held) {
-        heldHere = held;
+        heldLocally = held;
     }
 
     /** Returns true if a leaf at most at the given distance takes work and is not ejected. */
@@ -136,7 +136,7 @@
             // A cold leaf for which this host has no allowance is asked through another host, or not at all.
             boolean ejected = leaf.isEjected(nowNanos) || leaf.isBlockedWhileCold(nowNanos);
             double cost = leaf.costNanos(expectedNanos, nowNanos) + leaf.refusalRate(nowNanos) * refusalNanos;
-            cost += heldHere && leaf.distance() != Distance.SAME_ZONE ? PASS_ON_NANOS : 0;
+            cost += heldLocally && leaf.distance() != Distance.SAME_ZONE ? FORWARD_NANOS : 0;
             boolean better = ejected != bestEjected ? !ejected : cost < bestCost;
             if (best == null || better) {
                 best = leaf;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafSlowness.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafSlowness.java
@@ -15,49 +15,49 @@
  */
 final class LeafSlowness {
     /** A leaf keeps its speed as long as it runs, unless its data or its machine change. */
-    private static final Duration SPEED_FADE = Duration.ofSeconds(60);
+    private static final Duration SPEED_HALF_LIFE = Duration.ofSeconds(60);
     /** Some twenty calls settle a speed, so that a spell of a few calls moves it little. */
     private static final double SPEED_SMOOTHING = 0.05;
 
-    private static final double SPELL_SMOOTHING = 0.3;
+    private static final double PERIOD_SMOOTHING = 0.3;
     /** Half of what was seen of a spell of half a second says nothing of the next half second. */
-    private static final double SPELL_FADE_NANOS = Duration.ofMillis(300).toNanos();
+    private static final double PERIOD_HALF_LIFE_NANOS = Duration.ofMillis(300).toNanos();
     /** What is slower than work beside others makes a leaf is a fault, and those last seconds. */
-    private static final double FAULT_LOG = Math.log(3);
+    private static final double FAULT_LOG_FACTOR = Math.log(3);
     /** Each call that looks whether a fault has passed is late, and its query with it. */
-    private static final double FAULT_FADE_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final double FAULT_HALF_LIFE_NANOS = Duration.ofSeconds(5).toNanos();
 
     private final DecayingAverage speedLog;
-    private double spellLog;
+    private double periodLog;
     private long observedAtNanos;
 
     LeafSlowness(long nowNanos) {
-        this.speedLog = new DecayingAverage(0, SPEED_SMOOTHING, SPEED_FADE, nowNanos);
+        this.speedLog = new DecayingAverage(0, SPEED_SMOOTHING, SPEED_HALF_LIFE, nowNanos);
         this.observedAtNanos = nowNanos;
     }
 
     /**
      * Notes a call.
      *
-     * @param times how many times as long as usual it took, above 0
+     * @param factor how many times as long as usual it took, above 0
      */
-    void observe(double times, long nowNanos) {
-        double log = Math.log(times);
-        double before = spellLogAt(nowNanos);
-        spellLog = before + SPELL_SMOOTHING * (log - speedLog.at(nowNanos) - before);
+    void observe(double factor, long nowNanos) {
+        double log = Math.log(factor);
+        double before = periodLogAt(nowNanos);
+        periodLog = before + PERIOD_SMOOTHING * (log - speedLog.at(nowNanos) - before);
         observedAtNanos = nowNanos;
         speedLog.observe(log, nowNanos);
     }
 
     /** Returns how many times as long as usual the next call is expected to take. */
     double at(long nowNanos) {
-        return Math.exp(speedLog.at(nowNanos) + spellLogAt(nowNanos));
+        return Math.exp(speedLog.at(nowNanos) + periodLogAt(nowNanos));
     }
 
-    private double spellLogAt(long nowNanos) {
-        double fadeNanos = spellLog < FAULT_LOG ? SPELL_FADE_NANOS : FAULT_FADE_NANOS;
-        double weight = fadeNanos / (fadeNanos + Math.max(0, nowNanos - observedAtNanos));
+    private double periodLogAt(long nowNanos) {
+        double halfLifeNanos = periodLog < FAULT_LOG_FACTOR ? PERIOD_HALF_LIFE_NANOS : FAULT_HALF_LIFE_NANOS;
+        double weight = halfLifeNanos / (halfLifeNanos + Math.max(0, nowNanos - observedAtNanos));
         // A factor fades as a factor: the logarithm alone would let a large one go too soon.
-        return Math.log1p(Math.expm1(spellLog) * weight);
+        return Math.log1p(Math.expm1(periodLog) * weight);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
@@ -12,7 +12,7 @@
     /** Absent if a cold leaf of the service bears as much as a warm one. */
     private Optional<ColdAllowance> allowance = Optional.empty();
 
-    private boolean spendsHere;
+    private boolean sendsHere;
     private long warmAtNanos;
 
     /** Creates the coldness of a leaf that warms up at a time. */
@@ -20,15 +20,15 @@
         this.warmAtNanos = warmAtNanos;
     }
 
-    void turnCold(Duration coldFor, long nowNanos) {
+    void markCold(Duration coldFor, long nowNanos) {
         warmAtNanos = nowNanos + coldFor.toNanos();
     }
 
-    void bound(double mostPerSecond, boolean newSpendsHere, long nowNanos) {
-        if (allowance.isEmpty() || newSpendsHere != spendsHere) {
-            allowance = Optional.of(new ColdAllowance(mostPerSecond, nowNanos));
+    void limit(double maxPerSecond, boolean newSendsHere, long nowNanos) {
+        if (allowance.isEmpty() || newSendsHere != sendsHere) {
+            allowance = Optional.of(new ColdAllowance(maxPerSecond, nowNanos));
         }
-        spendsHere = newSpendsHere;
+        sendsHere = newSendsHere;
     }
 
     boolean isCold(long nowNanos) {
@@ -36,16 +36,16 @@
     }
 
     /** Returns true if this host may send it nothing now. */
-    boolean isSpent(long nowNanos) {
-        return isBound(nowNanos) && !(spendsHere && allowance.get().isLeft(nowNanos));
+    boolean isBlocked(long nowNanos) {
+        return isLimited(nowNanos) && !(sendsHere && allowance.get().isAvailable(nowNanos));
     }
 
     /** Notes a request that is to be sent; returns false if it must not be. */
-    boolean admit(long nowNanos) {
-        return !isBound(nowNanos) || (spendsHere && allowance.get().trySpend(nowNanos));
+    boolean tryAdmit(long nowNanos) {
+        return !isLimited(nowNanos) || (sendsHere && allowance.get().tryAcquire(nowNanos));
     }
 
-    private boolean isBound(long nowNanos) {
+    private boolean isLimited(long nowNanos) {
         return allowance.isPresent() && isCold(nowNanos);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
@@ -32,7 +32,7 @@
         for (String text : fields.texts(FIELD, RoutingFeature.values().length)) {
             boolean known = false;
             for (RoutingFeature mechanism : RoutingFeature.values()) {
-                if (spell(mechanism).equals(text)) {
+                if (keyOf(mechanism).equals(text)) {
                     off.add(mechanism);
                     known = true;
                 }
@@ -52,12 +52,12 @@
     private static String choices() {
         StringBuilder choices = new StringBuilder();
         for (RoutingFeature mechanism : RoutingFeature.values()) {
-            choices.append(choices.length() == 0 ? "" : ", ").append(spell(mechanism));
+            choices.append(choices.length() == 0 ? "" : ", ").append(keyOf(mechanism));
         }
         return choices.toString();
     }
 
-    private static String spell(RoutingFeature mechanism) {
+    private static String keyOf(RoutingFeature mechanism) {
         return mechanism.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmRecordsTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmRecordsTest.java
@@ -25,7 +25,7 @@
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.SUSPECTED));
         ended(HARMFUL, 1, 11);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.ON_TRIAL));
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         ended(HARMFUL, 2, 12);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
     }
@@ -37,7 +37,7 @@
             ended(HARMFUL, arrival, 10 + arrival);
         }
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.ON_TRIAL));
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         ended(HARMFUL, 9, 20);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
     }
@@ -48,7 +48,7 @@
         broke(HARMFUL, 1);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.SUSPECTED));
         broke(HARMFUL, 2);
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         broke(HARMFUL, 3);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.ON_TRIAL));
         ended(HARMFUL, 3, 10);
@@ -68,7 +68,7 @@
     @Test
     void aTrialWhoseCallBrokeLetsTheNextOneBeTriedAndCounts() {
         ended(HARMFUL, 1, 10, 11);
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         assertThat(isGranted(HARMFUL, 5)).isTrue();
         giveBack(HARMFUL, 5, TakeTrial.Outcome.BROKEN);
         assertThat(isGranted(HARMFUL, 6)).isTrue();
@@ -112,7 +112,7 @@
     void aBystanderIsExplainedByTheHarmfulOne() {
         ended(HARMFUL, 1, 10, 11, 12, 13);
         ended(BYSTANDER, 2, 10, 11);
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         ended(HARMFUL, 3, 14);
         ended(BYSTANDER, 4, 12);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
@@ -122,14 +122,14 @@
     @Test
     void barsOutliveASnapshotAndEndAfterAnHour() {
         ended(HARMFUL, 1, 10, 11);
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         ended(HARMFUL, 2, 12);
         ReplicatedTables restored = new ReplicatedTables();
         restored.restore(tables.toSnapshot());
         assertThat(restored.harm().verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
         assertThat(restored.changesSince(0).getHarm(0).getVerdict()).isEqualTo(Verdict.BARRED);
         assertThat(restored.changesSince(0).getHarm(0).getLeafStartsList()).isEmpty();
-        nowMillis += HarmRecords.KEEP_BARRED_MILLIS + 1;
+        nowMillis += HarmRecords.QUARANTINE_MILLIS + 1;
         ended(BYSTANDER, 9, 99);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.CLEARED));
     }
@@ -137,7 +137,7 @@
     @Test
     void whatIsKeptIsBoundedAndBarsGoLast() {
         ended(HARMFUL, 1, 1, 2);
-        nowMillis += HarmRecords.LEAST_SPREAD_MILLIS;
+        nowMillis += HarmRecords.MIN_SPREAD_MILLIS;
         ended(HARMFUL, 2, 3);
         for (int number = 0; number < 3 * HarmRecords.MAX_RECORDS; number++) {
             long[] leafStarts = new long[40];
@@ -150,7 +150,7 @@
         assertThat(tables.harm().all().stream()
                         .mapToInt(record -> record.getLeafStartsCount())
                         .sum())
-                .isAtMost(HarmRecords.MAX_ENDS_IN_ALL);
+                .isAtMost(HarmRecords.MAX_TOTAL_ENDS);
         assertThat(verdict(HARMFUL)).isEqualTo(Optional.of(Verdict.BARRED));
     }
 
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
@@ -47,7 +47,7 @@
         ColdAllowance alone = new ColdAllowance(BOUND, 0);
         int sent = 0;
         for (long at = 0; at < 10 * SECOND; at += SECOND / 1_000) {
-            sent += alone.trySpend(at) ? 1 : 0;
+            sent += alone.tryAcquire(at) ? 1 : 0;
         }
         assertThat(sent).isAtLeast((int) (10 * (BOUND / 2 - 1)) - 1);
     }
@@ -82,7 +82,7 @@
                 lastSecond.pollFirst();
             }
             for (int request = random.nextInt(30); request > 0; request--) {
-                if (spenders.get(host).orElseThrow().trySpend(nowNanos)) {
+                if (spenders.get(host).orElseThrow().tryAcquire(nowNanos)) {
                     lastSecond.addLast(nowNanos);
                 }
             }
