--- a/bramblerack-core/src/main/java/org/bramblerack/process/DrainRegistry.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/DrainRegistry.java
@@ -7,16 +7,16 @@
 import org.bramblerack.version.UpstreamName;
 
 /**
- * Which holders say of which upstreams that they are leaving.
+ * Records which holders report an upstream as leaving.
  *
- * <p>The first holder to say so is believed; an upstream takes new work again when all holders that said so took it
- * back. Safe for use by many threads; nothing is called under its lock.
+ * <p>An upstream is leaving while at least one holder reports it as such. Safe for use by many threads; nothing is
+ * called under its lock.
  */
 public final class DrainRegistry {
     private final Map<UpstreamName, Set<String>> drainingHolders = new HashMap<>();
 
     /**
-     * Records what a holder says.
+     * Records the latest report of a holder about an upstream.
      *
      * @return true if the upstream is leaving according to any holder
      */
--- a/bramblerack-core/src/main/java/org/bramblerack/process/DrainSource.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/DrainSource.java
@@ -1,8 +1,8 @@
 package org.bramblerack.process;
 
-/** Who said that an upstream is leaving. The first to say so wins; all must take it back before new work returns. */
+/** The source of a report that an upstream is leaving. The upstream gets new work only if no source reports it so. */
 public enum DrainSource {
-    /** The platform's list. */
+    /** The platform's list of hosts. */
     PLATFORM,
     /** The upstream itself, in a reply or in its status. */
     UPSTREAM,
--- a/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
@@ -3,10 +3,9 @@
 import java.time.Duration;
 
 /**
- * How often something happened of late.
+ * The rate of an event over a sliding window of five seconds.
  *
- * <p>Counts over a window that is long enough for a handful of events on a quiet host, and short enough to follow the
- * load. Not safe for use by several threads.
+ * <p>Not safe for use by several threads.
  */
 public final class EventRate {
     private static final int BUCKETS = 5;
@@ -17,18 +16,16 @@
     private final int[] counts = new int[BUCKETS];
     private long currentBucket;
 
-    /** Creates a rate of zero. */
     public EventRate(long nowNanos) {
         this.startedNanos = nowNanos;
     }
 
-    /** Notes an event. */
     public void record(long nowNanos) {
         advance(nowNanos);
         counts[index(currentBucket)]++;
     }
 
-    /** Returns how many there would be in a minute at the rate of late. */
+    /** Returns the number of events per minute, extrapolated from the window. */
     public int perMinute(long nowNanos) {
         advance(nowNanos);
         int sum = 0;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/HostState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/HostState.java
@@ -1,11 +1,13 @@
 package org.bramblerack.process;
 
-/** What is known of another host. */
+/** The state of another host as derived from its heartbeats. */
 public enum HostState {
-    /** Heard of lately. */
+    /** Its last heartbeat is recent. */
     LIVE,
-    /** Heard of lately, and leaving: it finishes what it has and takes nothing new. */
+    /**
+     * Its last heartbeat is recent and reports that it is leaving: it finishes its requests and accepts no new ones.
+     */
     LEAVING,
-    /** Not heard of lately. It may live on the other side of a cut. */
+    /** No heartbeat arrived recently. It may still be up behind a network partition. */
     SILENT
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/LatencyTracker.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/LatencyTracker.java
@@ -6,11 +6,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Observes the latency of the replies of one service and tells when a reply is late.
+ * Tracks a quantile and the median of the reply latency of one service.
  *
- * <p>Samples are gathered in windows. The quantile is that of the last full window; until one is full it is the initial
- * value. Safe for use by many threads; recording costs a few tens of nanoseconds under a lock that nothing is called
- * under.
+ * <p>Samples are collected in windows. The values are those of the last full window, and the initial value until one is
+ * full. Safe for use by many threads; nothing is called under its lock.
  */
 public final class LatencyTracker {
     private static final int WINDOW_SAMPLES = 2_000;
@@ -28,10 +27,10 @@
     private volatile long medianNanos;
 
     /**
-     * Creates a tracker.
+     * Creates a tracker without samples.
      *
-     * @param quantilePercent the quantile to observe, such as 95
-     * @param initial the value to report until enough was seen
+     * @param quantilePercent the quantile to track, such as 95
+     * @param initial the value to report until the first window is full
      */
     public LatencyTracker(double quantilePercent, Duration initial) {
         checkArgument(quantilePercent > 0 && quantilePercent < 100, "quantile %s", quantilePercent);
@@ -62,8 +61,8 @@
     }
 
     /**
-     * Returns after how long a reply is late, in nanoseconds: the quantile, but never so long that a spell of slow
-     * replies hides the next ones.
+     * Returns the latency in nanoseconds from which on a reply is late: the quantile, capped at a multiple of the
+     * median so that a period of slow replies does not hide the next slow reply.
      */
     public long lateNanos() {
         return Math.min(quantileNanos, MAX_LATE_MEDIANS * medianNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/MembershipTable.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What this host heard from the others, and when.
+ * The last heartbeat of each other host, and when it arrived.
  *
- * <p>Invariant: a heartbeat of an earlier life of a host never replaces one of a later life. Nothing that must be safe
- * rests on this view: it only steers work to hosts that answer. Safe for use by many threads.
+ * <p>Invariant: a heartbeat of an earlier incarnation of a host never replaces one of a later incarnation. This view is
+ * used only to prefer hosts that respond; no safety property depends on it. Safe for use by many threads.
  */
 public final class MembershipTable {
-    /** How long a host counts as live after it was heard. */
+    /** How long a host counts as live after its last heartbeat. */
     public static final Duration LIVENESS_TIMEOUT = Duration.ofSeconds(2);
 
     private final Map<String, LastContact> contacts = new ConcurrentHashMap<>();
@@ -20,9 +20,9 @@
     /**
      * Records a heartbeat.
      *
-     * @param incarnation grows with every start of the host
-     * @param leaving true if the host says that it is leaving
-     * @param revision the revision of the configuration that it has in force
+     * @param incarnation increases with every start of the host
+     * @param leaving true if the host reports that it is leaving
+     * @param revision the revision of the configuration that the host has in force
      */
     public void record(String host, long incarnation, boolean leaving, long revision, long nowNanos) {
         contacts.merge(
@@ -31,7 +31,7 @@
                 (known, latest) -> latest.incarnation() < known.incarnation() ? known : latest);
     }
 
-    /** Returns the present state of a host. */
+    /** Returns the current state of a host. */
     public HostState state(String host, long nowNanos) {
         LastContact known = contacts.get(host);
         if (known == null || nowNanos - known.atNanos() > LIVENESS_TIMEOUT.toNanos()) {
@@ -40,7 +40,7 @@
         return known.leaving() ? HostState.LEAVING : HostState.LIVE;
     }
 
-    /** Returns the highest revision that each host was heard to have in force. */
+    /** Returns the revision that each host last reported to have in force. */
     public ImmutableSortedMap<String, Long> revisions() {
         ImmutableSortedMap.Builder<String, Long> revisions = ImmutableSortedMap.naturalOrder();
         contacts.forEach((host, known) -> revisions.put(host, known.revision()));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/RetryBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/RetryBudget.java
@@ -3,10 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * The budget that retries and hedges of one service share, filled by first attempts.
+ * A token bucket that retries and hedges of one service share and first attempts fill.
  *
  * <p>Invariant: over any period, extra attempts are at most the given percentage of the first attempts plus the
- * reserve. With no first attempts the budget does not grow, so a storm of retries dies out by itself.
+ * reserve. Without first attempts the budget does not grow, which ends retry storms.
  *
  * <p>Safe for use by many threads. Its lock comes after those of the query and the upstream evidence.
  */
@@ -26,8 +26,8 @@
     /**
      * Creates a full budget.
      *
-     * @param extraLoadPercent extra attempts for 100 first attempts, at least 0
-     * @param reserve extra attempts that may be saved up, at least 0
+     * @param extraLoadPercent extra attempts per 100 first attempts, at least 0
+     * @param reserve extra attempts that may accumulate, at least 0
      */
     public static RetryBudget create(int extraLoadPercent, int reserve) {
         checkArgument(extraLoadPercent >= 0, "extra load %s is negative", extraLoadPercent);
@@ -35,12 +35,12 @@
         return new RetryBudget(extraLoadPercent, extraLoadPercent == 0 ? 0 : reserve);
     }
 
-    /** Adds the allowance that first attempts bring. */
+    /** Adds the allowance that the given number of first attempts earns. */
     public synchronized void deposit(int firstAttempts) {
         level = Math.min(capacity, level + (long) firstAttempts * extraLoadPercent);
     }
 
-    /** Takes one extra attempt out of the budget; returns false if it is spent. */
+    /** Withdraws one extra attempt from the budget; returns false if the budget is exhausted. */
     public synchronized boolean tryWithdraw() {
         if (level < SCALE) {
             return false;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SharedReads.java
@@ -5,13 +5,12 @@
 import java.util.List;
 
 /**
- * Has those who ask for the same thing at about the same time share one read of it.
+ * Coalesces concurrent requests for the same value into one read.
  *
- * <p>Load: many callers who show keys that are not known, each of which asks what the newest version is. At most one
- * read is under way, however many ask. Invariant: a read answers only those who asked before it began, so that nobody
- * learns of a state from before the question. Not safe for use by several threads.
+ * <p>At most one read is in progress, however many callers wait. Invariant: a read serves only the callers that were
+ * waiting before it began, so that nobody gets a value from before its request. Not safe for use by several threads.
  *
- * @param <W> who waits
+ * @param <W> a waiting caller
  */
 public final class SharedReads<W> {
     private final int maxWaiting;
@@ -20,20 +19,23 @@
     private boolean inProgress;
 
     /**
-     * Creates reads of which none is under way.
+     * Creates an instance without a read in progress.
      *
-     * @param maxWaiting how many may wait for the next read, which bounds the memory that they take
+     * @param maxWaiting how many callers may wait for the next read
      */
     public SharedReads(int maxWaiting) {
         this.maxWaiting = maxWaiting;
     }
 
-    /** Adds one who waits for a read that begins from now on; returns false if too many wait. */
+    /** Adds a caller that waits for the next read; returns false if too many wait. */
     public boolean await(W waiter) {
         return next.size() < maxWaiting && next.add(waiter);
     }
 
-    /** Begins a read if somebody waits and none is under way; returns true if the caller is to carry it out. */
+    /**
+     * Begins a read if a caller waits and no read is in progress; returns true if the caller of this method has to
+     * perform it.
+     */
     public boolean begin() {
         if (inProgress || next.isEmpty()) {
             return false;
@@ -44,14 +46,14 @@
         return true;
     }
 
-    /** Returns whom the read that was begun answers, once. */
+    /** Removes and returns the callers that the current read serves. */
     public ImmutableList<W> takeWaiters() {
         ImmutableList<W> done = ImmutableList.copyOf(current);
         current = new ArrayList<>();
         return done;
     }
 
-    /** Lets the next read begin. */
+    /** Ends the current read, so that the next one may begin. */
     public void end() {
         inProgress = false;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/SuspendDetector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/SuspendDetector.java
@@ -4,26 +4,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells when this host was suspended: the steady clock leaves that time out, the time of day does not.
+ * Detects that this host was suspended, by comparing the monotonic clock, which stops meanwhile, with the wall clock.
  *
- * <p>A time of day that is set ahead looks the same; what follows from a suspension must therefore be safe, and cheap,
- * without one. A time that is set back tells nothing. Not safe for use by several threads.
+ * <p>A wall clock that is set forward looks the same, so that the reaction to a suspension must be safe, and cheap,
+ * without one. A wall clock that is set back is ignored. Not safe for use by several threads.
  */
 public final class SuspendDetector {
     private final long minMillis;
     private long wallOffsetMillis;
 
     /**
-     * Creates a watch.
+     * Creates a detector with the current readings of both clocks.
      *
-     * @param min shorter suspensions are not told
+     * @param min shorter suspensions are not reported
      */
     public SuspendDetector(Duration min, long nowNanos, long wallMillis) {
         this.minMillis = min.toMillis();
         this.wallOffsetMillis = wallOffset(nowNanos, wallMillis);
     }
 
-    /** Takes readings of both clocks, often enough, and returns true if this host was suspended since the last ones. */
+    /**
+     * Compares the readings of both clocks with the previous ones; returns true if this host was suspended in between.
+     */
     public boolean wasSuspended(long nowNanos, long wallMillis) {
         long previousMillis = wallOffsetMillis;
         wallOffsetMillis = wallOffset(nowNanos, wallMillis);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamEvidence.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamEvidence.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * What this process knows of one upstream from its own calls, and whether it is leaving.
+ * The health and latency of one upstream as observed by calls of this process, and whether the upstream is leaving.
  *
- * <p>Own evidence outranks the upstream's health endpoint. After repeated failures the upstream is ejected for a time
- * that doubles; then one call probes it, and only a success ends the ejection. After an ejection the upstream counts as
- * cold and its share of the work grows with time. What was seen long ago fades toward the prior.
+ * <p>Observations of calls take precedence over the upstream's health endpoint. Repeated failures eject the upstream
+ * for a time that doubles; then one call probes it, and only a success ends the ejection. After an ejection the
+ * upstream counts as cold, and its share of the work grows over time. Old observations decay toward the prior.
  *
  * <p>Safe for use by many threads. Its lock comes after the query's; nothing is called under it.
  */
@@ -36,11 +36,11 @@
     private long warmAtNanos;
 
     /**
-     * Creates the evidence of an upstream of which nothing is known.
+     * Creates the evidence of an upstream without observations.
      *
-     * @param slots how many requests it works on at a time
-     * @param prior the latency to expect before anything was seen
-     * @param nowNanos the present time
+     * @param slots how many requests the upstream processes concurrently
+     * @param prior the latency to expect without observations
+     * @param nowNanos the current time
      */
     public UpstreamEvidence(int slots, Duration prior, long nowNanos) {
         this.slots = slots;
@@ -50,12 +50,12 @@
         this.warmAtNanos = nowNanos;
     }
 
-    /** Takes over how many requests the upstream is declared to work on at a time. */
+    /** Updates the declared number of requests that the upstream processes concurrently. */
     public synchronized void setSlots(int declared) {
         slots = declared;
     }
 
-    /** Counts a call that is about to be sent. */
+    /** Records that a call is about to be sent. */
     public synchronized void started() {
         inFlight++;
         if (ejected) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Counts a call that came to nothing by no fault of the upstream, such as a cancelled one. */
+    /** Records the end of a call that failed for no fault of the upstream, such as a cancelled one. */
     public synchronized void abandoned(long waitedNanos, long nowNanos) {
         inFlight--;
         probing = false;
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Counts a call that got a checked reply. */
+    /** Records a call with a valid reply. */
     public synchronized void succeeded(long tookNanos, long nowNanos) {
         inFlight--;
         consecutiveFailures = 0;
@@ -85,7 +85,7 @@
         observe(tookNanos, nowNanos);
     }
 
-    /** Counts a call that the upstream failed. */
+    /** Records a call that failed at the upstream. */
     public synchronized void failed(long nowNanos) {
         inFlight--;
         probing = false;
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Counts a call that the upstream refused because it was busy or leaving: a living upstream, whose latency is at
-     * least as long as what was seen.
+     * Records a call that the upstream refused because it was busy or leaving. This is no failure, but raises the
+     * expected latency.
      */
     public synchronized void refused(long nowNanos) {
         inFlight--;
@@ -108,7 +108,7 @@
         observe((long) Math.max(latencyNanos * 2, (double) priorNanos), nowNanos);
     }
 
-    /** States that a source says, or no longer says, that the upstream is leaving. */
+    /** Sets whether a source reports the upstream as leaving. */
     public synchronized void setDraining(DrainSource source, boolean draining) {
         if (draining) {
             drains.add(source);
@@ -117,12 +117,12 @@
         }
     }
 
-    /** Returns true if some source says that the upstream is leaving. */
+    /** Returns true if any source reports the upstream as leaving. */
     public synchronized boolean isDraining() {
         return !drains.isEmpty();
     }
 
-    /** Returns true while the upstream is ejected and no probe is due. */
+    /** Returns true while the upstream is ejected and either no probe is due or one is in flight. */
     public synchronized boolean isEjected(long nowNanos) {
         return ejected && (probing || nowNanos - ejectedUntilNanos < 0);
     }
@@ -132,12 +132,11 @@
         return inFlight >= slots;
     }
 
-    /** Returns how many calls of this process are in flight. */
     public synchronized int inFlight() {
         return inFlight;
     }
 
-    /** Returns the latency to expect of one more call, in nanoseconds. */
+    /** Returns the expected latency of one more call, in nanoseconds. */
     public synchronized double expectedNanos(long nowNanos) {
         long ageNanos = Math.max(0, nowNanos - lastEvidenceNanos);
         double weight = (double) DECAY_NANOS / (DECAY_NANOS + ageNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamTable.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/UpstreamTable.java
@@ -13,11 +13,11 @@
 import org.bramblerack.version.UpstreamName;
 
 /**
- * The evidence about every upstream, and the choice among replicas that follows from it.
+ * The evidence about every upstream, and the choice of a replica based on it.
  *
- * <p>The replica of the least expected latency is chosen: the near one first, and a far one once the near one is
- * saturated. Ejected replicas are left out unless all are ejected: then the view is suspected rather than the fleet,
- * and the choice goes on among all of them. A leaving upstream is never chosen.
+ * <p>Chooses the replica with the least expected latency: usually one in the same availability zone, and one farther
+ * away if that is saturated. Ejected replicas are skipped unless more than half of the service's upstreams are ejected:
+ * then this host's own network is the more likely cause, and ejections are ignored. A leaving upstream is never chosen.
  *
  * <p>Safe for use by many threads.
  */
@@ -29,12 +29,11 @@
     private final String ownZone;
     private final Map<UpstreamName, UpstreamEvidence> evidence = new ConcurrentHashMap<>();
 
-    /** Creates an empty table for a process in the given availability zone. */
     public UpstreamTable(String ownZone) {
         this.ownZone = ownZone;
     }
 
-    /** Adds an upstream, or keeps what is known of it, and takes over what the declaration says. */
+    /** Adds an upstream or updates its declared limits; existing observations are kept. */
     public void declare(Upstream upstream, UpstreamLimits limits, long nowNanos) {
         Duration prior = upstream.zone().equals(ownZone) ? NEAR_PRIOR : FAR_PRIOR;
         UpstreamEvidence known = evidence.computeIfAbsent(
@@ -43,7 +42,7 @@
         known.setDraining(DrainSource.DECLARATION, upstream.leaving());
     }
 
-    /** Forgets every upstream that the predicate does not keep. */
+    /** Removes every upstream that the predicate does not match. */
     public void retain(Predicate<UpstreamName> declared) {
         evidence.keySet().removeIf(declared.negate());
     }
@@ -57,7 +56,7 @@
      * Chooses a replica for a new call.
      *
      * @param replicas the replicas that serve the shard
-     * @param allowed whether a replica may be chosen as far as the caller is concerned
+     * @param allowed which replicas the caller permits
      * @return the choice, or empty if every replica is leaving, unknown or not allowed
      */
     public Optional<UpstreamName> choose(
@@ -73,9 +72,7 @@
         return suspectView ? best(replicas, allowed, random, nowNanos, true) : Optional.empty();
     }
 
-    /**
-     * Returns true if more than half of a service's upstreams are ejected: then the view is at fault, not the fleet.
-     */
+    /** Returns true if more than half of a service's upstreams are ejected. */
     private boolean isMostlyEjected(ServiceName service, long nowNanos) {
         int total = 0;
         int ejected = 0;
@@ -88,7 +85,10 @@
         return 2 * ejected > total;
     }
 
-    /** Chooses a replica for a hedge: one that is neither ejected, nor leaving, nor busy with calls of this process. */
+    /**
+     * Chooses a replica for a hedge: one that is neither ejected nor leaving, nor fully occupied by calls of this
+     * process.
+     */
     public Optional<UpstreamName> chooseIdle(
             ImmutableList<UpstreamName> replicas,
             Predicate<UpstreamName> allowed,
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WarmUpPlan.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * Decides how many queries of its own a host serves, and when, so that its code is loaded and compiled when callers
- * come.
+ * Decides how many warm-up queries a host sends to itself, and when, so that its code is loaded and compiled before the
+ * first callers arrive.
  *
- * <p>It answers a fleet that starts, or is restarted host by host, on small processors. A few queries load and link the
- * code of every host. Many more let the compiler take up the code of a leaf call, which runs once a shard and query;
- * they cost as much as the rest of the start, and pay only on a host that calls leafs itself. Which hosts do is said by
- * the agreed tables, that come some time after the start: the host waits for them after its first queries. If it learns
- * later that it is one, as in a fleet whose leafs start after it, it serves the rest then, unless there is work.
+ * <p>Every host runs a few queries, which load and link the code. Only a host that calls leaves itself runs many more,
+ * since these let the compiler optimize leaf calls but take about as long as the rest of the start. The replicated
+ * tables tell which hosts call leaves; they arrive some time after the start, so the host waits for them after its
+ * first queries. A host that starts calling leaves later runs the remaining queries then, unless it has already had
+ * requests.
  *
  * <p>Owned by one thread at a time.
  */
 public final class WarmUpPlan {
-    /** With one, every part of the path has run. */
+    /** One query runs every part of the path. */
     static final int FIRST_QUERIES = 1;
-    /** Enough for the compiler to take up the code of a leaf call. */
+    /** Enough leaf calls for the compiler to optimize their code. */
     static final int ALL_QUERIES = 30;
     /**
-     * Tables change in series while a fleet starts, and a host holds many shards for a moment while it knows few
-     * others.
+     * How long the tables must name this host before it warms up: a host may hold many shards briefly while a fleet
+     * starts and few other hosts are known.
      */
     static final Duration SETTLE_TIME = Duration.ofSeconds(1);
 
@@ -30,27 +30,27 @@
     private int served;
     private long callsLeavesSinceNanos = UNSET;
 
-    /** What the agreed tables say of the calls to leafs that a query takes. */
+    /** Who calls the leaves of a query according to the replicated tables. */
     public enum LeafCalls {
-        /** The tables are not known, or name no leafs yet. */
+        /** The tables are not known, or name no leaves yet. */
         UNKNOWN,
-        /** This host makes some of them. */
+        /** This host makes at least some of the calls. */
         MADE_HERE,
-        /** Other hosts make them. */
+        /** Other hosts make all calls. */
         MADE_BY_OTHERS
     }
 
-    /** What to do next. */
+    /** The next step of the warm-up. */
     public enum Step {
-        /** Serve one more query. */
+        /** Run one more query. */
         SERVE,
-        /** Look again soon. */
+        /** Check again soon. */
         WAIT,
-        /** That was enough. */
+        /** Warm-up is complete. */
         END
     }
 
-    /** Says what to do next while the host starts, and counts the query if one is to be served. */
+    /** Returns the next step while the host starts, and counts the query if one is to be run. */
     public Step next(LeafCalls calls) {
         if (served < FIRST_QUERIES || (calls == LeafCalls.MADE_HERE && served < ALL_QUERIES)) {
             served++;
@@ -59,7 +59,7 @@
         return calls == LeafCalls.UNKNOWN && served < ALL_QUERIES ? Step.WAIT : Step.END;
     }
 
-    /** Says what to do next on a host that has started. */
+    /** Returns the next step on a host that has started. */
     public Step nextAfterStart(LeafCalls calls, boolean hasHadWork, long nowNanos) {
         if (hasHadWork || served >= ALL_QUERIES) {
             return Step.END;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/WindowedBudget.java
@@ -5,20 +5,20 @@
 import java.time.Duration;
 
 /**
- * One host's share of what a fleet may spend on extra attempts at one service within any window of time.
+ * One host's share of the extra attempts that a fleet may make to one service within any window of time.
  *
- * <p>What was spent counts until a whole window has passed, then it may be spent anew: a host that gets a handful of
- * requests a minute saves nothing up from them, and would otherwise have no second attempt for long after its first.
+ * <p>An extra attempt counts until a whole window has passed; then it may be spent again. Unlike a token bucket this
+ * lets a host with few requests make an extra attempt in every window.
  *
- * <p>Invariant: within any window, extra attempts are at most the given percentage of the first attempts of that time
- * plus the reserve that was in force when the last of them was made. Time is counted in parts of a window, always to
- * the disadvantage of the spender. A host that has just started may have spent its share before, so that until its
- * first window is over a smaller reserve holds.
+ * <p>Invariant: within any window, extra attempts are at most the given percentage of the first attempts in that window
+ * plus the reserve that was in force at the last of them. The window is divided into buckets and rounded so that the
+ * budget is never exceeded. For the first window after a start a smaller reserve applies, since the host may have spent
+ * its share just before it restarted.
  *
  * <p>Not safe for use by several threads: the event loop of the entry role owns it.
  */
 public final class WindowedBudget {
-    /** In how many parts a window is counted: what was spent comes back up to a tenth of the window late. */
+    /** The number of buckets in a window. A spent attempt is available again at most one bucket late. */
     private static final int BUCKETS = 10;
 
     private static final int PERCENT = 100;
@@ -27,7 +27,7 @@
     private final long windowNanos;
     private final long bucketNanos;
     private final long startedNanos;
-    /** One part more than a window has, since the oldest may reach into it. */
+    /** One more bucket than a window has, since the oldest one may overlap the window. */
     private final int[] extraAttempts = new int[BUCKETS + 1];
 
     private final int[] firstAttempts = new int[BUCKETS + 1];
@@ -45,20 +45,20 @@
     /**
      * Creates a budget without a reserve.
      *
-     * @param extraPercent extra attempts for 100 first attempts, at least 0
+     * @param extraPercent extra attempts per 100 first attempts, at least 0
      * @param startedNanos when the host started
      */
     public static WindowedBudget create(int extraPercent, Duration window, long startedNanos) {
-        checkArgument(extraPercent >= 0, "extra attempts of %s percent", extraPercent);
-        checkArgument(window.toNanos() >= BUCKETS, "a window of %s", window);
+        checkArgument(extraPercent >= 0, "extraPercent must not be negative: %s", extraPercent);
+        checkArgument(window.toNanos() >= BUCKETS, "window is too short: %s", window);
         return new WindowedBudget(extraPercent, window, startedNanos);
     }
 
     /**
-     * Changes the reserve.
+     * Sets the reserve.
      *
      * @param inAnyWindow extra attempts beyond the percentage
-     * @param inFirstWindow the same for the time of one window after the start of the host
+     * @param inFirstWindow the same for the first window after the start of the host
      */
     public WindowedBudget setReserve(int inAnyWindow, int inFirstWindow) {
         checkArgument(inAnyWindow >= 0, "reserve %s is negative", inAnyWindow);
@@ -68,21 +68,21 @@
         return this;
     }
 
-    /** Notes a first attempt. */
     public void recordFirstAttempt(long nowNanos) {
         advance(nowNanos);
         firstAttempts[index(currentBucket)]++;
     }
 
-    /** Takes one extra attempt out of the budget; returns false if it is spent. */
+    /** Withdraws one extra attempt from the budget; returns false if the budget is exhausted. */
     public boolean tryWithdraw(long nowNanos) {
         return tryWithdrawAbove(0, nowNanos);
     }
 
     /**
-     * Takes one extra attempt out of the budget if a part of it is left afterwards, for those that need it more.
+     * Withdraws one extra attempt if a given part of the budget remains, which is reserved for more urgent attempts.
      *
-     * @param reservedPercent the part of what may be spent in a window that must be left, in whole attempts
+     * @param reservedPercent the percentage of the budget of the current window that must remain, rounded down to whole
+     *     attempts
      */
     public boolean tryWithdrawAbove(int reservedPercent, long nowNanos) {
         advance(nowNanos);
@@ -95,14 +95,14 @@
         return true;
     }
 
-    /** Returns which part of what may be spent in a window is left, from 0 to 1. */
+    /** Returns the fraction of the current window's budget that remains, from 0 to 1. */
     public double remainingFraction(long nowNanos) {
         advance(nowNanos);
         long allowed = allowedHundredths(nowNanos);
         return allowed <= 0 ? 0 : Math.max(0, (double) (allowed - spentHundredths()) / allowed);
     }
 
-    /** Returns what may be spent in the window that ends now, in hundredths of an attempt. */
+    /** Returns the budget of the window that ends now, in hundredths of an attempt. */
     private long allowedHundredths(long nowNanos) {
         boolean inFirstWindow = nowNanos - startedNanos < windowNanos;
         long recent = 0;
@@ -120,7 +120,7 @@
         return spent * PERCENT;
     }
 
-    /** Forgets what is older than a window. */
+    /** Clears the buckets that are older than a window. */
     private void advance(long nowNanos) {
         long bucket = Math.floorDiv(nowNanos - startedNanos, bucketNanos);
         long newest = Math.max(bucket, currentBucket);
