--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdAllowance.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdAllowance.java
@@ -5,20 +5,19 @@
 import java.time.Duration;
 
 /**
- * How many requests a second one host may send to a leaf while the leaf is cold.
+ * A token bucket for the requests that one host may send to a cold leaf.
  *
- * <p>A cold leaf falls over if all hosts together send it more than it bears. So one host alone spends its allowance,
- * named by the agreed tables; while these change, or on the two sides of a cut, two hosts may take themselves for that
- * one, and therefore each spends half. A host begins with nothing saved, so that one that restarts again and again
- * spends no more than one that does not.
+ * <p>A cold leaf fails if all hosts together send it more than its limit, so the replicated tables designate one host
+ * to send to it. While the tables change, or during a network partition, two hosts may consider themselves designated;
+ * each therefore uses half of the limit. A host starts without tokens, so that repeated restarts do not raise its rate.
  *
- * <p>Invariant: in any second no more than the half is spent. Not safe for use by several threads.
+ * <p>Invariant: within any second at most half of the limit is used. Not safe for use by several threads.
  */
 final class ColdAllowance {
-    /** How many hosts may take themselves for the one that spends. */
+    /** How many hosts may consider themselves designated at the same time. */
     static final int MAX_CONCURRENT_SENDERS = 2;
 
-    /** What may be saved up: with more, less a second would be left within the bound. */
+    /** The capacity of the bucket. The refill rate is lowered by it, so that a burst stays within the limit. */
     private static final double MAX_TOKENS = 1;
 
     private static final double NANOS_PER_SECOND = Duration.ofSeconds(1).toNanos();
@@ -28,22 +27,21 @@
     private long refilledAtNanos;
 
     /**
-     * Creates an allowance of which nothing is saved.
+     * Creates a bucket without tokens.
      *
-     * @param maxPerSecond how many requests the leaf bears in any second, from all hosts together
+     * @param maxPerSecond the limit of the leaf in any second, for all hosts together
      */
     ColdAllowance(double maxPerSecond, long nowNanos) {
-        checkArgument(maxPerSecond >= 0, "%s requests a second", maxPerSecond);
+        checkArgument(maxPerSecond >= 0, "maxPerSecond must not be negative: %s", maxPerSecond);
         this.perSecond = Math.max(0, maxPerSecond / MAX_CONCURRENT_SENDERS - MAX_TOKENS);
         this.refilledAtNanos = nowNanos;
     }
 
-    /** Returns true if a request may be sent now. */
     boolean isAvailable(long nowNanos) {
         return tokens(nowNanos) >= 1;
     }
 
-    /** Spends one request, if it is left. */
+    /** Takes a token if one is available; returns false otherwise. */
     boolean tryAcquire(long nowNanos) {
         double before = tokens(nowNanos);
         tokens = before;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
@@ -3,23 +3,24 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * By how much all hosts together may go over what cold leafs are made for.
+ * The limit on requests to a cold leaf, for all hosts together, relative to the rate that its service declares.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param factor how many times the requests a second that a cold leaf is made for it bears
- * @param slack how many requests in any second it bears beyond that
+ * @param factor the multiple of the declared rate that a cold leaf accepts
+ * @param slack how many requests in any second it accepts beyond that
  */
 public record ColdRequestLimit(double factor, double slack) {
-    /** Nothing beyond what leafs are made for, for settings that name no bound. */
+    /** Exactly the declared rate, for settings without a limit. */
     public static final ColdRequestLimit NONE = new ColdRequestLimit(1, 0);
 
-    /** Refuses a bound below what leafs are made for. */
+    /** Validates that the factor is positive and the slack not negative. */
     public ColdRequestLimit {
-        checkArgument(factor > 0 && slack >= 0, "%s times what a cold leaf is made for, and %s more", factor, slack);
+        checkArgument(
+                factor > 0 && slack >= 0, "need factor > 0 and slack >= 0, got factor %s, slack %s", factor, slack);
     }
 
-    /** Returns how many requests a leaf bears in any second that is made for so many while it is cold. */
+    /** Returns the limit in any second of a leaf with the given declared rate. */
     public double mostPerSecond(double declaredPerSecond) {
         return declaredPerSecond * factor + slack;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/DecayingAverage.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/DecayingAverage.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 
 /**
- * An average of what was observed, the newest the most, that returns to a neutral value while nothing is observed.
+ * An exponentially weighted moving average that decays to a neutral value without observations.
  *
  * <p>Not safe for use by several threads.
  */
@@ -17,15 +17,15 @@
     private long observedAtNanos;
 
     /**
-     * Creates an average that stands at its neutral value.
+     * Creates an average at its neutral value.
      *
-     * @param neutral what is taken to hold where nothing was observed
-     * @param smoothing how much of its distance from the average each observation adds, above 0 and at most 1
-     * @param halfLife after which half of what was observed still counts
+     * @param neutral the value without observations
+     * @param smoothing the weight of each observation, above 0 and at most 1
+     * @param halfLife the time without observations after which the distance from the neutral value has halved
      */
     DecayingAverage(double neutral, double smoothing, Duration halfLife, long nowNanos) {
-        checkArgument(smoothing > 0 && smoothing <= 1, "a smoothing of %s", smoothing);
-        checkArgument(!halfLife.isZero() && !halfLife.isNegative(), "a fading time of %s", halfLife);
+        checkArgument(smoothing > 0 && smoothing <= 1, "smoothing must be above 0 and at most 1: %s", smoothing);
+        checkArgument(!halfLife.isZero() && !halfLife.isNegative(), "halfLife must be positive: %s", halfLife);
         this.neutral = neutral;
         this.smoothing = smoothing;
         this.halfLifeNanos = halfLife.toNanos();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Distance.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Distance.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** How far a leaf or a host is, in the steps that cost time and money. */
+/** The network distance between two hosts, or a host and a leaf, in the steps that differ in latency and price. */
 public enum Distance {
     /** In the same availability zone. */
     SAME_ZONE(Duration.ZERO),
@@ -20,15 +20,13 @@
     }
 
     /**
-     * Returns how much faster a leaf at this distance must look before it is preferred to one of the same zone. It
-     * stands for the way there and back and for the price of bytes between regions; the two are weighed in
-     * {@code docs/design/platform.md}.
+     * Returns the latency advantage that a leaf at this distance needs to be preferred over one in the same zone. It
+     * covers the network round trip and the price of traffic between regions.
      */
     public long handicapNanos() {
         return handicapNanos;
     }
 
-    /** Returns the distance between two places. */
     public static Distance between(String zone, String region, String otherZone, String otherRegion) {
         if (zone.equals(otherZone)) {
             return SAME_ZONE;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 
 /**
- * How far this host is behind with what has arrived, seen from how late its own regular task runs.
+ * The lag of this host's event loop, measured by how late a periodic task runs.
  *
- * <p>An answer may have been here for that long before it is read. Evidence of leafs leaves that time out, so that a
- * host that is slow itself, as just after a start, does not take its leafs for slow. Not safe for use by several
- * threads: the event loop of the entry role owns it.
+ * <p>An answer may have waited that long before it is read. Observations of leaves subtract the lag, so that a slow
+ * host does not consider its leaves slow. Not safe for use by several threads: the event loop of the entry role owns
+ * it.
  */
 public final class EventLoopLag {
-    /** Over how long a lag is averaged: a few queries of a busy host. */
+    /** The time constant of the average lag. */
     private static final double AVERAGING_NANOS = Duration.ofMillis(300).toNanos();
 
     private long periodNanos;
@@ -26,30 +26,27 @@
     }
 
     /**
-     * Creates a lag that is zero until the regular task has run.
+     * Creates a lag that is zero until the periodic task has run.
      *
-     * @param period how often the task is meant to run
+     * @param period the period of the task
      */
     public static EventLoopLag create(Duration period) {
-        checkArgument(!period.isZero() && !period.isNegative(), "a period of %s", period);
+        checkArgument(!period.isZero() && !period.isNegative(), "period must be positive: %s", period);
         return new EventLoopLag(period.toNanos());
     }
 
-    /** Returns the lag of a host that is never behind. */
+    /** Returns a lag that is always zero. */
     public static EventLoopLag none() {
         return new EventLoopLag(Long.MAX_VALUE);
     }
 
-    /**
-     * Notes that the regular task runs, and that it will run again after another time than the one before: a host
-     * without work looks seldom.
-     */
+    /** Records a run of the periodic task and changes its period: an idle host runs it less often. */
     public void onTaskRun(long nowNanos, Duration nextPeriod) {
         onTaskRun(nowNanos);
         periodNanos = nextPeriod.toNanos();
     }
 
-    /** Notes that the regular task runs. */
+    /** Records a run of the periodic task. */
     public void onTaskRun(long nowNanos) {
         lastLagNanos = started ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
         if (started) {
@@ -60,20 +57,17 @@
         started = true;
     }
 
-    /** Returns when what is read now may have arrived: on a host that is behind, some time ago. */
+    /** Returns the earliest time at which a message that is read now may have arrived. */
     public long arrivalNanos(long nowNanos) {
         return nowNanos - lagNanos(nowNanos);
     }
 
-    /**
-     * Returns how far behind the host has been of late on average: at the moment at which it answers it has often just
-     * caught up, and one pause for collecting garbage is no slow host.
-     */
+    /** Returns the average lag, which a single pause for garbage collection hardly changes. */
     public long averageNanos() {
         return (long) averageNanos;
     }
 
-    /** Returns how long what is read now may have waited here. */
+    /** Returns how long a message that is read now may have waited. */
     public long lagNanos(long nowNanos) {
         if (!started) {
             return 0;
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagSamplingPeriod.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LagSamplingPeriod.java
@@ -3,30 +3,27 @@
 import java.time.Duration;
 
 /**
- * Decides how often a host looks how far it is behind.
+ * Decides how often a host samples its event-loop lag.
  *
- * <p>It answers large fleets, of which each host has a query now and then: on a small processor, looking all the time
- * costs more than the queries. While there is work a host looks several times in the shortest goal of its callers;
- * without, often enough to see that it was stopped for longer than what a caller's time bears. Owned by the event loop.
+ * <p>Sampling often on an idle host costs more than its few queries, so the period is short only while there is work.
+ * The idle period still detects pauses that are longer than a typical latency goal. Owned by the event loop.
  */
 public final class LagSamplingPeriod {
-    /** While there is work: several times in the shortest goal that was seen. */
     public static final Duration BUSY_PERIOD = Duration.ofMillis(20);
-    /** Without work: about the shortest goal. */
     public static final Duration IDLE_PERIOD = Duration.ofMillis(100);
-    /** Work that came this long ago is over in most cases, and in the others its late answers are few. */
+    /** How long after the last request a host counts as busy. */
     static final Duration BUSY_TIMEOUT = Duration.ofMillis(300);
 
     private long lastWorkNanos;
     private boolean hasHadWork;
 
-    /** Notes that work comes. */
+    /** Records the arrival of a request. */
     public void onWork(long nowNanos) {
         lastWorkNanos = nowNanos;
         hasHadWork = true;
     }
 
-    /** Returns after how long to look again. */
+    /** Returns the time until the next sample. */
     public Duration next(long nowNanos) {
         return hasHadWork && nowNanos - lastWorkNanos < BUSY_TIMEOUT.toNanos() ? BUSY_PERIOD : IDLE_PERIOD;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Leaf.java
@@ -8,40 +8,38 @@
 import java.util.Optional;
 
 /**
- * One start of a leaf as this host sees it: where it is, whether it takes new work, and how calls to it went.
+ * One incarnation of a leaf as observed by this host: its location, whether it accepts new work, and how calls to it
+ * went.
  *
- * <p>Own evidence outranks what the leaf says of itself. A leaf whose oldest call is long overdue counts as stalled
- * until something comes back from it. Repeated failures eject it for a time that doubles; an ejected leaf is used only
- * if there is no other. Not safe for use by several threads: the event loop of the entry role owns it.
+ * <p>Observations of own calls take precedence over what the leaf reports. A leaf whose oldest call is long overdue
+ * counts as stalled until a reply arrives. Repeated failures eject it for a time that doubles; an ejected leaf is used
+ * only if there is no other. Not safe for use by several threads: the event loop of the entry role owns it.
  */
 public final class Leaf {
     private static final int FAILURES_TO_EJECT = 3;
     private static final long FIRST_EJECTION_NANOS = Duration.ofMillis(400).toNanos();
     private static final long MAX_EJECTION_NANOS = Duration.ofSeconds(5).toNanos();
     private static final long BUSY_PENALTY_NANOS = Duration.ofMillis(60).toNanos();
-    /** A stalled leaf is expected to take about this much longer: between half and the whole of an observed pause. */
+    /** How much longer a call to a stalled leaf is expected to take. */
     public static final long STALL_HANDICAP_NANOS = Duration.ofMillis(150).toNanos();
-    /** What one certain failure costs a request, in time lost before the next attempt. */
+    /** The cost of a call that fails, as time lost before the next attempt. */
     private static final long FAILURE_HANDICAP_NANOS = Duration.ofMillis(200).toNanos();
-    /** How much slower a leaf is just after its start, as observed of cold leafs. */
+    /** The slowness of a cold leaf, as a multiple of its usual time. */
     private static final double COLD_FACTOR = 1.6;
 
-    /** How long a leaf counts as stalled after an overdue call to it was given up: part of an observed pause. */
+    /** How long a leaf counts as stalled after an overdue call to it was abandoned. */
     private static final long STALL_MEMORY_NANOS = Duration.ofMillis(80).toNanos();
-    /** Overdue calls in a row that were given up with no answer between them, as a leaf that is dark leaves. */
+    /** How many overdue calls in a row, abandoned without a success in between, eject a leaf. */
     private static final int ABANDONED_TO_EJECT = 4;
-    /** How fast old evidence of refusals fades: somewhat slower than a leaf gets calls to show it. */
+
     private static final Duration REFUSAL_HALF_LIFE = Duration.ofSeconds(5);
     /**
-     * The part of what other hosts had under way that the next call is taken to meet. All hosts learn of the same free
-     * leaf at about the same time, so that the whole of it would send them all to and fro together; compared by the
-     * experiment tool with 0.3 to 1.
+     * The weight of calls in flight from other hosts. It is below 1 because all hosts learn of a free leaf at about the
+     * same time and would otherwise move to it, and away from it, together.
      */
     private static final double OTHER_HOSTS_WEIGHT = 0.5;
 
-    /**
-     * Calls that fill slots slow one another a little: an eighth of the work each, chosen to break ties, not measured.
-     */
+    /** Breaks ties in favor of the leaf with more free slots: a full leaf costs an eighth more. */
     private static final double FREE_SLOT_DIVISOR = 8.0;
 
     private static final double MIN_SLOWNESS = 0.3;
@@ -72,9 +70,9 @@
     private long ejectedUntilNanos;
 
     /**
-     * Creates a leaf of which nothing but its registration is known, for a host with a plain context.
+     * Creates a leaf without observations, with the default context.
      *
-     * @param coldFor how much longer it is slow from its start
+     * @param coldFor how much longer it is cold
      */
     public Leaf(
             String id, String service, String address, Distance distance, int slots, Duration coldFor, long nowNanos) {
@@ -82,9 +80,9 @@
     }
 
     /**
-     * Creates a leaf of which nothing but its registration is known.
+     * Creates a leaf without observations.
      *
-     * @param coldFor how much longer it is slow from its start
+     * @param coldFor how much longer it is cold
      * @param context what the routing decisions of this host share
      */
     public Leaf(
@@ -111,84 +109,81 @@
         this.reportedLoad = new ReportedLoad(nowNanos);
     }
 
-    /** Returns the identifier of this start of the leaf. */
+    /** Returns the identifier of this incarnation. */
     public String id() {
         return id;
     }
 
-    /** Returns the service it belongs to. */
     public String service() {
         return service;
     }
 
-    /** Returns the address it listens at. */
     public String address() {
         return address;
     }
 
-    /** Returns where it is. */
     public LeafLocation location() {
         return location;
     }
 
-    /** Returns how far it is from this host. */
+    /** Returns the distance from this host. */
     public Distance distance() {
         return location.distance();
     }
 
-    /** Returns true while new work may be sent to it. */
+    /** Returns true if new work may be sent to it. */
     public boolean acceptsWork() {
         return acceptsWork && !zoneDrained;
     }
 
     /**
-     * States that it is cold, as after a start or an absence.
+     * Marks it as cold, as after a start or an absence.
      *
-     * @param coldFor how much longer
+     * @param coldFor how much longer it is cold
      */
     public void markCold(Duration coldFor, long nowNanos) {
         warmUp.markCold(coldFor, nowNanos);
     }
 
     /**
-     * States what it bears while it is cold.
+     * Limits the requests to it while it is cold.
      *
      * @param maxPerSecond how many requests in any second, from all hosts together
-     * @param sendsHere whether this is the host that may send them
+     * @param sendsHere whether this host is the one that may send them
      */
     public void limitColdRequests(double maxPerSecond, boolean sendsHere, long nowNanos) {
         warmUp.limit(maxPerSecond, sendsHere, nowNanos);
     }
 
-    /** Returns true if it is cold and this host may send it nothing now. */
+    /** Returns true if it is cold and this host may not send it a request now. */
     public boolean isBlockedWhileCold(long nowNanos) {
         return warmUp.isBlocked(nowNanos);
     }
 
-    /** Notes a request that is to be sent; returns false if it is cold and must not be sent this one. */
+    /**
+     * Records a request that is about to be sent; returns false if the leaf is cold and the request must not be sent.
+     */
     public boolean tryAdmit(long nowNanos) {
         return warmUp.tryAdmit(nowNanos);
     }
 
-    /**
-     * States whether operators have its availability zone get no work; unlike {@link #leave}, that may be taken back.
-     */
+    /** Sets whether operators have drained its availability zone. Unlike {@link #leave}, this is reversible. */
     public void setZoneDrained(boolean drained) {
         zoneDrained = drained;
     }
 
-    /** States that it is leaving or has left; it gets no new work from now on. */
+    /** Marks it as leaving or gone: it gets no new work. */
     public void leave() {
         acceptsWork = false;
     }
 
-    /** Returns how many calls of this host are under way. */
+    /** Returns the number of calls of this host in flight. */
     public int inFlight() {
         return calls.size();
     }
 
     /**
-     * Notes a call that is being sent.
+     * Records a call that is being sent.
      *
      * @param expectedNanos how long such a call usually takes
      */
@@ -198,12 +193,12 @@
         return call;
     }
 
-    /** Returns true if a call has begun and not ended. */
+    /** Returns true if the call is in flight. */
     public boolean isUnderWay(Call call) {
         return calls.contains(call);
     }
 
-    /** Notes the end of a call, with the load that the leaf told, if it did. */
+    /** Records the end of a call, with the load that the leaf reported, if it did. */
     public void end(Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
         calls.remove(call);
         if (load.isPresent()) {
@@ -223,19 +218,20 @@
             case UNREACHABLE -> failed(FAILURES_TO_EJECT, nowNanos);
             case FAILED, BROKEN, GARBLED -> failed(1, nowNanos);
             default -> {
-                // NO_CONNECTION says something about this host's share of connections, BARRED about the request.
+                // NO_CONNECTION results from the connection limit of this host and BARRED from the request: neither
+                // concerns the leaf.
             }
         }
     }
 
-    /** Returns how many times as long as usual work takes there, as far as the leaf has told of late. */
+    /** Returns the factor by which work at the leaf currently takes longer than usual, according to the leaf itself. */
     private double reportedWorkFactor(long nowNanos) {
         return context.uses(RoutingFeature.TOLD_WORK) ? reportedLoad.workFactor(nowNanos) : 1;
     }
 
     /**
-     * Notes that this host gave a call up. That says nothing bad of the leaf by itself, but a call that was long
-     * overdue does, and several in a row with no answer between them count as a failure.
+     * Records that this host abandoned a call. This counts against the leaf only if the call was long overdue; several
+     * of these in a row, without a success in between, eject the leaf.
      */
     public void abandon(Call call, long nowNanos) {
         if (!calls.remove(call)) {
@@ -256,14 +252,14 @@
         }
     }
 
-    /** Returns true while repeated failures keep it from getting work. */
+    /** Returns true while it is ejected after repeated failures. */
     public boolean isEjected(long nowNanos) {
         return context.uses(RoutingFeature.EJECTION)
                 && consecutiveFailures >= FAILURES_TO_EJECT
                 && nowNanos - ejectedUntilNanos < 0;
     }
 
-    /** Returns true if a call is long overdue, so that the leaf probably pauses. */
+    /** Returns true if a call is long overdue, which suggests that the leaf is paused. */
     public boolean isStalled(long nowNanos) {
         if (!context.uses(RoutingFeature.STALLS)) {
             return false;
@@ -282,18 +278,18 @@
         return false;
     }
 
-    /** Returns true if one more call would wait behind as many as it works on at a time, or it just refused one. */
+    /** Returns true if as many calls as it has slots are already waiting there, or if it recently refused a call. */
     public boolean isOverloaded(long nowNanos) {
         return Math.max(calls.size(), reportedLoad.calls(nowNanos)) >= 2 * slots || nowNanos - busyUntilNanos < 0;
     }
 
-    /** Returns true if one more call would begin at once, as far as this host knows. */
+    /** Returns true if a further call would start at once, as far as this host knows. */
     public boolean hasCapacity(long nowNanos) {
         return acceptsWork && !isEjected(nowNanos) && !isStalled(nowNanos) && occupancy(nowNanos) + 1 <= slots;
     }
 
     /**
-     * Returns the time to expect of one more call, in nanoseconds, with handicaps for the way, stalls and failures.
+     * Returns the expected time of one more call in nanoseconds, including penalties for distance, stalls and failures.
      *
      * @param expectedNanos how long such a call usually takes
      */
@@ -311,7 +307,7 @@
     }
 
     /**
-     * Returns the time to expect of one more call that has the leaf to itself.
+     * Returns the expected time in nanoseconds of one more call if no other call is in flight at the leaf.
      *
      * @param expectedNanos how long such a call usually takes
      */
@@ -321,12 +317,12 @@
         return (long) (warmUp.isCold(nowNanos) ? work * COLD_FACTOR : work);
     }
 
-    /** Returns the share of calls that it is expected to refuse; what was seen long ago fades. */
+    /** Returns the expected fraction of calls that it refuses; old observations decay. */
     public double refusalRate(long nowNanos) {
         return refusalRate.at(nowNanos);
     }
 
-    /** Returns how many calls the next one is expected to meet at the leaf: those of this host and of others. */
+    /** Returns the expected number of calls in flight at the leaf, from this host and from others. */
     private double occupancy(long nowNanos) {
         double others = context.uses(RoutingFeature.LOAD_OF_OTHERS) ? reportedLoad.callsOfOthers(nowNanos) : 0;
         return calls.size() + OTHER_HOSTS_WEIGHT * others;
@@ -338,11 +334,11 @@
         ejectionNanos = 0;
         stalledUntilNanos = nowNanos;
         failureRate -= FAILURE_SMOOTHING * failureRate;
-        // What the leaf says of the moment is no property of the leaf.
+        // The reported factor is temporary, so it must not count as slowness of the leaf itself.
         observe(slownessOf(call, nowNanos) / reportedWorkFactor(nowNanos), nowNanos);
     }
 
-    /** Returns how many times as long as usual a call has taken, without the time for which this host was behind. */
+    /** Returns the factor by which a call took longer than usual, without the event-loop lag of this host. */
     private double slownessOf(Call call, long nowNanos) {
         long tookNanos = Math.max(0, nowNanos - context.lagNanos(nowNanos) - call.sentNanos);
         return (double) tookNanos / Math.max(1, call.expectedNanos);
@@ -361,7 +357,7 @@
         }
     }
 
-    /** A call under way; compared by identity. */
+    /** A call in flight; compared by identity. */
     public static final class Call {
         private final long sentNanos;
         private final long expectedNanos;
@@ -371,7 +367,6 @@
             this.expectedNanos = expectedNanos;
         }
 
-        /** Returns when it was sent. */
         public long sentNanos() {
             return sentNanos;
         }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafLoad.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafLoad.java
@@ -3,22 +3,21 @@
 import java.util.Optional;
 
 /**
- * What a leaf says of its load in an answer.
+ * The load that a leaf reports in an answer.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param running the requests that it works on
- * @param waiting the requests that wait for a slot
- * @param slots how many it works on at a time
- * @param workPercent how long work takes there at this moment, {@value #USUAL_PERCENT} if as long as usual
+ * @param running how many requests it processes
+ * @param waiting how many requests wait for a slot
+ * @param slots how many requests it processes concurrently
+ * @param workPercent how long work currently takes, {@value #USUAL_PERCENT} if as long as usual
  */
 public record LeafLoad(int running, int waiting, int slots, int workPercent) {
-    /** Work takes as long as usual. */
     public static final int USUAL_PERCENT = 100;
 
     private static final char SEPARATOR = ',';
 
-    /** Reads three or four numbers joined by commas; anything else says nothing. */
+    /** Parses three or four integers separated by commas; returns empty for any other text. */
     public static Optional<LeafLoad> parse(String text) {
         int first = text.indexOf(SEPARATOR);
         int second = text.indexOf(SEPARATOR, first + 1);
@@ -28,7 +27,7 @@
         int third = text.indexOf(SEPARATOR, second + 1);
         int slotsEnd = third < 0 ? text.length() : third;
         try {
-            // A further comma is no part of a number, so that a fifth figure says nothing either.
+            // A fourth comma fails to parse as part of a number, so that a fifth field is rejected.
             return Optional.of(new LeafLoad(
                     Integer.parseInt(text, 0, first, 10),
                     Integer.parseInt(text, first + 1, second, 10),
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafOutcome.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafOutcome.java
@@ -2,34 +2,34 @@
 
 /** How a call to a leaf ended. */
 public enum LeafOutcome {
-    /** It answered with success. */
+    /** The leaf answered with success. */
     SUCCEEDED(false, true),
 
-    /** It answered with a failure of its own; it has run the request. */
+    /** The leaf ran the request and answered with an error of its own. */
     FAILED(false, true),
 
-    /** It said that it did not run the request because it is full. */
+    /** The leaf was full and did not run the request. */
     REFUSED_BUSY(true, true),
 
-    /** It said that it did not run the request for another reason, or it is no longer the leaf at this address. */
+    /** The leaf did not run the request for another reason, or another incarnation answers at its address. */
     REFUSED_GONE(true, true),
 
-    /** No connection could be made, so that nothing was sent. */
+    /** The connection attempt failed, so that nothing was sent. */
     UNREACHABLE(true, false),
 
     /**
-     * This host may open no further connection to it and all are in use, or the host that holds the connections does
-     * not know the leaf, so that nothing was sent.
+     * Nothing was sent: this host may open no further connection to the leaf and all are in use, or the host that holds
+     * the connections does not know the leaf.
      */
     NO_CONNECTION(true, false),
 
-    /** Nothing was sent, since requests like it end the leafs that run them. */
+    /** Nothing was sent: the request is quarantined, because leaves crashed while they ran it. */
     BARRED(true, false),
 
-    /** The connection ended before a whole answer came; the request may have run. */
+    /** The connection was lost before a complete answer arrived; the request may have run. */
     BROKEN(false, true),
 
-    /** What came is not an answer to the request; the request may have run. */
+    /** The answer was malformed or belongs to another request; the request may have run. */
     GARBLED(false, true);
 
     private final boolean notRun;
@@ -40,17 +40,17 @@
         this.sent = sent;
     }
 
-    /** Returns true if the request has certainly not run at the leaf, and will not. */
+    /** Returns true if the leaf has certainly not run the request and will not. */
     public boolean isNotRun() {
         return notRun;
     }
 
-    /** Returns true if the leaf went on after it had begun to run the request. */
+    /** Returns true if the leaf was still up after it had run the request. */
     public boolean showsSurvival() {
         return this == SUCCEEDED || this == FAILED;
     }
 
-    /** Returns false if nothing was sent, so that no leaf has seen the request. */
+    /** Returns false if no part of the request was sent. */
     public boolean isSent() {
         return sent;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafPool.java
@@ -12,25 +12,24 @@
 import org.bramblerack.version.routing.HomeRegions;
 
 /**
- * The leafs of one service and this host's share of the service's budget of extra attempts.
+ * The leaves of one service and this host's share of the service's budget of extra attempts.
  *
  * <p>Not safe for use by several threads: the event loop of the entry role owns it.
  */
 public final class LeafPool {
-    /** What a refusal costs at least: the way to the leaf and back, and a place among the attempts. */
+    /** The minimum cost of a refused call: a network round trip and a used attempt. */
     private static final double REFUSAL_NANOS = Duration.ofMillis(5).toNanos();
     /**
-     * What a refusal costs beyond that once the budget is spent: the shard is then lost to the query, which is worse
-     * than any queue. Compared by the experiment tool with 200 to 3000 ms; what matters is that it outweighs a queue of
-     * several calls.
+     * The additional cost of a refused call once the budget is exhausted: the query then loses the shard. It outweighs
+     * the queueing time of several calls.
      */
     private static final double REFUSAL_WITHOUT_BUDGET_NANOS =
             Duration.ofMillis(1_500).toNanos();
 
     /**
-     * What it costs beyond the way to ask another leaf than the one whose connections this host holds: the call has
-     * come here for that leaf, and goes through a third host. As much as the way to another region, so that a queue of
-     * a call or two is no reason for it, and a leaf that pauses, refuses or is slow is.
+     * The additional cost of another leaf than the one whose connections this host holds: the call was forwarded here
+     * for that leaf and would go through a third host. It outweighs a short queue, but not a leaf that is stalled,
+     * refusing or slow.
      */
     private static final double FORWARD_NANOS = Duration.ofMillis(40).toNanos();
 
@@ -40,29 +39,26 @@
     private final Map<String, Leaf> leaves = new LinkedHashMap<>();
     private boolean heldLocally;
 
-    /** Creates an empty pool. */
+    /** Creates an empty pool with the default context. */
     public LeafPool(String service, WindowedBudget budget) {
         this(service, budget, RoutingContext.plain());
     }
 
-    /** Creates an empty pool of a host with the given context. */
     public LeafPool(String service, WindowedBudget budget, RoutingContext context) {
         this.service = service;
         this.budget = budget;
         this.context = context;
     }
 
-    /** Returns what a request with the given homes may use of it. */
+    /** Returns the view of this pool for a request that is bound to the given home regions. */
     public PermittedLeaves permitted(HomeRegions homes) {
         return new PermittedLeaves(this, homes);
     }
 
-    /** Returns true if a mechanism takes part. */
-    boolean uses(RoutingFeature mechanism) {
-        return context.uses(mechanism);
+    boolean uses(RoutingFeature feature) {
+        return context.uses(feature);
     }
 
-    /** Returns the name of the service. */
     public String service() {
         return service;
     }
@@ -72,12 +68,11 @@
         return budget;
     }
 
-    /** Adds a leaf. */
     public void add(Leaf leaf) {
         leaves.put(leaf.id(), leaf);
     }
 
-    /** Removes a leaf; calls under way to it go on. */
+    /** Removes a leaf; calls in flight to it continue. */
     public Optional<Leaf> remove(String id) {
         Leaf removed = leaves.remove(id);
         if (removed != null) {
@@ -86,25 +81,24 @@
         return Optional.ofNullable(removed);
     }
 
-    /** Returns a leaf by its identifier. */
     public Optional<Leaf> find(String id) {
         return Optional.ofNullable(leaves.get(id));
     }
 
-    /** Returns every leaf, leaving ones included. */
+    /** Returns all leaves, including leaving ones. */
     public Collection<Leaf> all() {
         return ImmutableList.copyOf(leaves.values());
     }
 
     /**
-     * States whether this host holds the connections to the leaf of its availability zone: other hosts then send it the
-     * calls for that leaf.
+     * Sets whether this host holds the connections to the leaf in its availability zone; other hosts then forward calls
+     * for that leaf to it.
      */
     public void setHeldLocally(boolean held) {
         heldLocally = held;
     }
 
-    /** Returns true if a leaf at most at the given distance takes work and is not ejected. */
+    /** Returns true if a leaf within the given distance accepts work and is not ejected. */
     public boolean hasUsableWithin(Distance farthest, long nowNanos) {
         for (Leaf leaf : leaves.values()) {
             if (leaf.acceptsWork() && leaf.distance().compareTo(farthest) <= 0 && !leaf.isEjected(nowNanos)) {
@@ -114,14 +108,14 @@
         return false;
     }
 
-    /** Returns true if one of the leafs would begin one more call at once. */
+    /** Returns true if any leaf would start a further call at once. */
     public boolean hasCapacity(long nowNanos) {
         return leaves.values().stream().anyMatch(leaf -> leaf.hasCapacity(nowNanos));
     }
 
     /**
-     * Chooses the leaf of the least expected time among those that take work and pass the filter. Ejected leafs are
-     * chosen only if there is no other.
+     * Chooses the leaf with the least expected time among those that accept work and match the filter. Ejected leaves
+     * are chosen only if there is no other.
      */
     public Optional<Leaf> choose(Predicate<Leaf> filter, long expectedNanos, RandomGenerator random, long nowNanos) {
         double refusalNanos = refusalNanos(nowNanos);
@@ -133,7 +127,7 @@
             if (!leaf.acceptsWork() || !filter.test(leaf)) {
                 continue;
             }
-            // A cold leaf for which this host has no allowance is asked through another host, or not at all.
+            // A cold leaf that this host may not call now is treated as ejected: another host may call it.
             boolean ejected = leaf.isEjected(nowNanos) || leaf.isBlockedWhileCold(nowNanos);
             double cost = leaf.costNanos(expectedNanos, nowNanos) + leaf.refusalRate(nowNanos) * refusalNanos;
             cost += heldLocally && leaf.distance() != Distance.SAME_ZONE ? FORWARD_NANOS : 0;
@@ -152,8 +146,8 @@
     }
 
     /**
-     * Returns what one refusal costs in time: the less of the budget for extra attempts is left, the more, so that a
-     * leaf that refuses gets as many first attempts as the budget can send again.
+     * Returns the expected cost of a refused call in nanoseconds. It rises as the budget for extra attempts is used up,
+     * so that a leaf that refuses calls gets only as many first attempts as can be retried.
      */
     private double refusalNanos(long nowNanos) {
         if (!context.uses(RoutingFeature.REFUSAL_PRICE)) {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafSlowness.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafSlowness.java
@@ -3,28 +3,26 @@
 import java.time.Duration;
 
 /**
- * How many times as long as usual the next call to a leaf is expected to take.
+ * Estimates by which factor the next call to a leaf takes longer than usual.
  *
- * <p>The load that it answers: leafs of one service that work at different speeds for as long as they run, each of
- * which is slower by a multiple for spells of half a second, or by a larger one for seconds if something is wrong with
- * it. One average that follows the spells forgets the speed, and one that keeps the speed misses the spells. So there
- * are two, the second of what the first leaves over. Both are of logarithms, since calls differ by factors: one that
- * takes five times as long is not five times the evidence.
+ * <p>Leaves differ permanently in speed, have slow periods of about half a second, and are much slower for seconds if
+ * they are faulty. A single average cannot follow both time scales. So there are two: a slow one for the permanent
+ * speed, and a fast one for the remaining deviation. Both are kept as logarithms, so that outliers weigh less.
  *
  * <p>Not safe for use by several threads.
  */
 final class LeafSlowness {
-    /** A leaf keeps its speed as long as it runs, unless its data or its machine change. */
+    /** Long, because a leaf keeps its speed while it runs. */
     private static final Duration SPEED_HALF_LIFE = Duration.ofSeconds(60);
-    /** Some twenty calls settle a speed, so that a spell of a few calls moves it little. */
+    /** Low, so that a slow period of a few calls hardly changes the speed. */
     private static final double SPEED_SMOOTHING = 0.05;
 
     private static final double PERIOD_SMOOTHING = 0.3;
-    /** Half of what was seen of a spell of half a second says nothing of the next half second. */
+    /** Short, because a slow period lasts about half a second. */
     private static final double PERIOD_HALF_LIFE_NANOS = Duration.ofMillis(300).toNanos();
-    /** What is slower than work beside others makes a leaf is a fault, and those last seconds. */
+    /** A slow period beyond this factor is treated as a fault, which lasts for seconds. */
     private static final double FAULT_LOG_FACTOR = Math.log(3);
-    /** Each call that looks whether a fault has passed is late, and its query with it. */
+    /** Long, because every call that probes a faulty leaf delays its query. */
     private static final double FAULT_HALF_LIFE_NANOS = Duration.ofSeconds(5).toNanos();
 
     private final DecayingAverage speedLog;
@@ -37,9 +35,9 @@
     }
 
     /**
-     * Notes a call.
+     * Records a call.
      *
-     * @param factor how many times as long as usual it took, above 0
+     * @param factor how long the call took relative to the usual time, above 0
      */
     void observe(double factor, long nowNanos) {
         double log = Math.log(factor);
@@ -49,7 +47,7 @@
         speedLog.observe(log, nowNanos);
     }
 
-    /** Returns how many times as long as usual the next call is expected to take. */
+    /** Returns the expected duration of the next call relative to the usual time. */
     double at(long nowNanos) {
         return Math.exp(speedLog.at(nowNanos) + periodLogAt(nowNanos));
     }
@@ -57,7 +55,7 @@
     private double periodLogAt(long nowNanos) {
         double halfLifeNanos = periodLog < FAULT_LOG_FACTOR ? PERIOD_HALF_LIFE_NANOS : FAULT_HALF_LIFE_NANOS;
         double weight = halfLifeNanos / (halfLifeNanos + Math.max(0, nowNanos - observedAtNanos));
-        // A factor fades as a factor: the logarithm alone would let a large one go too soon.
+        // Decays the factor rather than its logarithm, which would shrink large factors too fast.
         return Math.log1p(Math.expm1(periodLog) * weight);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
@@ -4,18 +4,17 @@
 import java.util.Optional;
 
 /**
- * Whether a leaf is cold, and what this host may send it while it is.
+ * Whether a leaf is cold, and whether this host may send requests to it meanwhile.
  *
  * <p>Not safe for use by several threads.
  */
 final class LeafWarmUp {
-    /** Absent if a cold leaf of the service bears as much as a warm one. */
+    /** Empty if the service declares no limit for cold leaves. */
     private Optional<ColdAllowance> allowance = Optional.empty();
 
     private boolean sendsHere;
     private long warmAtNanos;
 
-    /** Creates the coldness of a leaf that warms up at a time. */
     LeafWarmUp(long warmAtNanos) {
         this.warmAtNanos = warmAtNanos;
     }
@@ -35,12 +34,12 @@
         return nowNanos - warmAtNanos < 0;
     }
 
-    /** Returns true if this host may send it nothing now. */
+    /** Returns true if the leaf is cold and this host may not send it a request now. */
     boolean isBlocked(long nowNanos) {
         return isLimited(nowNanos) && !(sendsHere && allowance.get().isAvailable(nowNanos));
     }
 
-    /** Notes a request that is to be sent; returns false if it must not be. */
+    /** Records a request that is about to be sent; returns false if it must not be sent. */
     boolean tryAdmit(long nowNanos) {
         return !isLimited(nowNanos) || (sendsHere && allowance.get().tryAcquire(nowNanos));
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
@@ -10,10 +10,10 @@
 import org.bramblerack.version.routing.HomeRegions;
 
 /**
- * The leafs of a service that one request may be sent to.
+ * The leaves of a service that one request may be sent to.
  *
- * <p>Whoever decides for a request sees a service only in this way, so that a leaf outside the homes of the request is
- * never the first choice, a hedge or a retry. Owned by whoever owns the pool.
+ * <p>All code that chooses leaves for a request uses this view, so that a leaf outside the request's home regions is
+ * never used for the first attempt, a hedge or a retry. Owned by the owner of the pool.
  */
 public final class PermittedLeaves {
     private final LeafPool pool;
@@ -24,17 +24,15 @@
         this.homeRegions = requireNonNull(homes);
     }
 
-    /** Returns the name of the service. */
     public String service() {
         return pool.service();
     }
 
-    /** Returns true if a mechanism takes part. */
-    public boolean uses(RoutingFeature mechanism) {
-        return pool.uses(mechanism);
+    public boolean uses(RoutingFeature feature) {
+        return pool.uses(feature);
     }
 
-    /** Returns the regions that bind the request. */
+    /** Returns the regions to which the request is bound. */
     public HomeRegions homeRegions() {
         return homeRegions;
     }
@@ -44,12 +42,12 @@
         return pool.budget();
     }
 
-    /** Returns the leafs that the request may be sent to, leaving ones included. */
+    /** Returns the leaves that the request may be sent to, including leaving ones. */
     public ImmutableList<Leaf> all() {
         return pool.all().stream().filter(this::permits).collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns true if leafs take work, but all of them are outside the homes of the request. */
+    /** Returns true if some leaves accept work, but all of these are outside the home regions of the request. */
     public boolean areAllOutsideHomeRegions() {
         boolean anyElsewhere = false;
         for (Leaf leaf : pool.all()) {
@@ -61,7 +59,7 @@
         return anyElsewhere;
     }
 
-    /** Chooses among the permitted leafs; see {@link LeafPool#choose}. */
+    /** Chooses among the permitted leaves; see {@link LeafPool#choose}. */
     public Optional<Leaf> choose(Predicate<Leaf> filter, long expectedNanos, RandomGenerator random, long nowNanos) {
         Predicate<Leaf> permitted = homeRegions.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
         return pool.choose(permitted, expectedNanos, random, nowNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingContext.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingContext.java
@@ -1,25 +1,24 @@
 package org.bramblerack.process.leaf;
 
 /**
- * What all routing decisions of one host share.
+ * The state that all routing decisions of one host share.
  *
  * <p>Not safe for use by several threads, since the lag is not.
  *
- * @param policy which mechanisms take part
- * @param eventLoopLag how far the host is behind with what has arrived
+ * @param policy which features are enabled
+ * @param eventLoopLag the event-loop lag of this host
  */
 public record RoutingContext(RoutingPolicy policy, EventLoopLag eventLoopLag) {
-    /** Creates the context of a host that is never behind and uses every mechanism. */
+    /** Creates a context with all features enabled and an event-loop lag of zero. */
     public static RoutingContext plain() {
         return new RoutingContext(RoutingPolicy.DEFAULT, EventLoopLag.none());
     }
 
-    /** Returns true if a mechanism takes part. */
-    public boolean uses(RoutingFeature mechanism) {
-        return policy.uses(mechanism);
+    public boolean uses(RoutingFeature feature) {
+        return policy.uses(feature);
     }
 
-    /** Returns for how long what is read now may have waited at this host, as far as that is to be considered. */
+    /** Returns how long a message that is read now may have waited, or 0 if the lag is to be ignored. */
     public long lagNanos(long nowNanos) {
         return uses(RoutingFeature.HOST_LAG) ? eventLoopLag.lagNanos(nowNanos) : 0;
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingFeature.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingFeature.java
@@ -1,31 +1,33 @@
 package org.bramblerack.process.leaf;
 
-/** What takes part in choosing leafs and spending extra attempts; each can be switched off to measure its worth. */
+/**
+ * A feature of leaf selection or of hedges and retries that configuration can switch off, for example for comparisons.
+ */
 public enum RoutingFeature {
-    /** A leaf's share of refused calls is remembered and priced by the budget that is left. */
+    /** The fraction of refused calls raises the cost of a leaf, depending on the remaining budget. */
     REFUSAL_PRICE,
-    /** What other hosts have under way at a leaf is estimated from the load that it tells. */
+    /** The calls in flight from other hosts are estimated from the load that a leaf reports. */
     LOAD_OF_OTHERS,
-    /** What a leaf tells of how long its work takes at the moment is expected to go on for a moment. */
+    /** The current slowness that a leaf reports affects its expected time for a moment. */
     TOLD_WORK,
-    /** A leaf that took longer than usual of late is expected to go on so. */
+    /** A leaf that recently took longer than usual is expected to be slow. */
     SLOWNESS,
-    /** A leaf with a call that is long overdue is taken to pause. */
+    /** A leaf with a call that is long overdue counts as stalled. */
     STALLS,
-    /** A leaf that failed several times in a row is the last choice for a while. */
+    /** A leaf that failed several times in a row is chosen last for a while. */
     EJECTION,
-    /** A late attempt is hedged at another leaf. */
+    /** A late call is hedged at another leaf. */
     HEDGES,
-    /** An attempt that is long overdue at its own leaf is hedged before it is late among all calls of its route. */
+    /** A call that is long overdue for its leaf is hedged before it is late for its route. */
     LEAF_HEDGES,
-    /** A query that cannot reach its least share of shards any more ends at once. */
+    /** A query that can no longer reach its minimum shard coverage ends at once. */
     EARLY_END,
-    /** A host that is behind with what has arrived does not take its leafs for slow. */
+    /** The event-loop lag of this host is subtracted from the observed time of calls. */
     HOST_LAG,
-    /** Shards of a holder that says that it is behind go to a host that stands in for it. */
+    /** Calls to shards of a holder that reports a high event-loop lag go to a backup. */
     HOST_ROOM,
-    /** A query whose answer will be late in any case starts when the leafs have room for it. */
+    /** A query that will miss its latency goal in any case is deferred until the leaves have free capacity. */
     LATE_STARTS,
-    /** Shards whose best leafs are in another region are left to a host there. */
+    /** Calls to shards whose best leaves are in another region are delegated to a host there. */
     STAGES
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
@@ -9,31 +9,31 @@
 import org.bramblerack.process.document.Fields;
 
 /**
- * Which mechanisms take part in routing.
+ * Which routing features are enabled.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param off those that are switched off
+ * @param off the features that are disabled
  */
 public record RoutingPolicy(ImmutableSet<RoutingFeature> off) {
-    /** Every mechanism takes part. */
+    /** Enables all features. */
     public static final RoutingPolicy DEFAULT = new RoutingPolicy(ImmutableSet.of());
 
     private static final String FIELD = "mechanismsOff";
 
-    /** Returns a policy without some mechanisms. */
+    /** Returns a policy with the given features disabled. */
     public static RoutingPolicy without(RoutingFeature... off) {
         return new RoutingPolicy(Sets.immutableEnumSet(ImmutableList.copyOf(off)));
     }
 
-    /** Reads the optional list of mechanisms that are off, as {@code "mechanismsOff": ["hedges"]}. */
+    /** Reads the optional list of disabled features, as {@code "mechanismsOff": ["hedges"]}. */
     public static RoutingPolicy read(Fields fields) {
         Set<RoutingFeature> off = EnumSet.noneOf(RoutingFeature.class);
         for (String text : fields.texts(FIELD, RoutingFeature.values().length)) {
             boolean known = false;
-            for (RoutingFeature mechanism : RoutingFeature.values()) {
-                if (keyOf(mechanism).equals(text)) {
-                    off.add(mechanism);
+            for (RoutingFeature feature : RoutingFeature.values()) {
+                if (keyOf(feature).equals(text)) {
+                    off.add(feature);
                     known = true;
                 }
             }
@@ -44,20 +44,19 @@
         return new RoutingPolicy(Sets.immutableEnumSet(off));
     }
 
-    /** Returns true if a mechanism takes part. */
-    public boolean uses(RoutingFeature mechanism) {
-        return !off.contains(mechanism);
+    public boolean uses(RoutingFeature feature) {
+        return !off.contains(feature);
     }
 
     private static String choices() {
         StringBuilder choices = new StringBuilder();
-        for (RoutingFeature mechanism : RoutingFeature.values()) {
-            choices.append(choices.length() == 0 ? "" : ", ").append(keyOf(mechanism));
+        for (RoutingFeature feature : RoutingFeature.values()) {
+            choices.append(choices.length() == 0 ? "" : ", ").append(keyOf(feature));
         }
         return choices.toString();
     }
 
-    private static String keyOf(RoutingFeature mechanism) {
-        return mechanism.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    private static String keyOf(RoutingFeature feature) {
+        return feature.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/package-info.java
@@ -1,4 +1,4 @@
-/** What a host knows of the leafs that it sends to: who they are, and how its own calls to them went. */
+/** The leaves that a host sends requests to: their location, state and observed performance. */
 @NullMarked
 package org.bramblerack.process.leaf;
 
