--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Arrival.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Arrival.java
@@ -4,15 +4,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One attempt of a caller at a request, the same on every host that has a part of it.
+ * One attempt of a caller at a request, the same on every host that processes a part of it.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param fingerprints what it asks for
- * @param digest tells it from other attempts
+ * @param fingerprints identify the request
+ * @param digest distinguishes the attempt from other attempts
  */
 public record Arrival(Fingerprints fingerprints, long digest) {
-    /** Returns the arrival of a request under the identifier that its caller gave the attempt. */
+    /** Returns the arrival of a request with the request id that its caller gave to the attempt. */
     public static Arrival of(Fingerprints fingerprints, String requestId) {
         return new Arrival(
                 fingerprints,
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprint.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprint.java
@@ -14,10 +14,10 @@
 import java.util.Optional;
 
 /**
- * Tells whether two requests ask for the same thing in the same caller's name, whichever attempt of a caller they are.
+ * A digest of a request and its caller's credentials, equal for all attempts at the same request.
  *
- * <p>Two requests that differ have different fingerprints but by a chance of one in 2^128, also if somebody looks for
- * such a pair. Immutable and safe for use by many threads.
+ * <p>Different requests have the same fingerprint with a probability of 2^-128, even if an attacker searches for such a
+ * pair. Immutable and safe for use by many threads.
  *
  * @param high the first eight bytes
  * @param low the last eight bytes
@@ -28,11 +28,11 @@
     /**
      * Returns the fingerprint of a request.
      *
-     * @param method how it asks
-     * @param authority whom it asks, as the caller named it
-     * @param target what it asks for, with the query
-     * @param credentials by what the caller says who it is, empty if it does not
-     * @param body what it brings
+     * @param method the HTTP method
+     * @param authority the authority as given by the caller
+     * @param target the request target, with the query
+     * @param credentials the caller's credentials, empty if there are none
+     * @param body the request body
      */
     public static Fingerprint of(String method, String authority, String target, String credentials, byte[] body) {
         Hasher hasher = Hashing.sha256().newHasher();
@@ -47,7 +47,7 @@
                         digest[8], digest[9], digest[10], digest[11], digest[12], digest[13], digest[14], digest[15]));
     }
 
-    /** Returns the fingerprint that a message holds, if it holds one. */
+    /** Returns the fingerprint in a message, or empty if its length is wrong. */
     public static Optional<Fingerprint> fromBytes(ByteString bytes) {
         if (bytes.size() != 2 * Long.BYTES) {
             return Optional.empty();
@@ -56,19 +56,16 @@
         return Optional.of(new Fingerprint(buffer.getLong(), buffer.getLong()));
     }
 
-    /** Returns it for a message. */
     public ByteString toBytes() {
         return ByteString.copyFrom(Bytes.concat(Longs.toByteArray(high), Longs.toByteArray(low)));
     }
 
-    /** Returns a target without its query. */
     static String pathOf(String target) {
         int query = target.indexOf(QUERY_SEPARATOR);
         int end = query < 0 ? target.length() : query;
         return target.substring(0, end);
     }
 
-    /** Returns it in hexadecimal. */
     @Override
     public String toString() {
         return HexFormat.of().toHexDigits(high) + HexFormat.of().toHexDigits(low);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprints.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Fingerprints.java
@@ -3,16 +3,17 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * The fingerprints of one request, the narrowest first: of all that it asks for, and of the same without the query.
+ * The fingerprints of one request, the narrowest first: of the whole target, and of the target without the query.
  *
- * <p>Callers decorate the same request with changing queries, while elsewhere the query is all that tells requests
- * apart; which it is shows in what becomes of them, so both are looked at. Immutable and safe for use by many threads.
+ * <p>Some callers vary the query of the same request, while for others the query alone distinguishes requests. Both
+ * fingerprints are tracked, and their outcomes show which one identifies a harmful request. Immutable and safe for use
+ * by many threads.
  *
- * @param exact of the whole target
- * @param path of the path alone; the same as {@code exact} if the target has no query
+ * @param exact the fingerprint with the whole target
+ * @param path the fingerprint with the path alone; the same as {@code exact} if the target has no query
  */
 public record Fingerprints(Fingerprint exact, Fingerprint path) {
-    /** Returns the fingerprints of a request; for the parameters see {@link Fingerprint#of}. */
+    /** Returns the fingerprints of a request; see {@link Fingerprint#of} for the parameters. */
     public static Fingerprints of(String method, String authority, String target, String credentials, byte[] body) {
         Fingerprint exact = Fingerprint.of(method, authority, target, credentials, body);
         String path = Fingerprint.pathOf(target);
@@ -20,7 +21,7 @@
         return new Fingerprints(exact, isWhole ? exact : Fingerprint.of(method, authority, path, credentials, body));
     }
 
-    /** Returns those that differ, the narrowest first. */
+    /** Returns the distinct fingerprints, the narrowest first. */
     public ImmutableList<Fingerprint> all() {
         return exact.equals(path) ? ImmutableList.of(exact) : ImmutableList.of(exact, path);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
@@ -16,58 +16,56 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * What is known of requests under which leafs ended, and which of them are sent to no leaf any more.
+ * The evidence against requests and the verdicts that follow from it: which requests are on trial or quarantined.
  *
- * <p>Invariants: a request is barred only while a leaf ended with it on it and no leaf has survived it since; either
- * {@link #ENDS_TO_QUARANTINE} leafs ended, or it came {@link #ARRIVALS_TO_QUARANTINE} times and broke each time. That
- * much happens to bystanders as well, when all leafs end at once or next to a harmful request. What tells them apart: a
- * harmful request comes again later and ends leafs again, and the ends of a bystander are explained by another one.
- * Until that shows, a request is on trial: of all arrivals at all hosts one at a time is let through. The verdicts
- * follow from all that was reported, anew after each report. The number of records and of ends is bounded. No clock is
- * read: reports carry the time. Not safe for use by several threads.
+ * <p>A request is quarantined only while a leaf ended with it and no leaf has answered it since, and if either
+ * {@link #ENDS_TO_QUARANTINE} leaves ended, or {@link #ARRIVALS_TO_QUARANTINE} arrivals were all lost. This can also
+ * happen to an innocent request, if all leaves fail at once or it runs beside a harmful one. A harmful request,
+ * however, ends leaves again when it is repeated later, and the ends seen with an innocent request are explained by a
+ * harmful one. Until that is known, a request is on trial: at most one arrival, over all hosts, may run at a time. The
+ * verdicts are computed anew after each report. The number of records and of ends is bounded. No clock is read: reports
+ * carry the time. Not safe for use by several threads.
  */
 public final class HarmRecords {
     /**
-     * How many leafs a request may end: the users' bound is that it is hardly sent on after the third. One leaf that
-     * ends is an accident and two may be one request that was retried there.
+     * How many leaves must end before a request is quarantined. One end may be a coincidence, and two may be one
+     * request that was retried.
      */
     public static final int ENDS_TO_QUARANTINE = 3;
 
     /**
-     * From how many ends on a request is on trial: one fewer, since the only host that saw an end may be gone or cut
-     * off. A trial costs a bystander some tens of milliseconds. A query that no leaf of any shard answered is on trial
-     * from the first end on: the host gave the other calls up, so it did not see what became of these leafs.
+     * How many ends put a request on trial: one fewer than for quarantine, since the only host that detected an end may
+     * be unreachable. A query that no shard answered is on trial from the first end on, since its host abandoned the
+     * other calls and could not detect further ends.
      */
     public static final int ENDS_TO_TRIAL = 2;
 
     /**
-     * How often a request comes that can be no bystander each time: callers mostly try again once. Arrivals whose call
-     * broke count as well once one leaf was found to have ended: a leaf may be back before a host has looked.
+     * How many lost arrivals quarantine a request: most callers retry once. Disconnects count only once the end of a
+     * leaf was detected, since a leaf may restart before a host detects its end.
      */
     static final int ARRIVALS_TO_QUARANTINE = 3;
     /**
-     * For how long nobody else may try a request: the longest mean work of a leaf on the users' sheets, 163 ms, several
-     * times over, a report's 100 ms and up to 300 ms until it is agreed on. Half as long made no difference in 1,000
-     * schedules.
+     * How long a trial blocks other arrivals: long enough for the leaf to run the request and for the result to be
+     * reported and replicated.
      */
     static final long TRIAL_MILLIS = 1_500;
     /**
-     * How far apart in time what is held against a request must be. All that happens in one moment may be one failure
-     * of many leafs, with callers that come again at once; a harmful request shows again when it comes later, which
-     * costs one trial.
+     * The minimum time between the first and the latest evidence before a request is quarantined. Evidence from one
+     * moment may stem from one failure of many leaves.
      */
     static final long MIN_SPREAD_MILLIS = 1_000;
-    /** How many arrivals of a request are told apart. */
+    /** The maximum number of arrivals per request that are distinguished. */
     static final int MAX_ARRIVALS = 8;
-    /** How many records are kept: with the ends below, a megabyte and a half by estimate. */
+
     static final int MAX_RECORDS = 1_024;
-    /** How many ends are kept for one request: those of every leaf of the largest index, twice over. */
+    /** The maximum number of ends per request: enough for every leaf of the largest index, twice. */
     static final int MAX_ENDS = 1_024;
-    /** How many ends are kept for all requests. */
+
     static final int MAX_TOTAL_ENDS = 16_384;
-    /** How long ends count: a request may come rarely, but what it met long ago says little of it. */
+    /** How long evidence counts against a request that is not quarantined. */
     static final long SUSPECT_RETENTION_MILLIS = 10L * 60 * 1_000;
-    /** How long a request is barred after the last leaf that ended with it: leafs are repaired meanwhile, or it is. */
+    /** How long a request stays quarantined after the latest evidence. */
     static final long QUARANTINE_MILLIS = 60L * 60 * 1_000;
 
     private final Map<Fingerprint, SuspectRequest> records = new LinkedHashMap<>();
@@ -75,10 +73,10 @@
     private long lastNumber;
 
     /**
-     * Takes a report.
+     * Applies a report.
      *
-     * @param revision what records are marked with whose verdict changes
-     * @return true if hosts need to hear of a change
+     * @param revision the revision of verdicts that change
+     * @return true if a verdict changed, so that hosts have to be notified
      */
     public boolean applyReport(HarmReport report, long revision) {
         clockMillis = Math.max(clockMillis, report.getAtMillis());
@@ -92,12 +90,14 @@
         return publishVerdicts(revision);
     }
 
-    /** Has an arrival of a request tried, unless another is; returns true if it may be sent to leafs. */
+    /**
+     * Starts a trial of an arrival, unless another one is running; returns true if the arrival may be sent to leaves.
+     */
     public boolean tryStartTrial(TakeTrial trial) {
         clockMillis = Math.max(clockMillis, trial.getAtMillis());
         List<SuspectRequest> onTrial = new ArrayList<>(2);
         for (ByteString bytes : trial.getFingerprintsList()) {
-            // One that is cleared is served: the host that asks has not heard of it yet.
+            // A cleared request needs no trial: the host that requests one has not received the verdict yet.
             Fingerprint.fromBytes(bytes)
                     .map(records::get)
                     .filter(request -> !request.isCleared())
@@ -112,12 +112,12 @@
     }
 
     /**
-     * Ends the trial of an arrival, so that another one may be tried at once, and takes in the same step what it
-     * showed: a harmful request is not tried more often than it takes to bar it, and one that was answered holds nobody
-     * back until its host's next report.
+     * Ends the trial of an arrival and applies its outcome in the same step, so that the next arrival may start at
+     * once: a harmful request is quarantined without further trials, and an answered one is cleared before its host's
+     * next report.
      *
-     * @param revision what records are marked with whose verdict changes
-     * @return true if hosts need to hear of a change
+     * @param revision the revision of verdicts that change
+     * @return true if a verdict changed, so that hosts have to be notified
      */
     public boolean endTrial(TakeTrial trial, long revision) {
         clockMillis = Math.max(clockMillis, trial.getAtMillis());
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Returns true if a report says anything that is not known. */
+    /** Returns true if a report contains anything new. */
     public boolean wouldChange(HarmReport report) {
         return report.getEndedList().stream().anyMatch(this::hasNewEvidence)
                 || report.getSurvivedList().stream()
@@ -153,19 +153,19 @@
                                 .isPresent());
     }
 
-    /** Returns what is held of a request, if anything is. */
+    /** Returns the published verdict on a request, if there is a record of it. */
     public Optional<HarmRecord.Verdict> verdict(Fingerprint fingerprint) {
         return Optional.ofNullable(records.get(fingerprint)).map(SuspectRequest::verdict);
     }
 
-    /** Returns how many requests are barred or on trial. */
+    /** Returns how many requests are quarantined or on trial. */
     public int restrictedCount() {
         return (int) records.values().stream()
                 .filter(request -> request.isQuarantined() || request.isOnTrial())
                 .count();
     }
 
-    /** Returns the records that changed after a revision, without their ends, for hosts that follow. */
+    /** Returns the records whose verdict changed after a revision, without the evidence, for hosts that follow. */
     public ImmutableList<HarmRecord> changedSince(long revision) {
         return records.entrySet().stream()
                 .filter(entry -> entry.getValue().changedRevision() > revision)
@@ -173,24 +173,24 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the records whole, for a snapshot. */
+    /** Returns the complete records, for a snapshot. */
     public ImmutableList<HarmRecord> all() {
         return records.entrySet().stream()
                 .map(entry -> entry.getValue().toSnapshot(entry.getKey()))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the greatest time that reports named. */
+    /** Returns the latest time in any report. */
     public long clockMillis() {
         return clockMillis;
     }
 
-    /** Returns the number of the record that was made last. */
+    /** Returns the number of the record that was created last. */
     public long lastNumber() {
         return lastNumber;
     }
 
-    /** Replaces everything by what a snapshot holds. */
+    /** Replaces the state by that of a snapshot. */
     public void restore(List<HarmRecord> snapshot, long snapshotClockMillis, long snapshotLastNumber) {
         records.clear();
         clockMillis = snapshotClockMillis;
@@ -221,8 +221,8 @@
     }
 
     /**
-     * Decides anew which requests are barred: the one under which most leafs ended first. Of two with the same ends the
-     * narrower fingerprint, and else the one that was heard of first, goes first.
+     * Recomputes which requests are quarantined, those with the most ends first. Ties go to the record that was created
+     * first, and thus to the narrower fingerprint of a request.
      */
     private void updateVerdicts() {
         Set<Long> explained = new HashSet<>();
@@ -249,7 +249,10 @@
                 || (request.hadNoShardAnswered() && request.endCount() > 0);
     }
 
-    /** Returns true if a request ends leafs itself, as far as that can be told. */
+    /**
+     * Returns true if a request ends leaves that no other quarantined request explains, or if too many arrivals were
+     * lost.
+     */
     private static boolean isHarmful(SuspectRequest request, Set<Long> explained) {
         if (request.spreadMillis() < MIN_SPREAD_MILLIS) {
             return false;
@@ -276,8 +279,8 @@
     }
 
     /**
-     * Lets go of cleared records first, then of suspicions, those without an end and the oldest first, and of a bar
-     * only if there is no other.
+     * Evicts records beyond the bounds: cleared ones first, then suspects without ends, then the oldest suspects, and
+     * quarantined ones last.
      */
     private void boundSize() {
         long ends = records.values().stream()
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
@@ -15,25 +15,20 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * Keeps requests from leafs that end the leafs which run them: what this host saw of that, what all hosts agreed on,
- * and what is still to be told.
+ * Blocks requests that end the leaves which run them. Combines the evidence of this host, the replicated verdicts, and
+ * the evidence that is not reported yet.
  *
- * <p>Invariants: what all agreed on goes before what this host makes of its own evidence, which counts only as long as
- * nothing is agreed of a request. A request that a leaf answered a moment ago is not accused. What is kept is bounded.
- * Not safe for use by several threads.
+ * <p>Invariants: a replicated verdict takes precedence over the evidence of this host, which counts only for requests
+ * without one. A request that a leaf answered recently is not suspected. All state is bounded. Not safe for use by
+ * several threads.
  */
 public final class HarmfulRequestFilter {
     /**
-     * How long a survived request is remembered: hosts that saw another part of it tell of leafs that ended after at
-     * most a few seconds.
+     * How long the survival of a request is remembered: other hosts may report leaves that ended a few seconds earlier.
      */
     private static final long SURVIVAL_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
-    /**
-     * How many survived requests are remembered: 25 s' worth of the 160 queries a second of an entry host of the
-     * planned size. One that holds leafs for others answers more, and remembers less than the time above.
-     */
+
     private static final int MAX_SURVIVED = 4_096;
-    /** How many requests are remembered that were tried by the word of this host alone: as many as are on trial. */
     private static final int MAX_LOCAL_TRIALS = HarmRecords.MAX_RECORDS;
 
     private final Map<Fingerprint, HarmRecord.Verdict> replicated = new HashMap<>();
@@ -44,7 +39,7 @@
     private int replicatedRestricted;
     private int locallyRestricted;
 
-    /** Returns whether a request may be sent to leafs; works its fingerprints out only if any request may not. */
+    /** Returns whether a request may be sent to leaves. Computes its fingerprints only if any request is restricted. */
     public Permission permission(Supplier<Fingerprints> request) {
         if (!hasRestrictions()) {
             return Permission.FREE;
@@ -55,25 +50,25 @@
         return exact.compareTo(path) > 0 ? exact : path;
     }
 
-    /** Returns true if any request may not be sent to leafs freely. */
+    /** Returns true if any request is quarantined or on trial. */
     public boolean hasRestrictions() {
         return replicatedRestricted + locallyRestricted > 0;
     }
 
-    /** Returns how many requests are barred or on trial by the evidence that this host has, for a log line. */
+    /** Returns how many requests are quarantined or on trial by the evidence of this host. */
     public int locallyRestrictedCount() {
         return locallyRestricted;
     }
 
-    /** Returns how many requests are barred or on trial by agreement, for a log line. */
+    /** Returns how many requests are quarantined or on trial by replicated verdicts. */
     public int replicatedRestrictedCount() {
         return replicatedRestricted;
     }
 
     /**
-     * Notes that a leaf ended with requests on it.
+     * Records that a leaf ended while it was running requests.
      *
-     * @param leafStart tells this start of the leaf from others
+     * @param leafStart identifies the incarnation of the leaf
      */
     public void recordLeafEnd(long leafStart, List<Arrival> arrivals, long nowNanos) {
         HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
@@ -92,8 +87,8 @@
     }
 
     /**
-     * Notes that a call was sent and broke. That bars nothing by itself, but leafs may be back before a host has found
-     * that they ended; then arrivals that broke, and none that was answered, are all that shows.
+     * Records that the connection of a call was lost. Alone this does not restrict the request. But a leaf may have
+     * restarted before a host detects its end, and then repeated disconnects without an answer are the only evidence.
      */
     public void recordDisconnect(Arrival arrival, long nowNanos) {
         HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
@@ -108,7 +103,10 @@
         applyLocally(evidence.build());
     }
 
-    /** Notes that a query over several shards broke and was given up before a leaf of any shard had answered it. */
+    /**
+     * Records that a query over several shards lost a connection and was abandoned before a leaf of any shard had
+     * answered.
+     */
     public void recordNoShardAnswered(Arrival arrival, long nowNanos) {
         HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
@@ -122,7 +120,7 @@
         applyLocally(evidence.build());
     }
 
-    /** Notes that a leaf answered a request, with success or a failure of its own. */
+    /** Records that a leaf answered a request, with success or an error of its own. */
     public void recordSurvival(Fingerprints request, long nowNanos) {
         for (Fingerprint fingerprint : request.all()) {
             recordTime(survived, fingerprint, nowNanos, MAX_SURVIVED);
@@ -133,9 +131,9 @@
     }
 
     /**
-     * Takes what was agreed on.
+     * Applies replicated verdicts.
      *
-     * @param isFull true if what the records lack is not held any more
+     * @param isFull true if the records are the complete state rather than a change to it
      */
     public void applyReplicated(List<HarmRecord> records, boolean isFull, long nowNanos) {
         if (isFull) {
@@ -150,7 +148,7 @@
                 .count();
     }
 
-    /** Takes what another host saw, where hosts tell one another and nothing is agreed. */
+    /** Applies the evidence of another host, where hosts exchange it directly and nothing is replicated. */
     public void applyPeerReport(HarmReport report, long nowNanos) {
         applyLocally(report.toBuilder()
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
@@ -163,8 +161,8 @@
     }
 
     /**
-     * Has an arrival of a request tried by the word of this host alone, unless another is: for a host to which control
-     * gives no answer.
+     * Starts a trial of an arrival without the control hosts, for a host that cannot reach them. Returns false if
+     * another arrival is on trial here.
      */
     public boolean tryStartLocalTrial(Arrival arrival, long nowNanos) {
         Fingerprints request = arrival.fingerprints();
@@ -181,10 +179,10 @@
     }
 
     /**
-     * Ends a trial; whether a leaf answered it is known here.
+     * Ends a trial; its outcome follows from the recorded answers.
      *
-     * @param disconnected true if it reached a leaf and its call broke there
-     * @return what to tell control, without the time
+     * @param disconnected true if the request reached a leaf and its connection was lost
+     * @return the message for the control hosts, without the time
      */
     public TakeTrial.Builder endTrial(Arrival arrival, boolean disconnected, long nowNanos) {
         List<Fingerprint> request = arrival.fingerprints().all();
@@ -209,20 +207,20 @@
         return isEvidence ? TakeTrial.Outcome.BROKEN : TakeTrial.Outcome.OUTCOME_UNSPECIFIED;
     }
 
-    /** Returns the question whether an arrival may be tried, without the time. */
+    /** Returns a request for a trial of an arrival, without the time. */
     public static TakeTrial.Builder newTrialRequest(Arrival arrival) {
         TakeTrial.Builder trial = TakeTrial.newBuilder().setArrival(arrival.digest());
         arrival.fingerprints().all().forEach(fingerprint -> trial.addFingerprints(fingerprint.toBytes()));
         return trial;
     }
 
-    /** Another host may have told of the request, so that there is no evidence of this host's own to hold the time. */
+    /** The request may be known only from another host, so that there is no local record of the trial. */
     private boolean localTrialRunning(Fingerprint fingerprint, long nowNanos) {
         Long atNanos = localTrials.get(fingerprint);
         return atNanos != null && nowNanos - atNanos < TimeUnit.MILLISECONDS.toNanos(HarmRecords.TRIAL_MILLIS);
     }
 
-    /** Notes the time of what was done with a request, and forgets what was noted first beyond a bound. */
+    /** Records the time of an event of a request, and evicts the oldest entries beyond the bound. */
     private static void recordTime(Map<Fingerprint, Long> times, Fingerprint fingerprint, long nowNanos, int bound) {
         times.remove(fingerprint);
         times.put(fingerprint, nowNanos);
@@ -233,18 +231,20 @@
         }
     }
 
-    /** Takes what is to be told, if anything is; it counts as told unless it is handed back. */
+    /**
+     * Removes and returns the evidence to be reported, if any; {@link #restoreReport} undoes this if the report fails.
+     */
     public Optional<HarmReport> takeReport() {
         return unreported.takeReport();
     }
 
-    /** Takes over what a host saw to which control gives no answer, to tell it in that host's place. */
+    /** Adopts the evidence of a host that cannot reach the control hosts, to report it on its behalf. */
     public void adoptReport(HarmReport report, long nowNanos) {
         unreported.restore(report);
         applyPeerReport(report, nowNanos);
     }
 
-    /** Takes back a report that was not agreed on, to make it again. */
+    /** Restores the evidence of a report that failed, so that it is reported again. */
     public void restoreReport(HarmReport report) {
         unreported.restore(report);
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
@@ -8,23 +8,23 @@
 import java.util.List;
 
 /**
- * Tells which calls were on a leaf when it ended.
+ * Detects that a leaf ended and which calls it was running.
  *
- * <p>A call that breaks says little: networks reset connections, and leafs close them. Only a leaf to which no
- * connection can be made just afterwards has ended. Then every call that it had not answered was on it: those that
- * broke, those that are about to, and those that were given up a moment before, since a query that can no longer be
- * whole gives up the others. Not safe for use by several threads.
+ * <p>A lost connection alone proves little: networks reset connections, and leaves close them. A leaf has ended only if
+ * a new connection attempt fails as well. Then every call without an answer was running there: calls that lost their
+ * connection, calls still in flight, and calls that this host abandoned just before, since a query that can no longer
+ * be complete abandons its other calls. Not safe for use by several threads.
  *
  * @param <T> a call
  */
 public final class LeafEndDetector<T> {
     /**
-     * How long after a call was given up the end of its leaf may be of it: what leafs do with a call that they have
-     * begun takes them some tens of milliseconds, and word of their end as long again.
+     * How long an abandoned call may still be the cause of the end of its leaf: the leaf may keep running it, and the
+     * end is detected with a delay.
      */
     private static final long ABANDONED_CALL_RETENTION_NANOS =
             Duration.ofMillis(250).toNanos();
-    /** How many calls that were given up are remembered: more than a leaf works on and queues. */
+    /** More than a leaf runs and queues. */
     private static final int MAX_ABANDONED = 32;
 
     private final List<T> inFlight = new ArrayList<>(4);
@@ -33,17 +33,16 @@
     private boolean suspectedByIdleClose;
     private long suspectedSinceNanos;
 
-    /** Notes that a call was sent. */
     public void onSent(T call) {
         inFlight.add(call);
     }
 
-    /** Notes that a call was answered, so that the leaf has survived it. */
+    /** Records that a call was answered, so that the leaf survived it. */
     public void onAnswered(T call) {
         inFlight.remove(call);
     }
 
-    /** Notes that a call was given up by this host. */
+    /** Records that this host abandoned a call. */
     public void onAbandoned(T call, long nowNanos) {
         if (!inFlight.remove(call)) {
             return;
@@ -54,7 +53,7 @@
         }
     }
 
-    /** Notes that the connection of a call ended; whether the leaf has is to be found out by connecting to it. */
+    /** Records that the connection of a call was lost; the caller then probes the leaf with a new connection. */
     public void onDisconnected(T call, long nowNanos) {
         if (inFlight.remove(call)) {
             markSuspected(nowNanos);
@@ -63,8 +62,8 @@
     }
 
     /**
-     * Notes that a connection ended on which nothing was. Just after a call was given up that may be the end of the
-     * leaf, under a call that it worked on all the same.
+     * Records that an idle connection was closed. If a call was abandoned recently, the leaf may have ended because of
+     * it.
      */
     public void onIdleConnectionClosed(long nowNanos) {
         AbandonedCall<T> last = abandoned.peekLast();
@@ -80,16 +79,16 @@
         }
     }
 
-    /** Returns true while it is to be found out whether the leaf has ended. */
+    /** Returns true while it is unknown whether the leaf has ended. */
     public boolean isEndSuspected() {
         return suspectedByIdleClose || !disconnected.isEmpty();
     }
 
     /**
-     * Notes that the leaf took a connection: what broke broke for another reason. A connection that was begun before
-     * the leaf came into doubt says nothing: the leaf may have taken it and ended then.
+     * Records that the leaf accepted a connection and has therefore not ended. A connection attempt that began before
+     * the end was suspected proves nothing and is ignored.
      *
-     * @param connectStartNanos when the connection was begun
+     * @param connectStartNanos when the connection attempt began
      */
     public void onConnected(long connectStartNanos) {
         if (isEndSuspected() && connectStartNanos - suspectedSinceNanos >= 0) {
@@ -98,7 +97,9 @@
         }
     }
 
-    /** Notes that the leaf takes no connections, and returns the calls that were on it, if it was in doubt. */
+    /**
+     * Records that a connection attempt failed; returns the calls that the leaf was running, if its end was suspected.
+     */
     public ImmutableList<T> onConnectFailed(long nowNanos) {
         if (!isEndSuspected()) {
             return ImmutableList.of();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
@@ -1,11 +1,14 @@
 package org.bramblerack.process.harm;
 
-/** Whether a request may be sent to leafs, the freest first. */
+/** Whether a request may be sent to leaves, ordered from the least to the most restrictive. */
 public enum Permission {
-    /** It may. */
+    /** The request is not restricted. */
     FREE,
-    /** Leafs ended with it on them: one arrival at a time may, to see whether it was that. */
+    /**
+     * Leaves ended while they ran the request: one arrival at a time may run, to find out whether the request is the
+     * cause.
+     */
     ON_TRIAL,
-    /** It may not: leafs end when they run it. */
+    /** The request must not be sent: it ends the leaves that run it. */
     QUARANTINED
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/SuspectRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/SuspectRequest.java
@@ -9,9 +9,9 @@
 import org.bramblerack.wire.HarmRecord;
 
 /**
- * What speaks against one request, the verdict that was told of it, and whose trial is under way.
+ * The evidence against one request, the verdict that was last published, and the running trial.
  *
- * <p>Invariants: once it is cleared, nothing speaks against it until new evidence comes. What is kept is bounded. Not
+ * <p>Invariants: a cleared request has no evidence until new evidence arrives. The size of the evidence is bounded. Not
  * safe for use by several threads.
  */
 final class SuspectRequest {
@@ -33,15 +33,15 @@
     private long lastEvidenceMillis;
 
     /**
-     * Creates a record that holds nothing against the request.
+     * Creates a record without evidence.
      *
-     * @param number orders the records by when they were made
+     * @param number orders the records by their creation
      */
     SuspectRequest(long number) {
         this.number = number;
     }
 
-    /** Returns the record that a snapshot holds. */
+    /** Returns the record that was stored in a snapshot. */
     static SuspectRequest of(HarmRecord record) {
         SuspectRequest request = new SuspectRequest(record.getNumber());
         request.leafStarts.addAll(record.getLeafStartsList());
@@ -60,7 +60,7 @@
         return request;
     }
 
-    /** Adds what a host saw, as far as there is room for it. */
+    /** Adds evidence, up to the bounds. */
     void add(HarmEvidence evidence, long nowMillis) {
         boolean isNew = evidence.getLostWhole() && !noShardAnswered;
         noShardAnswered |= evidence.getLostWhole();
@@ -82,7 +82,7 @@
         return isNew;
     }
 
-    /** Returns true if evidence says anything that is not held and that there is room for. */
+    /** Returns true if the evidence contains anything that is not stored yet and fits the bounds. */
     boolean hasNewEvidence(HarmEvidence evidence) {
         return (evidence.getLostWhole() && !noShardAnswered)
                 || !leafStarts.containsAll(evidence.getLeafStartsList())
@@ -94,7 +94,7 @@
         return known.size() < HarmRecords.MAX_ARRIVALS && !known.containsAll(evidence);
     }
 
-    /** Lets go of everything that speaks against the request. */
+    /** Discards all evidence against the request. */
     void clear(long nowMillis) {
         leafStarts.clear();
         arrivals.clear();
@@ -107,13 +107,13 @@
         lastEvidenceMillis = nowMillis;
     }
 
-    /** Sets what is to become of the request. */
+    /** Sets whether the request is quarantined and whether it is on trial. */
     void setRestriction(boolean isQuarantined, boolean isOnTrial) {
         quarantined = isQuarantined;
         onTrial = isOnTrial;
     }
 
-    /** Takes over the verdict that is to be told; returns true if it is another one than before. */
+    /** Updates the published verdict; returns true if it changed. */
     boolean updateVerdict(long revision) {
         HarmRecord.Verdict now = currentVerdict();
         if (now == verdict) {
@@ -134,13 +134,13 @@
         return onTrial ? HarmRecord.Verdict.ON_TRIAL : HarmRecord.Verdict.SUSPECTED;
     }
 
-    /** Notes which arrival is tried, and until when no other one may be. */
+    /** Records which arrival is on trial, and until when no other one may be. */
     void grantTrial(long arrival, long untilMillis) {
         trialArrival = arrival;
         trialUntilMillis = untilMillis;
     }
 
-    /** Ends the trial of an arrival, if it is the one that is tried; returns true if it is. */
+    /** Ends the trial of an arrival; returns false if another arrival, or none, is on trial. */
     boolean endTrial(long arrival) {
         boolean matches = trialArrival == arrival && trialUntilMillis > 0;
         if (matches) {
@@ -165,7 +165,7 @@
         return cleared;
     }
 
-    /** Returns true if a query broke before a leaf of any shard had answered it. */
+    /** Returns true if a query failed before a leaf of any shard had answered it. */
     boolean hadNoShardAnswered() {
         return noShardAnswered;
     }
@@ -182,7 +182,7 @@
         return verdict;
     }
 
-    /** Returns the starts of leafs that ended with the request on them. */
+    /** Returns the incarnations of leaves that ended while they ran the request. */
     Set<Long> leafStarts() {
         return Collections.unmodifiableSet(leafStarts);
     }
@@ -191,12 +191,12 @@
         return leafStarts.size();
     }
 
-    /** Returns how many arrivals were on leafs that ended. */
+    /** Returns the number of arrivals that were running on leaves that ended. */
     int arrivalCount() {
         return arrivals.size();
     }
 
-    /** Returns how many arrivals were on leafs that ended, or had a call that broke. */
+    /** Returns the number of arrivals that were running on leaves that ended, or lost the connection during a call. */
     int lostArrivalCount() {
         return Sets.union(arrivals, disconnectedArrivals).size();
     }
@@ -205,17 +205,17 @@
         return lastEvidenceMillis;
     }
 
-    /** Returns how far apart in time what speaks against the request was seen. */
+    /** Returns the time between the first and the latest evidence. */
     long spreadMillis() {
         return lastEvidenceMillis - firstEvidenceMillis;
     }
 
-    /** Returns what hosts that follow the tables are told. */
+    /** Returns the record that is published to hosts, without the evidence. */
     HarmRecord toRecord(Fingerprint fingerprint) {
         return record(fingerprint).build();
     }
 
-    /** Returns all of it. */
+    /** Returns the complete record, for a snapshot. */
     HarmRecord toSnapshot(Fingerprint fingerprint) {
         return record(fingerprint)
                 .addAllLeafStarts(leafStarts)
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/UnreportedEvidence.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/UnreportedEvidence.java
@@ -11,22 +11,22 @@
 import org.bramblerack.wire.HarmReport;
 
 /**
- * What this host has seen of requests that may end leafs, and has not told yet.
+ * The evidence about harmful requests that this host has not reported yet.
  *
- * <p>Invariants: what speaks against a request is not told any more once a leaf has answered it. What waits is bounded;
- * beyond that, what is new is left to other hosts, that see it as well. Not safe for use by several threads.
+ * <p>Invariants: evidence against a request is dropped once a leaf has answered it. The size is bounded; new evidence
+ * beyond it is dropped, since other hosts collect it as well. Not safe for use by several threads.
  */
 final class UnreportedEvidence {
-    /** How many ends, and how many requests, wait to be told. */
+    /** The maximum number of ends, and of requests, that wait to be reported. */
     private static final int MAX_PENDING = 4_096;
-    /** How many ends and fingerprints go into one report: about 10 KB. */
+    /** The maximum number of ends and fingerprints in one report: about 10 KB. */
     private static final int MAX_REPORT_SIZE = 512;
 
     private final Map<Fingerprint, Evidence> evidence = new LinkedHashMap<>();
     private final Set<Fingerprint> cleared = new LinkedHashSet<>();
     private int endCount;
 
-    /** Notes that a leaf ended with an arrival of a request on it. */
+    /** Records that a leaf ended while it was running an arrival of a request. */
     void addLeafEnd(Fingerprint fingerprint, long leafStart, long arrival) {
         if (endCount >= MAX_PENDING || !hasCapacityFor(fingerprint)) {
             return;
@@ -38,28 +38,30 @@
         }
     }
 
-    /** Notes that calls of arrivals of a request broke. */
+    /** Records that arrivals of a request lost their connection. */
     void addDisconnects(Fingerprint fingerprint, List<Long> arrivals) {
         if (!arrivals.isEmpty() && hasCapacityFor(fingerprint)) {
             evidence(fingerprint).disconnectedArrivals.addAll(arrivals);
         }
     }
 
-    /** Notes that a query broke before a leaf of any shard had answered it. */
+    /** Records that a query failed before a leaf of any shard had answered it. */
     void addNoShardAnswered(Fingerprint fingerprint) {
         if (hasCapacityFor(fingerprint)) {
             evidence(fingerprint).noShardAnswered = true;
         }
     }
 
-    /** Notes that a leaf answered a request. */
+    /** Records that a leaf answered a request. */
     void clear(Fingerprint fingerprint) {
         cleared.add(fingerprint);
         Evidence request = evidence.remove(fingerprint);
         endCount -= request == null ? 0 : request.leafStarts.size();
     }
 
-    /** Takes a report of what waits, if anything does; it counts as told unless it is handed back. */
+    /**
+     * Removes and returns a report of the evidence, if there is any; {@link #restore} undoes this if the report fails.
+     */
     Optional<HarmReport> takeReport() {
         if (evidence.isEmpty() && cleared.isEmpty()) {
             return Optional.empty();
@@ -85,7 +87,7 @@
         return Optional.of(report.build());
     }
 
-    /** Takes back a report that was not agreed on, to make it again. */
+    /** Restores the evidence of a report that failed, so that it is reported again. */
     void restore(HarmReport report) {
         for (HarmEvidence evidence : report.getEndedList()) {
             Fingerprint.fromBytes(evidence.getFingerprint()).ifPresent(fingerprint -> restore(fingerprint, evidence));
@@ -111,7 +113,7 @@
         return evidence.computeIfAbsent(fingerprint, unused -> new Evidence());
     }
 
-    /** What speaks against one request. */
+    /** The evidence against one request. */
     private static final class Evidence {
         private final Set<Long> leafStarts = new LinkedHashSet<>();
         private final Set<Long> arrivals = new LinkedHashSet<>(2);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/package-info.java
@@ -1,4 +1,4 @@
-/** Which requests end the leafs that run them: what is seen of that, and what follows from it. */
+/** Detects requests that end the leaves which run them, and blocks them. */
 @NullMarked
 package org.bramblerack.process.harm;
 
