--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/ColdRequestLimit.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns the limit in any second of a leaf with the given declared rate. */
-    public double mostPerSecond(double declaredPerSecond) {
+    public double maxPerSecond(double declaredPerSecond) {
         return declaredPerSecond * factor + slack;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/EventLoopLag.java
@@ -19,7 +19,7 @@
     private boolean started;
     private long lastRunNanos;
     private long lastLagNanos;
-    private double averageNanos;
+    private double averageLagNanos;
 
     private EventLoopLag(long periodNanos) {
         this.periodNanos = periodNanos;
@@ -51,7 +51,7 @@
         lastLagNanos = started ? Math.max(0, nowNanos - lastRunNanos - periodNanos) : 0;
         if (started) {
             double sinceNanos = Math.max(0, nowNanos - lastRunNanos);
-            averageNanos += sinceNanos / (sinceNanos + AVERAGING_NANOS) * (lastLagNanos - averageNanos);
+            averageLagNanos += sinceNanos / (sinceNanos + AVERAGING_NANOS) * (lastLagNanos - averageLagNanos);
         }
         lastRunNanos = nowNanos;
         started = true;
@@ -63,8 +63,8 @@
     }
 
     /** Returns the average lag, which a single pause for garbage collection hardly changes. */
-    public long averageNanos() {
-        return (long) averageNanos;
+    public long averageLagNanos() {
+        return (long) averageLagNanos;
     }
 
     /** Returns how long a message that is read now may have waited. */
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/ColdAllowanceTest.java
@@ -20,7 +20,7 @@
     private static final int SCHEDULES = 10_000;
     private static final int STEPS = 400;
     private static final double DECLARED_PER_SECOND = 8;
-    private static final double LIMIT = new ColdRequestLimit(1.5, 5).mostPerSecond(DECLARED_PER_SECOND);
+    private static final double LIMIT = new ColdRequestLimit(1.5, 5).maxPerSecond(DECLARED_PER_SECOND);
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
     @Test
--- a/bramblerack-core/src/test/java/org/bramblerack/process/leaf/EventLoopLagTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/leaf/EventLoopLagTest.java
@@ -43,8 +43,8 @@
             lag.onTaskRun(nowNanos);
             pausedOnce.onTaskRun(run < 50 ? run * 20L * MILLI : run * 20L * MILLI + 60 * MILLI);
         }
-        assertThat(lag.averageNanos()).isGreaterThan(40 * MILLI);
-        assertThat(pausedOnce.averageNanos()).isLessThan(10 * MILLI);
+        assertThat(lag.averageLagNanos()).isGreaterThan(40 * MILLI);
+        assertThat(pausedOnce.averageLagNanos()).isLessThan(10 * MILLI);
     }
 
     @Test
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -419,7 +419,7 @@
         }
         leaf.get()
                 .limitColdRequests(
-                        coldBound.mostPerSecond(service.coldRequestsPerSecond()),
+                        coldBound.maxPerSecond(service.coldRequestsPerSecond()),
                         access.spendsCold(record.getId(), record.getService(), record.getZone()),
                         clock.nowNanos());
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -123,7 +123,7 @@
     /** Adds how far this host is behind, so that others know which host has room. */
     private Envelope.Builder withLag(Envelope.Builder message) {
         long lagMicros =
-                TimeUnit.NANOSECONDS.toMicros(view.routing().eventLoopLag().averageNanos());
+                TimeUnit.NANOSECONDS.toMicros(view.routing().eventLoopLag().averageLagNanos());
         if (message.hasStageResult()) {
             message.getStageResultBuilder().setLagMicros(lagMicros);
         } else if (message.hasStageProgress()) {
