--- a/bramblerack-core/src/main/java/org/bramblerack/process/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/package-info.java
@@ -1,5 +1,5 @@
 /**
- * State that lives as long as the process: clocks, budgets, evidence about upstreams, membership of other hosts.
+ * What lives for the whole process: clocks, budgets, evidence about upstreams, views of other hosts.
  *
  * <p>Nothing here does I/O. Time is passed in by the caller or through an interface.
  */
