--- a/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/FleetBudget.java
@@ -50,17 +50,17 @@
     }
 
     /** Assigns a host its share of the slack of a service that it calls over its own connections. */
-    public void assignShare(WindowedBudget budget, Rank turn) {
-        budget.setReserve(turn.shareOf(assignedSlack()), turn.shareOf(assignedSlack() * FIRST_WINDOW_FRACTION));
+    public void assignShare(WindowedBudget budget, Rank rank) {
+        budget.setReserve(rank.shareOf(assignedSlack()), rank.shareOf(assignedSlack() * FIRST_WINDOW_FRACTION));
     }
 
     /**
      * Assigns a host without a connection to a shard its share of the shard's slack. It uses that share if a holder
      * fails: one attempt each, up to half of the slack.
      */
-    public void assignNonHolderShare(WindowedBudget budget, Rank turn) {
-        double slackOfNonHolders = nonHolderSlack(turn.hosts());
-        budget.setReserve(turn.shareOf(slackOfNonHolders), turn.shareOf(slackOfNonHolders * FIRST_WINDOW_FRACTION));
+    public void assignNonHolderShare(WindowedBudget budget, Rank rank) {
+        double slackOfNonHolders = nonHolderSlack(rank.hosts());
+        budget.setReserve(rank.shareOf(slackOfNonHolders), rank.shareOf(slackOfNonHolders * FIRST_WINDOW_FRACTION));
     }
 
     /**
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmRecords.java
@@ -16,15 +16,16 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * The evidence against requests and the verdicts that follow from it: which requests are on trial or quarantined.
+ * The evidence against requests that may crash leaves, and the verdicts that follow: which requests are on trial or
+ * quarantined. A leaf ends when its process terminates.
  *
- * <p>A request is quarantined only while a leaf ended with it and no leaf has answered it since, and if either
- * {@link #ENDS_TO_QUARANTINE} leaves ended, or {@link #ARRIVALS_TO_QUARANTINE} arrivals were all lost. This can also
- * happen to an innocent request, if all leaves fail at once or it runs beside a harmful one. A harmful request,
- * however, ends leaves again when it is repeated later, and the ends seen with an innocent request are explained by a
- * harmful one. Until that is known, a request is on trial: at most one arrival, over all hosts, may run at a time. The
- * verdicts are computed anew after each report. The number of records and of ends is bounded. No clock is read: reports
- * carry the time. Not safe for use by several threads.
+ * <p>A request is quarantined only if leaves ended while they ran it and none has answered it since, and if either
+ * {@link #ENDS_TO_QUARANTINE} leaves ended or {@link #ARRIVALS_TO_QUARANTINE} arrivals were lost. This can also happen
+ * to an innocent request, if all leaves fail at once or it runs beside a harmful one. A harmful request, however, ends
+ * leaves again when it is repeated later, and the ends seen with an innocent request are explained by a harmful one.
+ * Until that is known, a request is on trial: at most one arrival, over all hosts, may run at a time. The verdicts are
+ * computed anew after each report. The number of records and of ends is bounded. No clock is read: reports carry the
+ * time. Not safe for use by several threads.
  */
 public final class HarmRecords {
     /**
@@ -41,8 +42,8 @@
     public static final int ENDS_TO_TRIAL = 2;
 
     /**
-     * How many lost arrivals quarantine a request: most callers retry once. Disconnects count only once the end of a
-     * leaf was detected, since a leaf may restart before a host detects its end.
+     * How many lost arrivals quarantine a request; most callers retry only once. An arrival is lost if its leaf ended
+     * or its connection was lost during a call. Connections count only if the end of a leaf was detected as well.
      */
     static final int ARRIVALS_TO_QUARANTINE = 3;
     /**
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
@@ -15,8 +15,8 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * Blocks requests that end the leaves which run them. Combines the evidence of this host, the replicated verdicts, and
- * the evidence that is not reported yet.
+ * Blocks requests that crash the leaves which run them. Combines the evidence of this host, the replicated verdicts,
+ * and the evidence that is not reported yet.
  *
  * <p>Invariants: a replicated verdict takes precedence over the evidence of this host, which counts only for requests
  * without one. A request that a leaf answered recently is not suspected. All state is bounded. Not safe for use by
@@ -214,7 +214,7 @@
         return trial;
     }
 
-    /** The request may be known only from another host, so that there is no local record of the trial. */
+    /** Tracked apart from the local records, since the request may be known only from another host. */
     private boolean localTrialRunning(Fingerprint fingerprint, long nowNanos) {
         Long atNanos = localTrials.get(fingerprint);
         return atNanos != null && nowNanos - atNanos < TimeUnit.MILLISECONDS.toNanos(HarmRecords.TRIAL_MILLIS);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/LeafEndDetector.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * Detects that a leaf ended and which calls it was running.
+ * Detects that the process of a leaf ended, and which calls it was running.
  *
  * <p>A lost connection alone proves little: networks reset connections, and leaves close them. A leaf has ended only if
  * a new connection attempt fails as well. Then every call without an answer was running there: calls that lost their
@@ -24,7 +24,7 @@
      */
     private static final long ABANDONED_CALL_RETENTION_NANOS =
             Duration.ofMillis(250).toNanos();
-    /** More than a leaf runs and queues. */
+    /** The maximum number of abandoned calls to remember: more than a leaf runs and queues. */
     private static final int MAX_ABANDONED = 32;
 
     private final List<T> inFlight = new ArrayList<>(4);
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/Permission.java
@@ -5,10 +5,9 @@
     /** The request is not restricted. */
     FREE,
     /**
-     * Leaves ended while they ran the request: one arrival at a time may run, to find out whether the request is the
-     * cause.
+     * Leaves crashed while they ran the request: one arrival at a time may run, to find out whether it is the cause.
      */
     ON_TRIAL,
-    /** The request must not be sent: it ends the leaves that run it. */
+    /** The request must not be sent: it crashes the leaves that run it. */
     QUARANTINED
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/package-info.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/package-info.java
@@ -1,4 +1,4 @@
-/** Detects requests that end the leaves which run them, and blocks them. */
+/** Detects requests that crash the leaves which run them, and blocks them. */
 @NullMarked
 package org.bramblerack.process.harm;
 
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Distance.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/Distance.java
@@ -27,6 +27,7 @@
         return handicapNanos;
     }
 
+    /** Returns the distance between two locations, given by zone and region. */
     public static Distance between(String zone, String region, String otherZone, String otherRegion) {
         if (zone.equals(otherZone)) {
             return SAME_ZONE;
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmScheduleTest.java
@@ -104,12 +104,12 @@
         assertThat(counted).isLessThan(ignored);
     }
 
-    private static int countSchedulesOverTheLimit(HarmWorld.InjectedFault plant) {
+    private static int countSchedulesOverTheLimit(HarmWorld.InjectedFault injected) {
         EnumSet<HarmWorld.Trouble> quickRestarts = EnumSet.of(HarmWorld.Trouble.LEAVES_RESTART_QUICKLY);
         int schedules = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             boolean tooOften =
-                    new HarmWorld(seed, quickRestarts, 2, plant).run().maxLetThrough() > MAX_LET_THROUGH;
+                    new HarmWorld(seed, quickRestarts, 2, injected).run().maxLetThrough() > MAX_LET_THROUGH;
             schedules += tooOften ? 1 : 0;
         }
         return schedules;
@@ -139,8 +139,8 @@
                 .isGreaterThan(MAX_LET_THROUGH);
     }
 
-    private static int maxLetThrough(int seed, HarmWorld.InjectedFault plant) {
-        return new HarmWorld(seed, randomTroubles(seed), 1 + seed % 3, plant)
+    private static int maxLetThrough(int seed, HarmWorld.InjectedFault injected) {
+        return new HarmWorld(seed, randomTroubles(seed), 1 + seed % 3, injected)
                 .run()
                 .maxLetThrough();
     }
@@ -151,10 +151,11 @@
                 .isGreaterThan(0);
     }
 
-    private static int refusedWith(HarmWorld.InjectedFault plant, HarmWorld.Trouble trouble) {
+    private static int refusedWith(HarmWorld.InjectedFault injected, HarmWorld.Trouble trouble) {
         int refused = 0;
         for (int seed = 0; seed < 20; seed++) {
-            refused += new HarmWorld(seed, EnumSet.of(trouble), 0, plant).run().innocentsRefused();
+            refused +=
+                    new HarmWorld(seed, EnumSet.of(trouble), 0, injected).run().innocentsRefused();
         }
         return refused;
     }
--- a/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/process/harm/HarmWorld.java
@@ -102,9 +102,9 @@
     private int innocents;
     private int suspectedEnds;
 
-    HarmWorld(long seed, EnumSet<Trouble> troubles, int harmful, InjectedFault plant) {
+    HarmWorld(long seed, EnumSet<Trouble> troubles, int harmful, InjectedFault injected) {
         this.random = new SplittableRandom(seed);
-        this.injected = plant;
+        this.injected = injected;
         for (int number = 0; number < HOSTS; number++) {
             hosts.add(new Host());
         }
