--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/FollowerProgress.java
@@ -1,23 +1,23 @@
 package org.bramblerack.process.agreement;
 
-/** What a leader knows of one follower. Guarded by the node that owns it. */
+/** The replication state of one follower, as known to the leader. Guarded by the node that owns it. */
 final class FollowerProgress {
     long nextIndex;
     long matchIndex;
     long ackedRound;
-    long lastHeardNanos;
+    long lastContactNanos;
     long lastSentNanos;
     long snapshotSentNanos;
     boolean awaitingSnapshotReply;
 
-    /** True from a refusal until an acceptance: one message at a time is sent, so that refusals do not multiply. */
+    /** True from a rejected append until an accepted one; meanwhile only one append at a time is in flight. */
     boolean probing;
 
     boolean probeSent;
 
     FollowerProgress(long nextIndex, long nowNanos) {
         this.nextIndex = nextIndex;
-        this.lastHeardNanos = nowNanos;
+        this.lastContactNanos = nowNanos;
         this.lastSentNanos = nowNanos;
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/agreement/RaftNode.java
@@ -14,35 +14,35 @@
 import org.bramblerack.wire.RaftMessage;
 
 /**
- * One voter of the replicated log.
- *
- * <p>The voters change by one at a time, by an entry of the log that is in force once it is appended (section 4.1 of
- * the dissertation). A host that is not a voter gets the log if it asks for it, and is made a voter when it has caught
- * up and {@link VoterPolicy} wants one.
+ * One Raft node: a voter or a learner of the replicated log.
  *
  * <p>The protocol is Raft as published by Ongaro and Ousterhout ("In Search of an Understandable Consensus Algorithm",
- * 2014), with the pre-vote, the check of the leader's quorum and the read rounds of Ongaro's dissertation (sections
- * 9.6, 6.2 and 6.4). Where it departs is listed in {@code docs/design/agreement.md}.
+ * 2014), with the pre-vote, the leader's quorum check and the read rounds of Ongaro's dissertation (sections 9.6, 6.2
+ * and 6.4). Differences are listed in {@code docs/design/agreement.md}.
+ *
+ * <p>Membership changes add or remove one voter at a time, by a log entry that takes effect when it is appended
+ * (section 4.1 of the dissertation). A host that is not a voter receives the log as a learner when it requests to join,
+ * and becomes a voter when it has caught up and {@link VoterPolicy} adds it.
  *
  * <p>Invariants: at most one leader in a term; a committed entry is in the log of every later leader; an entry is
- * applied once, in order, after a quorum of voters has synced it. No promise rests on a clock: time decides only when
- * to ask for an election and when a leader without a quorum resigns.
+ * applied once, in order, after a quorum of voters has synced it. Safety does not depend on clocks: time decides only
+ * when to start an election and when a leader without a quorum steps down.
  *
- * <p>Not safe for use by several threads. An event costs time in proportion to the voters and the entries it moves.
+ * <p>Not safe for use by several threads. A call takes time in proportion to the voters and the entries it handles.
  */
 public final class RaftNode {
-    private static final int MAX_UNCOMMITTED = 4_096;
+    private static final int MAX_UNCOMMITTED_ENTRIES = 4_096;
 
     private final String self;
     private final ElectionTimer timer;
-    private final long heartbeatNanos;
-    private final long electionNanos;
+    private final long heartbeatIntervalNanos;
+    private final long electionTimeoutNanos;
     private final Replica replica;
     private final RaftLog log;
     private final FollowerTable followers;
     private final ReadRounds reads = new ReadRounds();
     private final RaftMessages messages;
-    private final Ballot ballot = new Ballot();
+    private final VoteCount voteCount = new VoteCount();
     private final VoterPolicy policy;
     private long term;
     private String votedFor;
@@ -51,44 +51,44 @@
     private long leaderCommitIndex;
 
     /**
-     * Creates a voter from what it has stored.
+     * Creates a node from stored state.
      *
      * @param self this host's name; it votes only while it is one of the voters
-     * @param firstVoters the voters that the system began with; empty for a host that came later
-     * @param lossesBorne how many voters may be lost at once
+     * @param initialVoters the voters that the cluster started with; empty for a host that joins later
+     * @param tolerableFailures how many voters may fail at the same time
      */
     public RaftNode(
             String self,
-            ImmutableSortedSet<String> firstVoters,
-            int lossesBorne,
+            ImmutableSortedSet<String> initialVoters,
+            int tolerableFailures,
             RaftTimings timings,
             StoredState stored,
             RandomGenerator random,
             long nowNanos) {
-        checkArgument(lossesBorne >= 0, "%s losses cannot be borne", lossesBorne);
+        checkArgument(tolerableFailures >= 0, "tolerableFailures must not be negative: %s", tolerableFailures);
         this.self = self;
         this.messages = new RaftMessages(self);
-        this.policy = new VoterPolicy(lossesBorne);
+        this.policy = new VoterPolicy(tolerableFailures);
         this.timer = new ElectionTimer(timings.electionTimeout().toNanos(), random, nowNanos);
-        this.heartbeatNanos = timings.heartbeatInterval().toNanos();
-        this.electionNanos = timings.electionTimeout().toNanos();
-        this.replica = new Replica(stored, firstVoters);
+        this.heartbeatIntervalNanos = timings.heartbeatInterval().toNanos();
+        this.electionTimeoutNanos = timings.electionTimeout().toNanos();
+        this.replica = new Replica(stored, initialVoters);
         this.log = replica.log();
         this.term = stored.hardState().getTerm();
         this.votedFor = stored.hardState().getVotedFor();
         this.followers = new FollowerTable(self);
     }
 
-    /** Looks at the time: heartbeats, elections, resignation. Call it several times in a heartbeat. */
+    /** Sends heartbeats, starts elections and steps down as due. Call it several times per heartbeat interval. */
     public List<RaftAction> tick(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (role == RaftRole.LEADER) {
-            if (!followers.hearsQuorum(nowNanos, 2 * electionNanos)) {
+            if (!followers.hasQuorumContact(nowNanos, 2 * electionTimeoutNanos)) {
                 becomeFollower(term, Optional.empty(), nowNanos, actions);
                 return actions;
             }
             changeVotersIfDue(nowNanos, actions);
-            followers.sendHeartbeats(view(), heartbeatNanos, nowNanos, actions);
+            followers.sendHeartbeats(leaderView(), heartbeatIntervalNanos, nowNanos, actions);
         } else if (isVoter() && timer.isDue(nowNanos)) {
             startPreVote(nowNanos, actions);
         }
@@ -96,78 +96,79 @@
     }
 
     /**
-     * Notes that this host was suspended for longer than an election takes, which the steady clock does not show.
-     * Another voter may lead by now, so it leads no more and is in touch only once it has heard of a leader again.
+     * Handles the end of a suspension of this host that lasted longer than an election and that the monotonic clock did
+     * not count. Another voter may lead by now, so this one steps down and is not up to date until a leader contacts
+     * it.
      */
     public List<RaftAction> onResume(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
-        timer.forgetLeader(nowNanos);
+        timer.expireLeaderContact(nowNanos);
         becomeFollower(term, Optional.empty(), nowNanos, actions);
         return actions;
     }
 
-    /** Takes a message from another voter. */
+    /** Handles a message from another host. */
     public List<RaftAction> receive(RaftMessage message, long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (!message.getTo().equals(self)) {
             return actions;
         }
-        boolean asksOnly = message.getKind() == RaftMessage.Kind.PRE_VOTE
+        boolean keepsTerm = message.getKind() == RaftMessage.Kind.PRE_VOTE
                 || (message.getKind() == RaftMessage.Kind.PRE_VOTE_REPLY && message.getAccepted());
-        boolean disturbs = message.getKind() == RaftMessage.Kind.VOTE && hasLiveLeader(nowNanos);
-        if (message.getTerm() > term && !asksOnly && !disturbs) {
+        boolean isDisruptiveVote = message.getKind() == RaftMessage.Kind.VOTE && hasLiveLeader(nowNanos);
+        if (message.getTerm() > term && !keepsTerm && !isDisruptiveVote) {
             becomeFollower(message.getTerm(), Optional.empty(), nowNanos, actions);
         }
         switch (message.getKind()) {
-            case PRE_VOTE -> answerPreVote(message, nowNanos, actions);
-            case PRE_VOTE_REPLY -> countPreVote(message, nowNanos, actions);
-            case VOTE -> answerVote(message, nowNanos, actions);
-            case VOTE_REPLY -> countVote(message, nowNanos, actions);
-            case APPEND -> takeAppend(message, nowNanos, actions);
-            case APPEND_REPLY, SNAPSHOT_REPLY -> takeAppendReply(message, nowNanos, actions);
-            case SNAPSHOT -> takeSnapshot(message, nowNanos, actions);
+            case PRE_VOTE -> handlePreVote(message, nowNanos, actions);
+            case PRE_VOTE_REPLY -> handlePreVoteReply(message, nowNanos, actions);
+            case VOTE -> handleVote(message, nowNanos, actions);
+            case VOTE_REPLY -> handleVoteReply(message, nowNanos, actions);
+            case APPEND -> handleAppend(message, nowNanos, actions);
+            case APPEND_REPLY, SNAPSHOT_REPLY -> handleAppendReply(message, nowNanos, actions);
+            case SNAPSHOT -> handleSnapshot(message, nowNanos, actions);
             default -> {
-                // A kind of a newer program: not understood, so not answered.
+                // A message kind of a newer release: ignored.
             }
         }
         return actions;
     }
 
     /**
-     * Takes a command for the log. It is appended, and sent with the next {@link #flush}.
+     * Appends a command to the log; the next {@link #flush} stores and sends it.
      *
-     * @param token given back when the command is applied or lost
-     * @return false if this voter is not the leader or has too much unacknowledged; the command was not taken
+     * @param token identifies the command in the {@link RaftAction} that applies or fails it
+     * @return false, and nothing is appended, if this voter is not the leader or has too many uncommitted entries
      */
     public boolean propose(long token, ByteString command) {
-        if (role != RaftRole.LEADER || replica.uncommittedCount() >= MAX_UNCOMMITTED) {
+        if (role != RaftRole.LEADER || replica.uncommittedCount() >= MAX_UNCOMMITTED_ENTRIES) {
             return false;
         }
         replica.appendCommand(command, term, token);
         return true;
     }
 
-    /** Stores and sends what was proposed since the last flush, and begins the rounds for new reads. */
+    /** Stores and sends the proposals since the last flush, and starts a read round if there are new reads. */
     public List<RaftAction> flush(long nowNanos) {
         List<RaftAction> actions = new ArrayList<>();
         if (role != RaftRole.LEADER) {
             return actions;
         }
         boolean newRound = reads.beginRound();
-        if (!replica.hasUnstored() && !newRound) {
+        if (!replica.hasUnpersisted() && !newRound) {
             return actions;
         }
         replica.persistOwnEntries(actions);
-        followers.sendNew(view(), newRound, nowNanos, actions);
+        followers.sendToAll(leaderView(), newRound, nowNanos, actions);
         advanceCommit(actions);
         return actions;
     }
 
     /**
-     * Takes a read. It is answered by {@link RaftAction.ReadReady} once a quorum has confirmed, after this call, that
-     * this voter leads.
+     * Requests a linearizable read. {@link RaftAction.ReadReady} follows once a quorum has confirmed, after this call,
+     * that this voter is the leader.
      *
-     * @return false if this voter is not a leader that has committed in its term
+     * @return false if this voter is not a leader that has committed an entry in its term
      */
     public boolean read(long token) {
         if (role != RaftRole.LEADER || !replica.hasCommittedIn(term)) {
@@ -183,134 +184,136 @@
     }
 
     /**
-     * Returns true if this voter leads, or has heard of late from a leader and has applied all that the leader then
-     * said was agreed.
+     * Returns true if this host leads and has committed an entry in its term, or if it had recent contact with a leader
+     * and has applied everything up to the leader's commit index.
      */
     public boolean isUpToDate(long nowNanos) {
         if (role == RaftRole.LEADER) {
             return replica.hasCommittedIn(term);
         }
-        return timer.hasHeardWithin(2, nowNanos) && replica.appliedIndex() >= leaderCommitIndex;
+        return timer.hasLeaderContactWithin(2, nowNanos) && replica.appliedIndex() >= leaderCommitIndex;
     }
 
-    /** Returns the present role. */
+    /** Returns the current role. */
     public RaftRole role() {
         return role;
     }
 
-    /** Returns the present term. */
+    /** Returns the current term. */
     public long term() {
         return term;
     }
 
-    /** Returns the leader of the present term, if one is known. */
+    /** Returns the leader of the current term, if it is known. */
     public Optional<String> leader() {
         return leader;
     }
 
-    /** Returns the index up to which entries were given out to be applied. */
+    /** Returns the index of the last entry for which a {@link RaftAction.Apply} was issued. */
     public long appliedIndex() {
         return replica.appliedIndex();
     }
 
-    /** Returns how many entries were applied since the snapshot. */
+    /** Returns the number of entries applied since the last snapshot. */
     public long appliedSinceSnapshot() {
         return replica.appliedIndex() - log.snapshotIndex();
     }
 
-    /** Returns true if this host votes. */
+    /** Returns true if this host is one of the current voters. */
     public boolean isVoter() {
         return voters().contains(self);
     }
 
-    /** Returns the voters in force. */
+    /** Returns the current voters. */
     public ImmutableSortedSet<String> voters() {
         return replica.voters();
     }
 
-    /** Takes the wish of a host to get the log, and to vote once it has it. A host that does not lead ignores it. */
+    /** Starts replication to a host that requests to join; no effect if this host is not the leader. */
     public void addLearner(String host, long nowNanos) {
         if (role == RaftRole.LEADER) {
-            followers.admit(host, log.lastIndex() + 1, nowNanos);
+            followers.addFollower(host, log.lastIndex() + 1, nowNanos);
         }
     }
 
-    /** Makes the next single change of the voters, once the last one is agreed. */
+    /** Makes the next single change of the voters, once the last one is committed. */
     private void changeVotersIfDue(long nowNanos, List<RaftAction> actions) {
-        boolean settled = log.voters().lastChangeIndex() <= replica.commitIndex() && replica.hasCommittedIn(term);
+        boolean lastChangeCommitted =
+                log.voters().lastChangeIndex() <= replica.commitIndex() && replica.hasCommittedIn(term);
         ImmutableSortedSet<String> before = voters();
-        Optional<ImmutableSortedSet<String>> next =
-                settled ? policy.next(self, before, followers, replica.commitIndex(), nowNanos) : Optional.empty();
+        Optional<ImmutableSortedSet<String>> next = lastChangeCommitted
+                ? policy.next(self, before, followers, replica.commitIndex(), nowNanos)
+                : Optional.empty();
         if (next.isEmpty()) {
             return;
         }
         replica.append(LogEntry.newBuilder().addAllVoters(next.get()), term);
         followers.setVoters(next.get(), log.lastIndex(), nowNanos);
-        tellVoters(before, actions);
+        reportVoterChange(before, actions);
     }
 
-    private void tellVoters(ImmutableSortedSet<String> before, List<RaftAction> actions) {
+    private void reportVoterChange(ImmutableSortedSet<String> before, List<RaftAction> actions) {
         if (!before.equals(voters())) {
             actions.add(new RaftAction.VotersChanged(voters()));
         }
     }
 
     private void startPreVote(long nowNanos, List<RaftAction> actions) {
-        timer.awaitRound(nowNanos);
+        timer.restartForRound(nowNanos);
         changeRole(RaftRole.PRE_CANDIDATE, Optional.empty(), actions);
-        ballot.begin(self);
-        if (ballot.isWon(voters())) {
+        voteCount.reset(self);
+        if (voteCount.hasMajority(voters())) {
             startElection(nowNanos, actions);
             return;
         }
-        messages.askForVotes(RaftMessage.Kind.PRE_VOTE, voters(), term + 1, log, actions);
+        messages.requestVotes(RaftMessage.Kind.PRE_VOTE, voters(), term + 1, log, actions);
     }
 
     private void startElection(long nowNanos, List<RaftAction> actions) {
         term++;
         votedFor = self;
-        timer.awaitRound(nowNanos);
+        timer.restartForRound(nowNanos);
         changeRole(RaftRole.CANDIDATE, Optional.empty(), actions);
         actions.add(persistHardState());
-        ballot.begin(self);
-        if (ballot.isWon(voters())) {
+        voteCount.reset(self);
+        if (voteCount.hasMajority(voters())) {
             becomeLeader(nowNanos, actions);
             return;
         }
-        messages.askForVotes(RaftMessage.Kind.VOTE, voters(), term, log, actions);
+        messages.requestVotes(RaftMessage.Kind.VOTE, voters(), term, log, actions);
     }
 
-    private void answerPreVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handlePreVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         boolean granted = request.getTerm() > term
                 && !hasLiveLeader(nowNanos)
                 && log.isNotNewerThan(request.getLastTerm(), request.getLastIndex())
-                && !ElectionOrder.goesFirst(self, role, timer, log, request);
-        if (granted && !timer.hasHeardLeader()) {
-            timer.giveWay(nowNanos);
+                && !ElectionTieBreaker.hasPrecedence(self, role, timer, log, request);
+        if (granted && !timer.hasHadLeaderContact()) {
+            timer.deferToCandidate(nowNanos);
             changeRole(RaftRole.FOLLOWER, Optional.empty(), actions);
         }
         long replyTerm = granted ? request.getTerm() : term;
         actions.add(messages.voteReply(RaftMessage.Kind.PRE_VOTE_REPLY, request.getFrom(), replyTerm, granted));
     }
 
-    private void countPreVote(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handlePreVoteReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.PRE_CANDIDATE || !reply.getAccepted() || reply.getTerm() != term + 1) {
             return;
         }
-        ballot.grant(reply.getFrom());
-        if (ballot.isWon(voters())) {
+        voteCount.addVote(reply.getFrom());
+        if (voteCount.hasMajority(voters())) {
             startElection(nowNanos, actions);
         }
     }
 
-    private void answerVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleVote(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() > term) {
-            // The leader is alive: the candidate is not helped, and not made to raise its term either.
+            // A leader is active, so the candidate's term was not adopted and the request is ignored.
             return;
         }
-        boolean free = votedFor.isEmpty() || votedFor.equals(request.getFrom());
+        boolean mayVoteFor = votedFor.isEmpty() || votedFor.equals(request.getFrom());
         boolean granted = request.getTerm() == term
-                && free
+                && mayVoteFor
                 && role != RaftRole.LEADER
                 && log.isNotNewerThan(request.getLastTerm(), request.getLastIndex());
         if (granted) {
@@ -321,12 +324,12 @@
         actions.add(messages.voteReply(RaftMessage.Kind.VOTE_REPLY, request.getFrom(), term, granted));
     }
 
-    private void countVote(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handleVoteReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.CANDIDATE || !reply.getAccepted() || reply.getTerm() != term) {
             return;
         }
-        ballot.grant(reply.getFrom());
-        if (ballot.isWon(voters())) {
+        voteCount.addVote(reply.getFrom());
+        if (voteCount.hasMajority(voters())) {
             becomeLeader(nowNanos, actions);
         }
     }
@@ -340,7 +343,7 @@
 
     private void becomeFollower(long newTerm, Optional<String> newLeader, long nowNanos, List<RaftAction> actions) {
         if (role == RaftRole.LEADER) {
-            replica.loseProposals(actions);
+            replica.failProposals(actions);
             reads.failAll(actions);
             replica.persistOwnEntries(actions);
             timer.restart(nowNanos);
@@ -353,12 +356,12 @@
         changeRole(RaftRole.FOLLOWER, newLeader, actions);
     }
 
-    private void takeAppend(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleAppend(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() < term) {
             actions.add(messages.appendReply(request, term, false, log.lastIndex()));
             return;
         }
-        hearLeader(request.getFrom(), nowNanos, actions);
+        recordLeaderContact(request.getFrom(), nowNanos, actions);
         leaderCommitIndex = request.getCommitIndex();
         long previous = request.getLastIndex();
         if (previous < log.snapshotIndex()) {
@@ -371,35 +374,35 @@
         }
         ImmutableSortedSet<String> before = voters();
         replica.merge(request.getEntriesList(), actions);
-        tellVoters(before, actions);
+        reportVoterChange(before, actions);
         long match = previous + request.getEntriesCount();
         replica.commitTo(Math.min(request.getCommitIndex(), match), actions);
         actions.add(messages.appendReply(request, term, true, match));
     }
 
-    private void takeSnapshot(RaftMessage request, long nowNanos, List<RaftAction> actions) {
+    private void handleSnapshot(RaftMessage request, long nowNanos, List<RaftAction> actions) {
         if (request.getTerm() < term) {
             return;
         }
-        hearLeader(request.getFrom(), nowNanos, actions);
+        recordLeaderContact(request.getFrom(), nowNanos, actions);
         if (request.getLastIndex() > replica.commitIndex()) {
             ImmutableSortedSet<String> before = voters();
             replica.restore(request, hardState(), actions);
-            tellVoters(before, actions);
+            reportVoterChange(before, actions);
         }
         actions.add(messages.snapshotReply(request, term));
     }
 
-    private void takeAppendReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
+    private void handleAppendReply(RaftMessage reply, long nowNanos, List<RaftAction> actions) {
         if (role != RaftRole.LEADER || reply.getTerm() != term) {
             return;
         }
-        followers.acknowledge(reply, nowNanos);
+        followers.handleReply(reply, nowNanos);
         advanceCommit(actions);
-        followers.sendRest(reply.getFrom(), view(), nowNanos, actions);
+        followers.sendRemaining(reply.getFrom(), leaderView(), nowNanos, actions);
     }
 
-    private FollowerTable.LeaderView view() {
+    private FollowerTable.LeaderView leaderView() {
         return new FollowerTable.LeaderView(
                 term,
                 replica.commitIndex(),
@@ -417,13 +420,13 @@
         reads.confirm(followers.quorumRound(reads.currentRound()), replica.appliedIndex(), actions);
     }
 
-    private void hearLeader(String from, long nowNanos, List<RaftAction> actions) {
-        timer.hearLeader(nowNanos);
+    private void recordLeaderContact(String from, long nowNanos, List<RaftAction> actions) {
+        timer.recordLeaderContact(nowNanos);
         changeRole(RaftRole.FOLLOWER, Optional.of(from), actions);
     }
 
     private boolean hasLiveLeader(long nowNanos) {
-        return role == RaftRole.LEADER || timer.hasHeardWithin(1, nowNanos);
+        return role == RaftRole.LEADER || timer.hasLeaderContactWithin(1, nowNanos);
     }
 
     private void changeRole(RaftRole newRole, Optional<String> newLeader, List<RaftAction> actions) {
--- a/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/AdaptiveLimit.java
@@ -5,91 +5,90 @@
 import java.time.Duration;
 
 /**
- * How many queries of one service a host has in flight, adapted to what the service can bear.
+ * The concurrency limit of one service on one host, adapted to the latency of its queries.
  *
- * <p>The limit grows by one in each round of queries while they take about as long as they did unloaded, and shrinks by
- * a tenth, at most once in a query's time, when they take much longer or run into their deadline. What is compared is
- * the shortest time seen lately, so that queues before the upstreams stay short rather than full.
+ * <p>Additive increase, multiplicative decrease: the limit grows by one per round of queries while the average latency
+ * stays near the shortest recent latency, and shrinks by a tenth, at most once per average latency, when the average is
+ * far above it or a query exceeds its deadline. This keeps the queues at the upstreams short.
  *
- * <p>Not safe for use by several threads: the admission guards it.
+ * <p>Not thread-safe; guarded by the lock of {@link Admission}'s owner.
  */
 final class AdaptiveLimit {
-    private static final double INITIAL = 8;
-    private static final double LEAST = 2;
-    private static final double SMOOTHING = 0.1;
-    private static final double SHRINK = 0.9;
-    private static final double CALM_FACTOR = 2.0;
-    private static final double CROWDED_FACTOR = 3.0;
-    private static final long SLACK_NANOS = Duration.ofMillis(4).toNanos();
-    private static final long WINDOW_NANOS = Duration.ofSeconds(10).toNanos();
-    private static final double DEVIATIONS = 2.0;
+    private static final double INITIAL_LIMIT = 8;
+    private static final double MIN_LIMIT = 2;
+    private static final double SMOOTHING_FACTOR = 0.1;
+    private static final double SHRINK_FACTOR = 0.9;
+    private static final double GROW_LATENCY_FACTOR = 2.0;
+    private static final double SHRINK_LATENCY_FACTOR = 3.0;
+    private static final long LATENCY_SLACK_NANOS = Duration.ofMillis(4).toNanos();
+    private static final long SHORTEST_LATENCY_WINDOW_NANOS =
+            Duration.ofSeconds(10).toNanos();
+    private static final double EXPECTED_DEVIATIONS = 2.0;
 
-    private final int most;
+    private final int maxLimit;
     private double limit;
     private double smoothedNanos = Duration.ofMillis(10).toNanos();
     private double deviationNanos;
     private long shortestNanos = Long.MAX_VALUE;
-    private long shortestBeforeNanos = Long.MAX_VALUE;
+    private long previousShortestNanos = Long.MAX_VALUE;
     private long windowStartNanos = Long.MIN_VALUE;
-    private long shrunkAtNanos = Long.MIN_VALUE;
+    private long lastShrinkNanos = Long.MIN_VALUE;
 
     /**
-     * Creates a limit that begins low.
+     * Creates a limit that starts low and grows with use.
      *
-     * @param most the highest limit, at least 1
+     * @param maxLimit the highest limit, at least 1
      */
-    AdaptiveLimit(int most) {
-        checkArgument(most > 0, "limit %s is not positive", most);
-        this.most = most;
-        this.limit = Math.min(INITIAL, most);
+    AdaptiveLimit(int maxLimit) {
+        checkArgument(maxLimit > 0, "limit %s is not positive", maxLimit);
+        this.maxLimit = maxLimit;
+        this.limit = Math.min(INITIAL_LIMIT, maxLimit);
     }
 
-    /** Returns how many queries may be in flight. */
     int limit() {
-        return (int) Math.max(1, Math.min(most, limit));
+        return (int) Math.max(1, Math.min(maxLimit, limit));
     }
 
-    /** Returns how long a query is to be expected to take at the most, in nanoseconds. */
+    /** Returns a high estimate of a query's latency: the average plus {@link #EXPECTED_DEVIATIONS} mean deviations. */
     long expectedNanos() {
-        return (long) (smoothedNanos + DEVIATIONS * deviationNanos);
+        return (long) (smoothedNanos + EXPECTED_DEVIATIONS * deviationNanos);
     }
 
-    /** Returns how long a query takes on average, in nanoseconds. */
     long averageNanos() {
         return (long) smoothedNanos;
     }
 
     /**
-     * Takes the end of a query.
+     * Updates the latency estimates and the limit with a finished query.
      *
-     * @param tookNanos from its beginning to its end
-     * @param ranOutOfTime true if its deadline ended it
-     * @param inFlight how many were in flight when it ended, itself included
+     * @param tookNanos its latency
+     * @param deadlineExceeded true if it ended at or after its deadline
+     * @param inFlight the number of queries in flight when it ended, including itself
      */
-    void observe(long tookNanos, boolean ranOutOfTime, int inFlight, long nowNanos) {
-        deviationNanos += SMOOTHING * (Math.abs(tookNanos - smoothedNanos) - deviationNanos);
-        smoothedNanos += SMOOTHING * (tookNanos - smoothedNanos);
+    void observe(long tookNanos, boolean deadlineExceeded, int inFlight, long nowNanos) {
+        deviationNanos += SMOOTHING_FACTOR * (Math.abs(tookNanos - smoothedNanos) - deviationNanos);
+        smoothedNanos += SMOOTHING_FACTOR * (tookNanos - smoothedNanos);
         observeShortest(tookNanos, nowNanos);
-        double baseNanos = Math.min(shortestNanos, shortestBeforeNanos);
-        if (ranOutOfTime || smoothedNanos > CROWDED_FACTOR * baseNanos + SLACK_NANOS) {
+        double baseNanos = Math.min(shortestNanos, previousShortestNanos);
+        if (deadlineExceeded || smoothedNanos > SHRINK_LATENCY_FACTOR * baseNanos + LATENCY_SLACK_NANOS) {
             shrink(nowNanos);
-        } else if (smoothedNanos < CALM_FACTOR * baseNanos + SLACK_NANOS && inFlight >= limit()) {
-            limit = Math.min(most, limit + 1 / limit);
+        } else if (smoothedNanos < GROW_LATENCY_FACTOR * baseNanos + LATENCY_SLACK_NANOS && inFlight >= limit()) {
+            limit = Math.min(maxLimit, limit + 1 / limit);
         }
     }
 
     private void shrink(long nowNanos) {
-        boolean lately = shrunkAtNanos != Long.MIN_VALUE && nowNanos - shrunkAtNanos < smoothedNanos;
-        if (!lately) {
-            shrunkAtNanos = nowNanos;
-            limit = Math.max(Math.min(LEAST, most), limit * SHRINK);
+        boolean shrunkRecently = lastShrinkNanos != Long.MIN_VALUE && nowNanos - lastShrinkNanos < smoothedNanos;
+        if (!shrunkRecently) {
+            lastShrinkNanos = nowNanos;
+            limit = Math.max(Math.min(MIN_LIMIT, maxLimit), limit * SHRINK_FACTOR);
         }
     }
 
     private void observeShortest(long tookNanos, long nowNanos) {
-        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= WINDOW_NANOS) {
+        if (windowStartNanos == Long.MIN_VALUE || nowNanos - windowStartNanos >= SHORTEST_LATENCY_WINDOW_NANOS) {
             windowStartNanos = nowNanos;
-            shortestBeforeNanos = shortestNanos;
+            previousShortestNanos = shortestNanos;
             shortestNanos = Long.MAX_VALUE;
         }
         shortestNanos = Math.min(shortestNanos, tookNanos);
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -15,126 +15,132 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The decisions of one attempt at a once-only request.
+ * The state machine of one attempt at a once-only request.
  *
- * <p>Invariants: nothing is dispatched before the claim is granted, nor after the caller was told {@code not run}. At
- * most one call is in flight, and a second one is dispatched only after the first certainly did not run. A call that
- * may have run is never repeated: its outcome is unknown until a reply proves otherwise. The attempt alone decides that
- * it did not run; a claim granted after the attempt gave up is given back, never used.
+ * <p>Invariants:
  *
- * <p>Not safe for use by several threads: the caller holds a lock of its own for each request, which comes first in the
- * lock order.
+ * <ul>
+ *   <li>Nothing is dispatched before the claim is granted, nor after the caller was answered {@code not run}.
+ *   <li>At most one call is in flight; another is dispatched only if the previous one certainly did not run.
+ *   <li>A call that may have run is never repeated; its outcome is unknown until a reply arrives.
+ *   <li>Only the attempt itself records that it did not run. A claim granted after the attempt ended is released
+ *       unused.
+ * </ul>
+ *
+ * <p>Not thread-safe: the owner holds a lock per request, which comes first in the lock order.
  */
 public final class OnceOnlyRequest {
     private static final int MAX_DISPATCHES = 3;
-    private static final int CANCEL_SHARE_DIVISOR = 8;
-    private static final long LONGEST_CANCEL_NANOS = Duration.ofMillis(500).toNanos();
-    private static final int SHARD_OF_A_POOL = 0;
-    private static final int SHARDS_OF_A_POOL = 1;
+    /** The time reserved for cancelling the call is the time to the deadline divided by this. */
+    private static final int CANCEL_MARGIN_DIVISOR = 8;
+
+    private static final long MAX_CANCEL_MARGIN_NANOS = Duration.ofMillis(500).toNanos();
+    private static final int POOL_SHARD = 0;
+    private static final int POOL_SHARD_COUNT = 1;
 
-    /** How far the attempt has come. */
     private enum Stage {
         CLAIMING,
         DISPATCHED,
         CANCELLING,
         RECORDING,
-        OVER
+        DONE
     }
 
-    private final String callPrefix;
+    private final String callIdPrefix;
     private final ImmutableList<UpstreamName> pool;
     private final ServiceTables tables;
     private final RandomGenerator random;
     private final long deadlineNanos;
     private final long dispatchDeadlineNanos;
-    private final Set<UpstreamName> refused = new HashSet<>();
+    private final Set<UpstreamName> refusingUpstreams = new HashSet<>();
     private Stage stage = Stage.CLAIMING;
     private boolean claimed;
     private boolean answered;
-    private int dispatches;
+    private int dispatchCount;
     private long sentNanos;
     private @Nullable UpstreamName upstream;
-    private @Nullable OnceOnlyAction afterRecording;
+    private @Nullable OnceOnlyAction pendingAnswer;
 
     /**
-     * Creates an attempt; nothing happens before {@link #start}.
+     * Creates an attempt, to be begun with {@link #start}.
      *
-     * @param callPrefix begins the identifiers of the calls; unique among all attempts of all processes
+     * @param callIdPrefix the prefix of the call identifiers, unique among all attempts of all processes
      * @param pool the upstreams that may run the request
-     * @param nowNanos the present time
-     * @param deadlineNanos when the caller must have its answer
+     * @param nowNanos the current time
+     * @param deadlineNanos when the caller must be answered
      */
     public OnceOnlyRequest(
-            String callPrefix,
+            String callIdPrefix,
             ImmutableList<UpstreamName> pool,
             ServiceTables tables,
             RandomGenerator random,
             long nowNanos,
             long deadlineNanos) {
-        this.callPrefix = callPrefix;
+        this.callIdPrefix = callIdPrefix;
         this.pool = pool;
         this.tables = tables;
         this.random = random;
         this.deadlineNanos = deadlineNanos;
-        long cancelNanos = Math.min(LONGEST_CANCEL_NANOS, (deadlineNanos - nowNanos) / CANCEL_SHARE_DIVISOR);
-        this.dispatchDeadlineNanos = deadlineNanos - cancelNanos;
+        long cancelMarginNanos = Math.min(MAX_CANCEL_MARGIN_NANOS, (deadlineNanos - nowNanos) / CANCEL_MARGIN_DIVISOR);
+        this.dispatchDeadlineNanos = deadlineNanos - cancelMarginNanos;
     }
 
-    /** Begins: asks for the claim. */
+    /** Starts the attempt by requesting the claim. */
     public List<OnceOnlyAction> start() {
         return List.of(new OnceOnlyAction.Claim(), new OnceOnlyAction.Wake(deadlineNanos));
     }
 
-    /** Takes what the agreed state says to the claim. */
-    public List<OnceOnlyAction> onClaimResult(ClaimResult verdict, long nowNanos) {
+    /** Handles the result of the claim: dispatches the request, or answers the caller. */
+    public List<OnceOnlyAction> onClaimResult(ClaimResult result, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.CLAIMING) {
-            if (verdict instanceof ClaimResult.Granted && !claimed) {
+            if (result instanceof ClaimResult.Granted && !claimed) {
                 claimed = true;
                 actions.add(new OnceOnlyAction.RecordNotRun("the claim came after the attempt had given up"));
             }
             return actions;
         }
-        if (verdict instanceof ClaimResult.Granted) {
+        if (result instanceof ClaimResult.Granted) {
             claimed = true;
             dispatch(nowNanos, actions);
-        } else if (verdict instanceof ClaimResult.AlreadyRan ran) {
+        } else if (result instanceof ClaimResult.AlreadyRan ran) {
             finish(new OnceOnlyAction.DeliverRan(ran.answer(), true), actions);
         } else {
-            finish(new OnceOnlyAction.Refuse(refusalFor(verdict)), actions);
+            finish(new OnceOnlyAction.Refuse(refusalFor(result)), actions);
         }
         return actions;
     }
 
-    /** Takes a reply as it arrived, in time or late. */
+    /** Handles a reply; one that arrives after the caller was answered is still recorded. */
     public List<OnceOnlyAction> onReply(LeafReply reply, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
-        if (dispatches == 0) {
+        if (dispatchCount == 0) {
             return actions;
         }
-        Either<LeafFailure, CheckedReply> checked = CheckedReply.check(
-                reply, currentCallId(), reply.served().indexVersion(), SHARD_OF_A_POOL, SHARDS_OF_A_POOL);
+        Either<LeafFailure, CheckedReply> checked =
+                CheckedReply.check(reply, currentCallId(), reply.served().indexVersion(), POOL_SHARD, POOL_SHARD_COUNT);
         if (checked.isLeft()) {
             return onFailure(checked.getLeft(), nowNanos);
         }
         ByteString payload = checked.get().payload();
-        if (stage == Stage.OVER) {
+        if (stage == Stage.DONE) {
             actions.add(new OnceOnlyAction.RecordRan(payload));
         } else if (stage != Stage.RECORDING) {
             long tookNanos = nowNanos - sentNanos;
-            evidence().ifPresent(known -> known.succeeded(tookNanos, nowNanos));
-            record(new OnceOnlyAction.RecordRan(payload), new OnceOnlyAction.DeliverRan(payload, false), actions);
+            evidence().ifPresent(evidence -> evidence.succeeded(tookNanos, nowNanos));
+            startRecording(
+                    new OnceOnlyAction.RecordRan(payload), new OnceOnlyAction.DeliverRan(payload, false), actions);
         }
         return actions;
     }
 
-    /** Takes the failure of the call in flight. */
+    /** Handles the failure of the call in flight: dispatches again if it certainly did not run. */
     public List<OnceOnlyAction> onFailure(LeafFailure failure, long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage != Stage.DISPATCHED && stage != Stage.CANCELLING) {
             return actions;
         }
-        evidence().ifPresent(known -> failure.recordIn(known, nowNanos));
+        evidence().ifPresent(evidence -> failure.recordIn(evidence, nowNanos));
         if (!failure.isCertainlyNotRun()) {
             recordUnknown("the call ended with " + failure.code() + " after it was handed over", actions);
             return actions;
@@ -144,10 +150,10 @@
             return actions;
         }
         if (upstream != null) {
-            refused.add(upstream);
+            refusingUpstreams.add(upstream);
         }
         if (stage == Stage.DISPATCHED
-                && dispatches < MAX_DISPATCHES
+                && dispatchCount < MAX_DISPATCHES
                 && tables.budget().tryWithdraw()) {
             dispatch(nowNanos, actions);
         } else {
@@ -156,16 +162,16 @@
         return actions;
     }
 
-    /** Takes the news that the outcome is agreed. */
+    /** Answers the caller once the outcome is recorded in the replicated state. */
     public List<OnceOnlyAction> onRecorded() {
         List<OnceOnlyAction> actions = new ArrayList<>();
-        if (stage == Stage.RECORDING && afterRecording != null) {
-            finish(afterRecording, actions);
+        if (stage == Stage.RECORDING && pendingAnswer != null) {
+            finish(pendingAnswer, actions);
         }
         return actions;
     }
 
-    /** Looks at the time. */
+    /** Cancels the call when its dispatch deadline has passed, and answers the caller at the deadline. */
     public List<OnceOnlyAction> wake(long nowNanos) {
         List<OnceOnlyAction> actions = new ArrayList<>();
         if (stage == Stage.DISPATCHED && nowNanos - dispatchDeadlineNanos >= 0 && upstream != null) {
@@ -184,19 +190,18 @@
                         actions);
             }
             case DISPATCHED, CANCELLING -> {
-                evidence().ifPresent(known -> known.failed(nowNanos));
+                evidence().ifPresent(evidence -> evidence.failed(nowNanos));
                 recordUnknown("no reply within the deadline", actions);
                 actions.addAll(onRecorded());
             }
             case RECORDING -> actions.addAll(onRecorded());
             default -> {
-                // The caller has its answer.
+                // The caller was already answered.
             }
         }
         return actions;
     }
 
-    /** Returns true once the caller has its answer. */
     public boolean isAnswered() {
         return answered;
     }
@@ -207,16 +212,16 @@
             return;
         }
         Optional<UpstreamName> choice =
-                tables.upstreams().choose(pool, candidate -> !refused.contains(candidate), random, nowNanos);
+                tables.upstreams().choose(pool, candidate -> !refusingUpstreams.contains(candidate), random, nowNanos);
         if (choice.isEmpty()) {
             recordNotRun(RefusalKind.UPSTREAM_REFUSED, "no upstream is left that takes new work", actions);
             return;
         }
-        if (dispatches == 0) {
+        if (dispatchCount == 0) {
             tables.budget().deposit(1);
             actions.add(new OnceOnlyAction.Wake(dispatchDeadlineNanos));
         }
-        dispatches++;
+        dispatchCount++;
         stage = Stage.DISPATCHED;
         upstream = choice.get();
         sentNanos = nowNanos;
@@ -225,27 +230,27 @@
     }
 
     private void recordNotRun(RefusalKind kind, String reason, List<OnceOnlyAction> actions) {
-        record(
+        startRecording(
                 new OnceOnlyAction.RecordNotRun(reason),
-                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; it did not run, send the request again")),
+                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; the request did not run, send it again")),
                 actions);
     }
 
     private void recordUnknown(String reason, List<OnceOnlyAction> actions) {
-        record(
+        startRecording(
                 new OnceOnlyAction.RecordUnknown(reason),
                 new OnceOnlyAction.Refuse(refusalFor(new ClaimResult.OutcomeUnknown(reason))),
                 actions);
     }
 
-    private void record(OnceOnlyAction outcome, OnceOnlyAction answer, List<OnceOnlyAction> actions) {
+    private void startRecording(OnceOnlyAction outcome, OnceOnlyAction answer, List<OnceOnlyAction> actions) {
         stage = Stage.RECORDING;
-        afterRecording = answer;
+        pendingAnswer = answer;
         actions.add(outcome);
     }
 
     private void finish(OnceOnlyAction answer, List<OnceOnlyAction> actions) {
-        stage = Stage.OVER;
+        stage = Stage.DONE;
         answered = true;
         actions.add(answer);
     }
@@ -255,32 +260,33 @@
     }
 
     private String currentCallId() {
-        return callPrefix + "-" + dispatches;
+        return callIdPrefix + "-" + dispatchCount;
     }
 
-    private static Refusal refusalFor(ClaimResult verdict) {
-        if (verdict instanceof ClaimResult.HeldByAnother) {
-            return Refusal.of(RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome");
+    private static Refusal refusalFor(ClaimResult result) {
+        if (result instanceof ClaimResult.HeldByAnother) {
+            return Refusal.of(
+                    RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome later");
         }
-        if (verdict instanceof ClaimResult.OutcomeUnknown unknown) {
+        if (result instanceof ClaimResult.OutcomeUnknown unknown) {
             return Refusal.of(
                     RefusalKind.OUTCOME_UNKNOWN,
-                    "it is not known whether the request ran (" + unknown.reason()
-                            + "); it will not be run again, check with the service before using a new identifier");
+                    "unknown whether the request ran (" + unknown.reason()
+                            + "); it will not run again, check with the service before using a new identifier");
         }
-        if (verdict instanceof ClaimResult.Mismatch) {
+        if (result instanceof ClaimResult.Mismatch) {
             return Refusal.of(
                     RefusalKind.REQUEST_MISMATCH,
-                    "the request identifier was used for another request; use a new identifier");
+                    "the request identifier was already used for a different request; use a new identifier");
         }
-        if (verdict instanceof ClaimResult.Expired) {
+        if (result instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
-                    "the request is older than outcomes are kept and is not run; check with the service");
+                    "the request is older than the retention period of outcomes and will not be run; check with the service");
         }
-        String reason = verdict instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
+        String reason = result instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
                 RefusalKind.NO_QUORUM,
-                "the control hosts did not confirm the claim (" + reason + "); it did not run, send it again");
+                "the control hosts did not confirm the claim (" + reason + "); the request did not run, send it again");
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/ShardState.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import org.bramblerack.version.UpstreamName;
 
-/** How far a query has come with one shard. Guarded by the query's lock. */
+/** The state of one shard of a query. Guarded by the query's lock. */
 final class ShardState {
     final List<Attempt> attempts = new ArrayList<>(2);
     boolean finished;
-    boolean retryDue;
+    boolean retryScheduled;
     long retryAtNanos;
 
     boolean hasAttemptInFlight() {
@@ -30,33 +30,35 @@
         return false;
     }
 
-    boolean foundVersionGoneAt(UpstreamName upstream) {
+    boolean isVersionGoneAt(UpstreamName upstream) {
         for (Attempt attempt : attempts) {
-            if (attempt.upstream.equals(upstream) && attempt.foundVersionGone()) {
+            if (attempt.upstream.equals(upstream) && attempt.isVersionGone()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Returns true if every replica that was asked no longer serves the version. */
-    boolean isVersionGone() {
-        return !attempts.isEmpty() && attempts.stream().allMatch(Attempt::foundVersionGone);
+    /** Returns true if every attempt found that its replica no longer serves the pinned version. */
+    boolean isVersionGoneAtAllTried() {
+        return !attempts.isEmpty() && attempts.stream().allMatch(Attempt::isVersionGone);
     }
 
-    /** Returns the only attempt if it counts as late. */
-    Optional<Attempt> lateAttempt(long lateNanos, long nowNanos) {
+    /** Returns the attempt of the shard if it is the only one, in flight, and due for a hedge. */
+    Optional<Attempt> lateAttempt(long lateAfterNanos, long nowNanos) {
         return onlyAttempt()
                 .filter(only -> !finished && !only.finished)
-                .filter(only -> nowNanos - only.hedgeDueNanos(lateNanos) >= 0);
+                .filter(only -> nowNanos - only.hedgeDueNanos(lateAfterNanos) >= 0);
     }
 
-    /** Returns when to look at the shard again, if time alone can change anything about it. */
-    Optional<Long> nextLookNanos(long lateNanos) {
+    /** Returns when a retry or hedge of the shard is due, empty if none can become due. */
+    Optional<Long> nextCheckNanos(long lateAfterNanos) {
         if (finished) {
             return Optional.empty();
         }
-        return retryDue ? Optional.of(retryAtNanos) : onlyAttempt().map(only -> only.hedgeDueNanos(lateNanos));
+        return retryScheduled
+                ? Optional.of(retryAtNanos)
+                : onlyAttempt().map(only -> only.hedgeDueNanos(lateAfterNanos));
     }
 
     private Optional<Attempt> onlyAttempt() {
--- a/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/DeclarationReader.java
@@ -16,12 +16,12 @@
 import org.bramblerack.process.document.ValidationError;
 
 /**
- * Reads a partner's declaration file strictly: it is read whole, or all its faults are returned.
+ * Parses and validates a partner's declaration file, and returns either the declaration or all errors.
  *
  * <p>The format is described in {@code docs/DECLARATION.md}. Stateless and safe for use by many threads.
  */
 public final class DeclarationReader {
-    /** The one version of the format that this reader knows. */
+    /** The only version of the format that this reader accepts. */
     public static final int FORMAT_VERSION = 1;
 
     private static final int MAX_SERVICES = 200;
@@ -32,12 +32,12 @@
     private static final int MAX_CONNECTIONS = 10_000;
     private static final int MAX_EXTRA_LOAD_PERCENT = 20;
     private static final int DEFAULT_EXTRA_LOAD_PERCENT = 5;
-    private static final Duration SHORTEST = Duration.ofMillis(1);
-    private static final Duration LONGEST_DEADLINE = Duration.ofMinutes(5);
-    private static final Duration SHORTEST_RETENTION = Duration.ofMinutes(10);
-    private static final Duration LONGEST_RETENTION = Duration.ofDays(30);
+    private static final Duration MIN_DEADLINE = Duration.ofMillis(1);
+    private static final Duration MAX_DEADLINE = Duration.ofMinutes(5);
+    private static final Duration MIN_RETENTION = Duration.ofMinutes(10);
+    private static final Duration MAX_RETENTION = Duration.ofDays(30);
     private static final Duration DEFAULT_RETENTION = Duration.ofDays(2);
-    private static final Duration LONGEST_LINGER = Duration.ofMinutes(2);
+    private static final Duration MAX_LINGER = Duration.ofMinutes(2);
     private static final Duration DEFAULT_LINGER = Duration.ofSeconds(10);
 
     private DeclarationReader() {}
@@ -45,8 +45,8 @@
     /**
      * Reads a declaration.
      *
-     * @param text the file's text
-     * @return the declaration, or every fault found with its line, never empty
+     * @param text the content of the file
+     * @return the declaration, or a non-empty list of all errors with their lines
      */
     public static Either<ImmutableList<ValidationError>, Declaration> read(String text) {
         return DocumentReader.read(text, DeclarationReader::readDeclaration);
@@ -102,7 +102,7 @@
                     connections + " connections cannot carry " + slots + " slots",
                     "allow at least one connection for each slot");
         }
-        Duration linger = fields.millis("connectionLingerMs", Duration.ZERO, LONGEST_LINGER, DEFAULT_LINGER);
+        Duration linger = fields.millis("connectionLingerMs", Duration.ZERO, MAX_LINGER, DEFAULT_LINGER);
         int extraLoad = fields.integer("extraLoadPercent", 0, MAX_EXTRA_LOAD_PERCENT, DEFAULT_EXTRA_LOAD_PERCENT);
         return new UpstreamLimits(slots, connections, linger, extraLoad);
     }
@@ -110,15 +110,15 @@
     private static RequestClass readClass(Fields fields) {
         String name = fields.name("name");
         Priority priority = fields.choice("priority", Priority.class);
-        Duration deadline = fields.millis("deadlineMs", SHORTEST, LONGEST_DEADLINE);
+        Duration deadline = fields.millis("deadlineMs", MIN_DEADLINE, MAX_DEADLINE);
         return new RequestClass(name, priority, deadline, fields.choice("prefer", Preference.class));
     }
 
     private static Operation readOperation(Fields fields) {
         String name = fields.name("name");
         Priority priority = fields.choice("priority", Priority.class);
-        Duration deadline = fields.millis("deadlineMs", SHORTEST, LONGEST_DEADLINE);
-        Duration retention = fields.millis("retentionMs", SHORTEST_RETENTION, LONGEST_RETENTION, DEFAULT_RETENTION);
+        Duration deadline = fields.millis("deadlineMs", MIN_DEADLINE, MAX_DEADLINE);
+        Duration retention = fields.millis("retentionMs", MIN_RETENTION, MAX_RETENTION, DEFAULT_RETENTION);
         return new Operation(name, priority, deadline, retention);
     }
 
@@ -165,7 +165,7 @@
         return ImmutableMap.copyOf(result);
     }
 
-    /** Keeps reading possible when a name is missing or malformed; the fault itself is reported already. */
+    /** Replaces a missing or malformed name, which has been reported as an error, so that reading can continue. */
     private static String orPlaceholder(String name) {
         return name.isEmpty() || name.indexOf('/') >= 0 ? "unnamed" : name;
     }
