--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/ScatterQuery.java
@@ -406,10 +406,10 @@
         return parts.count() > 0 && parts.count() >= target.minCoverage() * shards.count();
     }
 
-    /** Returns false once so many shards are lost that there will be no answer, whatever the others bring. */
-    private boolean canBeEnough() {
+    /** Returns false if too many shards have failed for an answer. */
+    private boolean canReachEnoughShards() {
         return !context.uses(RoutingFeature.EARLY_END)
-                || parts.count() + shards.waitingCount() >= target.minCoverage() * shards.count();
+                || parts.count() + shards.unfinishedCount() >= target.minCoverage() * shards.count();
     }
 
     private void end(List<RoutedAction> actions) {
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -86,13 +86,13 @@
     void homeRegionsIntersectAndTheTeamsPriorityOverridesTheRoutes() {
         CallerIdentity caller = new CallerIdentity(Optional.of(new Team(
                 "a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, HomeRegions.of(List.of("r2", "r3")))));
-        assertThat(caller.homeRegions(CLOSED)).isEqualTo(HomeRegions.of(List.of("r2")));
+        assertThat(caller.homeRegions(PRIVATE)).isEqualTo(HomeRegions.of(List.of("r2")));
         assertThat(caller.homeRegions(route(false, HomeRegions.of(List.of("r1"))))
                         .allowsNone())
                 .isTrue();
         assertThat(caller.homeRegions(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
-        assertThat(caller.priority(CLOSED)).isEqualTo(0);
-        assertThat(new CallerIdentity(Optional.of(TEAM)).priority(CLOSED)).isEqualTo(7);
+        assertThat(caller.priority(PRIVATE)).isEqualTo(0);
+        assertThat(new CallerIdentity(Optional.of(TEAM)).priority(PRIVATE)).isEqualTo(7);
     }
 
     /** The case of the scheme and surrounding whitespace are ignored; the key itself is compared exactly. */
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -194,12 +194,12 @@
 
         private void execute(List<RoutedAction> actions) {
             for (RoutedAction action : actions) {
-                if (action instanceof RoutedAction.CallLeaf ask) {
-                    asked++;
-                    Leaf leaf = ask.attempt().leaf();
-                    open.add(ask.attempt());
-                    assertWithMessage("seed %s: %s asked at %s", seed, homes, leaf.location())
-                            .that(homes.allows(leaf.location().region()))
+                if (action instanceof RoutedAction.CallLeaf call) {
+                    attemptCount++;
+                    Leaf leaf = call.attempt().leaf();
+                    openAttempts.add(call.attempt());
+                    assertWithMessage("seed %s: attempt with home regions %s at %s", seed, homeRegions, leaf.location())
+                            .that(homeRegions.allows(leaf.location().region()))
                             .isTrue();
                     assertWithMessage("seed %s: attempt in drained zone at %s", seed, leaf.location())
                             .that(drained[ZONES.indexOf(leaf.location().zone())])
