--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/LeafWarmUp.java
@@ -4,48 +4,47 @@
 import java.util.Optional;
 
 /**
- * Whether a leaf is cold, and what this host may send it while it is.
+ * Whether a leaf is cold, and whether this host may send requests to it meanwhile.
  *
  * <p>Not safe for use by several threads.
  */
 final class LeafWarmUp {
-    /** Absent if a cold leaf of the service bears as much as a warm one. */
+    /** Empty if the service declares no limit for cold leaves. */
     private Optional<ColdAllowance> allowance = Optional.empty();
 
-    private boolean spendsHere;
+    private boolean sendsHere;
     private long warmAtNanos;
 
-    /** Creates the coldness of a leaf that warms up at a time. */
     LeafWarmUp(long warmAtNanos) {
         this.warmAtNanos = warmAtNanos;
     }
 
-    void turnCold(Duration coldFor, long nowNanos) {
+    void markCold(Duration coldFor, long nowNanos) {
         warmAtNanos = nowNanos + coldFor.toNanos();
     }
 
-    void bound(double mostPerSecond, boolean newSpendsHere, long nowNanos) {
-        if (allowance.isEmpty() || newSpendsHere != spendsHere) {
-            allowance = Optional.of(new ColdAllowance(mostPerSecond, nowNanos));
+    void limit(double maxPerSecond, boolean newSendsHere, long nowNanos) {
+        if (allowance.isEmpty() || newSendsHere != sendsHere) {
+            allowance = Optional.of(new ColdAllowance(maxPerSecond, nowNanos));
         }
-        spendsHere = newSpendsHere;
+        sendsHere = newSendsHere;
     }
 
     boolean isCold(long nowNanos) {
         return nowNanos - warmAtNanos < 0;
     }
 
-    /** Returns true if this host may send it nothing now. */
-    boolean isSpent(long nowNanos) {
-        return isBound(nowNanos) && !(spendsHere && allowance.get().isLeft(nowNanos));
+    /** Returns true if the leaf is cold and this host may not send it a request now. */
+    boolean isBlocked(long nowNanos) {
+        return isLimited(nowNanos) && !(sendsHere && allowance.get().isAvailable(nowNanos));
     }
 
-    /** Notes a request that is to be sent; returns false if it must not be. */
-    boolean admit(long nowNanos) {
-        return !isBound(nowNanos) || (spendsHere && allowance.get().trySpend(nowNanos));
+    /** Records a request that is about to be sent; returns false if it must not be sent. */
+    boolean tryAdmit(long nowNanos) {
+        return !isLimited(nowNanos) || (sendsHere && allowance.get().tryAcquire(nowNanos));
     }
 
-    private boolean isBound(long nowNanos) {
+    private boolean isLimited(long nowNanos) {
         return allowance.isPresent() && isCold(nowNanos);
     }
 }
