--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/EntryServer.java
@@ -139,7 +139,7 @@
             return;
         }
         QueryRunner.Handle handle = queries.run(query.get(), result -> sendResult(context, query.get(), result));
-        context.request().connection().closeHandler(handle::onCallerGone);
+        context.request().connection().closeHandler(handle::callerGone);
     }
 
     private void sendResult(RoutingContext context, CallerQuery query, QueryResult result) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryRunner.java
@@ -66,7 +66,7 @@
     /** A submitted query. */
     public interface Handle {
         /** Cancels the query because its caller disconnected. */
-        void onCallerGone();
+        void callerGone();
     }
 
     /**
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -89,7 +89,7 @@
     private void handle(Event event, Claimer claimer) {
         lock.lock();
         try {
-            for (OnceOnlyAction action : event.handle(clock.nowNanos())) {
+            for (OnceOnlyAction action : event.at(clock.nowNanos())) {
                 execute(action, claimer);
             }
         } finally {
@@ -154,6 +154,6 @@
     /** An event of the request, handled under its lock. */
     @FunctionalInterface
     private interface Event {
-        List<OnceOnlyAction> handle(long nowNanos);
+        List<OnceOnlyAction> at(long nowNanos);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningQuery.java
@@ -71,7 +71,7 @@
     private void handle(Event event) {
         lock.lock();
         try {
-            for (QueryAction action : event.handle(clock.nowNanos())) {
+            for (QueryAction action : event.at(clock.nowNanos())) {
                 execute(action);
             }
         } finally {
@@ -112,6 +112,6 @@
     /** An event of the query, handled under its lock. */
     @FunctionalInterface
     private interface Event {
-        List<QueryAction> handle(long nowNanos);
+        List<QueryAction> at(long nowNanos);
     }
 }
