--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OnceOnlyRunner.java
@@ -29,15 +29,15 @@
 import org.bramblerack.wire.ControlReadResult;
 
 /**
- * Runs the once-only requests of callers: claims them, hands them over, and records their outcomes.
+ * Runs the once-only requests of callers: claims them, dispatches them to upstreams, and records their outcomes.
  *
  * <p>Safe for use by many threads.
  */
 public final class OnceOnlyRunner {
-    /** The longest answer that is kept for resends, in bytes. */
-    public static final int LONGEST_KEPT_ANSWER_BYTES = 64 * 1024;
+    /** The maximum size in bytes of an answer that is stored for resends. */
+    public static final int MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
-    private static final Duration LOOK_UP = Duration.ofSeconds(2);
+    private static final Duration LOOK_UP_TIMEOUT = Duration.ofSeconds(2);
 
     private final ServiceDirectory directory;
     private final LeafRouter router;
@@ -51,7 +51,7 @@
     private final OutcomeRecorder recorder;
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    /** Creates a runner. */
+    /** Creates a runner whose claims and outcomes go to the replicated log. */
     public OnceOnlyRunner(
             ServiceDirectory directory,
             LeafRouter router,
@@ -75,35 +75,36 @@
     }
 
     /**
-     * Runs a once-only request, or finds out what came of it.
+     * Runs a once-only request, or returns the outcome of an earlier attempt.
      *
      * @param done gets the result, once
      */
-    public void run(CallerOperation asked, Consumer<QueryResult> done) {
-        Optional<ServiceView> view = directory.find(asked.service());
-        Operation operation = view.map(known -> known.service().operations().get(asked.operation()))
+    public void run(CallerOperation request, Consumer<QueryResult> done) {
+        Optional<ServiceView> view = directory.find(request.service());
+        Operation operation = view.map(
+                        serviceView -> serviceView.service().operations().get(request.operation()))
                 .orElse(null);
         if (view.isEmpty()) {
-            refuse(done, RefusalKind.UNKNOWN_SERVICE, "the service " + asked.service() + " is not declared");
+            refuse(done, RefusalKind.UNKNOWN_SERVICE, "the service " + request.service() + " is not declared");
         } else if (operation == null) {
             refuse(
                     done,
                     RefusalKind.UNKNOWN_OPERATION,
-                    "the service has no operation " + asked.operation() + "; use one of "
+                    "the service has no operation " + request.operation() + "; use one of "
                             + view.get().service().operations().keySet());
         } else {
-            begin(asked, operation, view.get(), done);
+            start(request, operation, view.get(), done);
         }
     }
 
-    /** Looks up what came of a once-only request. */
+    /** Looks up the claim of a once-only request; the callback gets nothing if no leader could confirm the result. */
     public void lookUp(String service, String requestId, Consumer<Optional<ControlReadResult>> done) {
         ControlRead read = ControlRead.newBuilder()
                 .setKind(ControlRead.Kind.CLAIM)
                 .setService(service)
                 .setRequestId(requestId)
                 .build();
-        control.read(read, LOOK_UP)
+        control.read(read, LOOK_UP_TIMEOUT)
                 .subscribe()
                 .with(
                         result -> workers.run(
@@ -111,13 +112,15 @@
                         failure -> workers.run(() -> done.accept(Optional.empty())));
     }
 
-    /** Returns how many requests are in flight or have an outcome to be recorded. */
+    /** Returns the number of requests that are in flight or whose outcome is not recorded yet. */
     public int inFlight() {
-        return inFlight.get() + recorder.unrecorded();
+        return inFlight.get() + recorder.pendingCount();
     }
 
-    private void begin(CallerOperation asked, Operation operation, ServiceView view, Consumer<QueryResult> done) {
-        Duration time = asked.deadline()
+    private void start(
+            CallerOperation callerOperation, Operation operation, ServiceView view, Consumer<QueryResult> done) {
+        Duration timeout = callerOperation
+                .deadline()
                 .filter(deadline -> deadline.compareTo(operation.deadline()) < 0)
                 .orElse(operation.deadline());
         String attempt = ids.next();
@@ -125,7 +128,7 @@
         ImmutableList<UpstreamName> pool =
                 view.service().upstreams().stream().map(Upstream::name).collect(ImmutableList.toImmutableList());
         OnceOnlyRequest request =
-                new OnceOnlyRequest(attempt, pool, view.tables(), random, nowNanos, nowNanos + time.toNanos());
+                new OnceOnlyRequest(attempt, pool, view.tables(), random, nowNanos, nowNanos + timeout.toNanos());
         inFlight.incrementAndGet();
         Consumer<QueryResult> release = result -> {
             inFlight.decrementAndGet();
@@ -135,53 +138,59 @@
             done.accept(result);
         };
         RunningOperation running = new RunningOperation(
-                request, asked, operation, attempt, router, recorder, workers, clock, metrics, release);
-        running.start(claimed -> claim(asked, operation, attempt, time, claimed));
+                request, callerOperation, operation, attempt, router, recorder, workers, clock, metrics, release);
+        running.start(onClaimed -> claim(callerOperation, operation, attempt, timeout, onClaimed));
     }
 
     private void claim(
-            CallerOperation asked, Operation operation, String attempt, Duration time, Consumer<ClaimResult> decided) {
-        ByteString identity = ByteString.copyFromUtf8(asked.operation() + "\n").concat(asked.body());
+            CallerOperation callerOperation,
+            Operation operation,
+            String attempt,
+            Duration timeout,
+            Consumer<ClaimResult> onResult) {
+        ByteString identity =
+                ByteString.copyFromUtf8(callerOperation.operation() + "\n").concat(callerOperation.body());
         Command command = Command.newBuilder()
                 .setClaim(ClaimRequest.newBuilder()
-                        .setService(asked.service().toString())
-                        .setRequestId(asked.requestId().value())
+                        .setService(callerOperation.service().toString())
+                        .setRequestId(callerOperation.requestId().value())
                         .setAttempt(attempt)
                         .setAtMillis(wallClock.millis())
                         .setBodyDigest(Digests.of(identity))
                         .setRetentionMillis(operation.retention().toMillis())
-                        .setIssuedAtMillis(asked.issuedAtMillis())
-                        .setDeadlineMillis(time.toMillis()))
+                        .setIssuedAtMillis(callerOperation.issuedAtMillis())
+                        .setDeadlineMillis(timeout.toMillis()))
                 .build();
-        control.propose(command, time)
+        control.propose(command, timeout)
                 .subscribe()
                 .with(
-                        result -> workers.run(() -> decided.accept(toVerdict(result))),
+                        result -> workers.run(() -> onResult.accept(toClaimResult(result))),
                         failure -> workers.run(
-                                () -> decided.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
+                                () -> onResult.accept(new ClaimResult.NoQuorum(String.valueOf(failure.getMessage())))));
     }
 
-    private static ClaimResult toVerdict(ProposalResult result) {
+    private static ClaimResult toClaimResult(ProposalResult result) {
         if (!(result instanceof ProposalResult.Applied applied)) {
-            String reason = result instanceof ProposalResult.NotTaken notTaken ? notTaken.reason() : "no decision";
+            String reason = result instanceof ProposalResult.Rejected rejected ? rejected.reason() : "no decision";
             return new ClaimResult.NoQuorum(reason);
         }
-        CommandResult agreed = applied.result();
-        return switch (agreed.getKind()) {
+        CommandResult commandResult = applied.result();
+        return switch (commandResult.getKind()) {
             case CLAIMED -> new ClaimResult.Granted();
             case MISMATCH -> new ClaimResult.Mismatch();
             case EXPIRED -> new ClaimResult.Expired();
-            case ALREADY -> toVerdict(agreed);
+            case ALREADY -> toClaimResult(commandResult);
             case INVALID -> new ClaimResult.NoQuorum("its issue time lies in the future; correct the caller's clock");
             case NO_ROOM -> new ClaimResult.NoQuorum("too many old requests are remembered; state issuedAtMs");
             default -> new ClaimResult.NoQuorum("the claim was not granted");
         };
     }
 
-    private static ClaimResult toVerdict(CommandResult agreed) {
-        return switch (agreed.getClaim().getKind()) {
-            case RAN -> new ClaimResult.AlreadyRan(agreed.getClaim().getAnswer());
-            case UNKNOWN -> new ClaimResult.OutcomeUnknown(agreed.getClaim().getReason());
+    private static ClaimResult toClaimResult(CommandResult commandResult) {
+        return switch (commandResult.getClaim().getKind()) {
+            case RAN -> new ClaimResult.AlreadyRan(commandResult.getClaim().getAnswer());
+            case UNKNOWN ->
+                new ClaimResult.OutcomeUnknown(commandResult.getClaim().getReason());
             case IN_PROGRESS -> new ClaimResult.HeldByAnother();
             default -> new ClaimResult.NoQuorum("this attempt was given back");
         };
