--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
@@ -29,17 +29,17 @@
  */
 public final class EntryProcess {
     private static final EventLog EVENTS = EventLog.of(EntryProcess.class);
-    private static final Duration LOOK_EVERY = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     /**
      * For how long a stopping host still takes requests: callers reach it until the balancer has missed its readiness
      * twice and a table has told the other hosts.
      */
-    private static final Duration STILL_TAKES_REQUESTS = Duration.ofMillis(3_200);
+    private static final Duration ACCEPT_AFTER_STOP = Duration.ofMillis(3_200);
     /**
      * How long before it ends a stopping host refuses what comes: the work of the longest single requests of the users'
      * sites is just under a second, and half a second is for the ways and a busy leaf.
      */
-    private static final Duration FINISHES_WITHIN = Duration.ofMillis(1_500);
+    private static final Duration REFUSE_BEFORE_END = Duration.ofMillis(1_500);
 
     private final EntrySettings settings;
     private final MonotonicClock clock;
@@ -64,7 +64,7 @@
      */
     public EntryProcess(
             EntrySettings settings,
-            CallHeaders names,
+            CallHeaders headerNames,
             ConfigurationCodec codec,
             MetricRegistry metrics,
             MonotonicClock clock,
@@ -80,14 +80,15 @@
                 settings.budget(),
                 settings.coldRequestLimit(),
                 settings.routing(),
-                names,
+                headerNames,
                 group,
                 clock,
                 random);
         PeerTraffic traffic =
                 new PeerTraffic(metrics, host -> view.otherRegionOf(host).isPresent());
         this.network = PeerNetwork.byAddress(settings.peerAddress().toString(), group, LinkPolicy.OPEN, traffic);
-        this.follower = new TableFollower(view, codec, network, loop, clock, settings.seeds(), this::self, random);
+        this.follower =
+                new TableFollower(view, codec, network, loop, clock, settings.seeds(), this::hostRecord, random);
         this.limits = settings.quota()
                 .map(bound -> fleetLimits(bound, metrics, loop, random))
                 .orElse(TeamRateLimits.NONE);
@@ -98,7 +99,7 @@
                 limits,
                 follower::controlHost,
                 network,
-                names,
+                headerNames,
                 new GatewayMetrics(metrics, clock),
                 clock,
                 loop,
@@ -108,7 +109,7 @@
         this.warmUp = new HostWarmUp(
                 view,
                 steps -> new WarmUp(
-                        names,
+                        headerNames,
                         group,
                         settings.peerAddress().getHost(),
                         settings.peerAddress().getPort() + 1,
@@ -121,7 +122,7 @@
                 settings.callerAddress(),
                 group,
                 exchange -> {
-                    warmUp.workCame();
+                    warmUp.onWork();
                     gateway.handle(exchange);
                 },
                 () -> view.configuration().limits(),
@@ -140,7 +141,7 @@
         harmReporter.start();
         gateway.start();
         limits.start();
-        warmUp.atStart();
+        warmUp.runAtStart();
         warm = true;
         follower.announce();
         EVENTS.info("started")
@@ -176,24 +177,25 @@
      * @throws InterruptedException if the thread is interrupted meanwhile
      */
     public void stop() throws InterruptedException {
-        long beganNanos = clock.nowNanos();
+        long stopStartedNanos = clock.nowNanos();
         stopping = true;
         callers.beginStop();
         follower.announce();
         EVENTS.info("stopping").with("host", settings.name()).write();
-        while (sinceNanos(beganNanos) < STILL_TAKES_REQUESTS.toNanos()) {
-            Thread.sleep(LOOK_EVERY.toMillis());
+        while (elapsedNanos(stopStartedNanos) < ACCEPT_AFTER_STOP.toNanos()) {
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         gateway.beginStop();
         callers.closeIdle();
-        long limitNanos = settings.stopLimit().toNanos();
-        long refusesAfterNanos = limitNanos - FINISHES_WITHIN.toNanos();
-        while (sinceNanos(beganNanos) < limitNanos && !(callers.isIdle() && callers.connectionCount() == 0)) {
-            if (sinceNanos(beganNanos) >= refusesAfterNanos) {
+        long stopLimitNanos = settings.stopLimit().toNanos();
+        long refuseAfterNanos = stopLimitNanos - REFUSE_BEFORE_END.toNanos();
+        while (elapsedNanos(stopStartedNanos) < stopLimitNanos
+                && !(callers.isIdle() && callers.connectionCount() == 0)) {
+            if (elapsedNanos(stopStartedNanos) >= refuseAfterNanos) {
                 gateway.refuseCallers();
             }
             callers.closeIdle();
-            Thread.sleep(LOOK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         callers.stopListening();
         follower.stop();
@@ -222,7 +224,7 @@
 
     private void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasStageCall()) {
-            warmUp.workCame();
+            warmUp.onWork();
         }
         gateway.handle(message, reply);
     }
@@ -240,7 +242,7 @@
                 InstantSource.system(),
                 loop,
                 random);
-        view.onHostsChanged(fleetLimits::hostsChanged);
+        view.onHostsChanged(fleetLimits::onHostsChanged);
         return fleetLimits;
     }
 
@@ -251,15 +253,15 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    private long sinceNanos(long beganNanos) {
-        return clock.nowNanos() - beganNanos;
+    private long elapsedNanos(long sinceNanos) {
+        return clock.nowNanos() - sinceNanos;
     }
 
     /**
      * Returns what the tables should say of this host: nothing as long as it warms up, since others would have it ask
      * their shards by code that is not loaded yet, on a processor that is busy with that.
      */
-    private Optional<HostRecord> self() {
+    private Optional<HostRecord> hostRecord() {
         if (!warm) {
             return Optional.empty();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
@@ -18,13 +18,13 @@
  * many threads.
  */
 final class FleetHosts {
-    private final HostLocation place;
+    private final HostLocation location;
     private final Map<String, HostRecord> hosts = new LinkedHashMap<>();
     private final Map<String, String> regionsByAddress = new ConcurrentHashMap<>();
 
     /** Creates an empty list of hosts as seen from a place. */
-    FleetHosts(HostLocation place) {
-        this.place = place;
+    FleetHosts(HostLocation location) {
+        this.location = location;
     }
 
     /**
@@ -61,7 +61,7 @@
     ImmutableList<String> controlAddresses() {
         return hosts.values().stream()
                 .filter(host -> !host.getControlAddress().isEmpty() && host.getPhase() == HostRecord.Phase.READY)
-                .sorted(Comparator.comparing(host -> place.distanceTo(host.getZone())))
+                .sorted(Comparator.comparing(host -> location.distanceTo(host.getZone())))
                 .map(HostRecord::getPeerAddress)
                 .collect(ImmutableList.toImmutableList());
     }
@@ -73,6 +73,6 @@
 
     /** Returns the region of a host with the given name or peer address if it is known to be another one. */
     Optional<String> otherRegionOf(String host) {
-        return regionOf(host).filter(region -> !region.equals(place.region()));
+        return regionOf(host).filter(region -> !region.equals(location.region()));
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -41,15 +41,15 @@
 final class FleetLimits implements TeamRateLimits {
     private static final EventLog EVENTS = EventLog.of(FleetLimits.class);
     /** For how long an answer to a call is waited for: several ways there and back between far regions. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(150);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(150);
 
-    private static final Duration LOOK_EVERY = Duration.ofMillis(100);
+    private static final Duration WAKE_INTERVAL = Duration.ofMillis(100);
     /** Teams are looked through one by one, so not often. */
-    private static final Duration FORGET_EVERY = Duration.ofSeconds(5);
+    private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(5);
     /** Shorter suspensions are like a moment in which this host is behind. */
-    private static final Duration LEAST_SUSPENSION = Duration.ofMillis(400);
+    private static final Duration MIN_SUSPENSION = Duration.ofMillis(400);
     /** A team that comes near its limit and goes again gives two lines. */
-    private static final int LINES_A_SECOND = 10;
+    private static final int MAX_LINES_PER_SECOND = 10;
 
     private final String self;
     private final FleetView view;
@@ -59,16 +59,16 @@
     private final MonotonicClock clock;
     private final InstantSource wallClock;
     private final EventLoop loop;
-    private final QuotaClient spender;
-    private final QuotaServer keeper;
-    private final SuspendDetector suspendWatch;
-    private final LogRateLimiter lines;
-    private final Map<Long, Asker> askers = new HashMap<>();
-    private final Map<Long, Reporter> reporters = new HashMap<>();
+    private final QuotaClient client;
+    private final QuotaServer server;
+    private final SuspendDetector suspendDetector;
+    private final LogRateLimiter lineLimiter;
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private final Map<Long, PendingReport> pendingReports = new HashMap<>();
     private ImmutableList<String> hosts = ImmutableList.of();
     private long lastTicket;
-    private long forgotNanos;
-    private @Nullable ScheduledFuture<?> looking;
+    private long evictedNanos;
+    private @Nullable ScheduledFuture<?> wakeTask;
 
     /**
      * Creates limits that nothing was spent of.
@@ -96,130 +96,131 @@
         this.wallClock = wallClock;
         this.loop = loop;
         long nowNanos = clock.nowNanos();
-        this.forgotNanos = nowNanos;
-        this.spender = new QuotaClient(self, bound, random, nowNanos);
-        this.keeper = new QuotaServer(self, bound, nowNanos);
-        this.suspendWatch = new SuspendDetector(LEAST_SUSPENSION, nowNanos, wallClock.millis());
-        this.lines = new LogRateLimiter(clock, LINES_A_SECOND);
+        this.evictedNanos = nowNanos;
+        this.client = new QuotaClient(self, bound, random, nowNanos);
+        this.server = new QuotaServer(self, bound, nowNanos);
+        this.suspendDetector = new SuspendDetector(MIN_SUSPENSION, nowNanos, wallClock.millis());
+        this.lineLimiter = new LogRateLimiter(clock, MAX_LINES_PER_SECOND);
     }
 
     @Override
     public void start() {
-        looking = loop.scheduleWithFixedDelay(
-                this::look, LOOK_EVERY.toMillis(), LOOK_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+        wakeTask = loop.scheduleWithFixedDelay(
+                this::wake, WAKE_INTERVAL.toMillis(), WAKE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void stop() {
-        if (looking != null) {
-            looking.cancel(false);
+        if (wakeTask != null) {
+            wakeTask.cancel(false);
         }
     }
 
     @Override
-    public void requestPermission(CallerIdentity caller, Consumer<Decision> taker) {
+    public void requestPermission(CallerIdentity caller, Consumer<Decision> callback) {
         Optional<Team> team = caller.team();
         if (team.isEmpty() || team.get().limit().isUnlimited()) {
-            taker.accept(Decision.UNLIMITED);
+            callback.accept(Decision.UNLIMITED);
             return;
         }
         long nowNanos = refresh();
         long ticket = ++lastTicket;
-        askers.put(ticket, new Asker(team.get().name(), taker));
-        spender.request(ticket, team.get().name(), team.get().limit(), nowNanos);
-        carryOut();
+        pendingRequests.put(ticket, new PendingRequest(team.get().name(), callback));
+        client.request(ticket, team.get().name(), team.get().limit(), nowNanos);
+        performActions();
     }
 
     @Override
     public boolean handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasRateReport()) {
-            loop.execute(() -> takeReport(
+            loop.execute(() -> handleReport(
                     message.getSender(),
                     message.getRateReport(),
-                    new Reporter(answer -> reply.accept(Envelope.newBuilder().setRateVerdict(answer.verdict())))));
+                    new PendingReport(
+                            answer -> reply.accept(Envelope.newBuilder().setRateVerdict(answer.verdict())))));
         } else if (message.hasRateCall()) {
             loop.execute(() -> reply.accept(
-                    Envelope.newBuilder().setRateCallResult(called(message.getSender(), message.getRateCall()))));
+                    Envelope.newBuilder().setRateCallResult(handleCall(message.getSender(), message.getRateCall()))));
         } else if (message.hasRateNotice()) {
-            loop.execute(() -> spender.handleNotice(message.getRateNotice()));
+            loop.execute(() -> client.handleNotice(message.getRateNotice()));
         } else {
             return false;
         }
         return true;
     }
 
-    private void takeReport(String from, RateReport report, Reporter reporter) {
+    private void handleReport(String from, RateReport report, PendingReport pending) {
         long nowNanos = refresh();
         long token = ++lastTicket;
-        reporters.put(token, reporter);
-        metrics.reportTaken();
-        keeper.handleReport(from, token, report, nowNanos);
-        carryOut();
+        pendingReports.put(token, pending);
+        metrics.recordReportReceived();
+        server.handleReport(from, token, report, nowNanos);
+        performActions();
     }
 
-    private RateCallResult called(String from, RateCall call) {
+    private RateCallResult handleCall(String from, RateCall call) {
         long nowNanos = refresh();
-        RateCallResult result = spender.handleCall(from, call, nowNanos);
+        RateCallResult result = client.handleCall(from, call, nowNanos);
         if (result.getFollows()) {
-            keeper.handleSuperseded(call.getOwner(), from, nowNanos);
+            server.handleSuperseded(call.getOwner(), from, nowNanos);
         }
-        carryOut();
+        performActions();
         return result;
     }
 
-    private void look() {
+    private void wake() {
         if (view.configuration().teams().isEmpty()) {
             return;
         }
         long nowNanos = refresh();
-        keeper.wake(nowNanos);
-        spender.wake(nowNanos);
-        if (nowNanos - forgotNanos >= FORGET_EVERY.toNanos()) {
-            forgotNanos = nowNanos;
-            keeper.evictIdle(nowNanos);
-            spender.evictIdle(nowNanos);
+        server.wake(nowNanos);
+        client.wake(nowNanos);
+        if (nowNanos - evictedNanos >= EVICTION_INTERVAL.toNanos()) {
+            evictedNanos = nowNanos;
+            server.evictIdle(nowNanos);
+            client.evictIdle(nowNanos);
         }
-        carryOut();
+        performActions();
     }
 
     /** Takes over what has changed on this host and in the tables, and returns the present time. */
     private long refresh() {
         long nowNanos = clock.nowNanos();
-        if (suspendWatch.wasSuspended(nowNanos, wallClock.millis())) {
+        if (suspendDetector.wasSuspended(nowNanos, wallClock.millis())) {
             EVENTS.info("limits_suspended").with("host", self).write();
-            keeper.handleSuspension(nowNanos);
-            spender.handleSuspension(nowNanos);
+            server.handleSuspension(nowNanos);
+            client.handleSuspension(nowNanos);
         }
         boolean current = tablesCurrent.getAsBoolean();
-        keeper.setControlReachable(current, nowNanos);
-        spender.setControlReachable(current);
-        keeper.setTeams(view.configuration().teams());
+        server.setControlReachable(current, nowNanos);
+        client.setControlReachable(current);
+        server.setTeams(view.configuration().teams());
         return nowNanos;
     }
 
     /** Takes the entry hosts of the tables. */
-    void hostsChanged() {
-        ImmutableList<String> changed =
+    void onHostsChanged() {
+        ImmutableList<String> newHosts =
                 view.entryHosts().stream().map(HostRecord::getPeerAddress).collect(ImmutableList.toImmutableList());
-        if (!changed.equals(hosts)) {
-            hosts = changed;
+        if (!newHosts.equals(hosts)) {
+            hosts = newHosts;
             long nowNanos = refresh();
-            keeper.setHosts(hosts, nowNanos);
-            spender.setHosts(hosts, nowNanos);
-            carryOut();
+            server.setHosts(hosts, nowNanos);
+            client.setHosts(hosts, nowNanos);
+            performActions();
         }
     }
 
-    private void carryOut() {
-        ImmutableList<QuotaAction> actions = spender.takeActions();
+    private void performActions() {
+        ImmutableList<QuotaAction> actions = client.takeActions();
         while (!actions.isEmpty()) {
-            actions.forEach(this::carryOut);
-            actions = spender.takeActions();
+            actions.forEach(this::performActions);
+            actions = client.takeActions();
         }
-        keeper.takeActions().forEach(this::carryOut);
+        server.takeActions().forEach(this::performActions);
     }
 
-    private void carryOut(QuotaAction action) {
+    private void performActions(QuotaAction action) {
         if (action instanceof QuotaAction.Permit permit) {
             permit(permit);
         } else if (action instanceof QuotaAction.Refuse refuse) {
@@ -227,37 +228,38 @@
         } else if (action instanceof QuotaAction.Report report) {
             report(report);
         } else if (action instanceof QuotaAction.Answer answer) {
-            Optional.ofNullable(reporters.remove(answer.token())).ifPresent(reporter -> reporter.taker.accept(answer));
+            Optional.ofNullable(pendingReports.remove(answer.token()))
+                    .ifPresent(pending -> pending.callback.accept(answer));
         } else if (action instanceof QuotaAction.Call call) {
             call(call);
-        } else if (action instanceof QuotaAction.RecordTakeover tookOver) {
-            tookOver(tookOver);
-        } else if (action instanceof QuotaAction.Notify tell) {
-            tell(tell.notice());
+        } else if (action instanceof QuotaAction.RecordTakeover takeover) {
+            recordTakeover(takeover);
+        } else if (action instanceof QuotaAction.Notify notification) {
+            notifyHosts(notification.notice());
         } else if (action instanceof QuotaAction.Wake wake) {
-            loop.schedule(this::look, Math.max(0, wake.atNanos() - clock.nowNanos()), TimeUnit.NANOSECONDS);
+            loop.schedule(this::wake, Math.max(0, wake.atNanos() - clock.nowNanos()), TimeUnit.NANOSECONDS);
         }
     }
 
     private void permit(QuotaAction.Permit permit) {
-        Asker asker = askers.remove(permit.ticket());
-        if (asker != null) {
-            metrics.permitted(permit.source(), asker.team);
-            asker.taker.accept(new Decision.Permitted(() -> giveBack(asker.team)));
+        PendingRequest request = pendingRequests.remove(permit.ticket());
+        if (request != null) {
+            metrics.recordPermitted(permit.source(), request.team);
+            request.callback.accept(new Decision.Permitted(() -> refund(request.team)));
         }
     }
 
-    private void giveBack(String team) {
-        metrics.givenBack();
-        spender.refund(team, refresh());
-        carryOut();
+    private void refund(String team) {
+        metrics.recordRefund();
+        client.refund(team, refresh());
+        performActions();
     }
 
     private void refuse(QuotaAction.Refuse refuse) {
-        Asker asker = askers.remove(refuse.ticket());
-        if (asker != null) {
-            metrics.refused(refuse.source(), asker.team);
-            asker.taker.accept(new Decision.Refused(
+        PendingRequest request = pendingRequests.remove(refuse.ticket());
+        if (request != null) {
+            metrics.recordRefused(refuse.source(), request.team);
+            request.callback.accept(new Decision.Refused(
                     Duration.ofMillis(refuse.retryAfterMillis()),
                     refuse.source().name()));
         }
@@ -266,14 +268,14 @@
     private void report(QuotaAction.Report report) {
         long id = report.id();
         if (report.host().equals(self)) {
-            loop.execute(() -> takeReport(self, report.report(), new Reporter(answer -> {
-                spender.handleVerdict(id, answer.verdict(), refresh());
-                carryOut();
+            loop.execute(() -> handleReport(self, report.report(), new PendingReport(answer -> {
+                client.handleVerdict(id, answer.verdict(), refresh());
+                performActions();
             })));
             return;
         }
-        metrics.reported();
-        ScheduledFuture<?> giveUp = loop.schedule(
+        metrics.recordReport();
+        ScheduledFuture<?> timeout = loop.schedule(
                 () -> reportFailed(id, report.host(), "no answer in time"),
                 report.answerTimeout().toNanos(),
                 TimeUnit.NANOSECONDS);
@@ -285,64 +287,65 @@
                 .subscribe()
                 .with(
                         reply -> loop.execute(() -> {
-                            giveUp.cancel(false);
-                            spender.handleVerdict(id, reply.getRateVerdict(), refresh());
-                            carryOut();
+                            timeout.cancel(false);
+                            client.handleVerdict(id, reply.getRateVerdict(), refresh());
+                            performActions();
                         }),
                         failure -> loop.execute(() -> {
-                            giveUp.cancel(false);
+                            timeout.cancel(false);
                             reportFailed(id, report.host(), String.valueOf(failure.getMessage()));
                         }));
     }
 
     private void reportFailed(long id, String host, String reason) {
-        if (spender.handleReportFailure(id, refresh())) {
-            metrics.reportFailed();
-            if (lines.tryAcquire()) {
+        if (client.handleReportFailure(id, refresh())) {
+            metrics.recordReportFailure();
+            if (lineLimiter.tryAcquire()) {
                 EVENTS.info("limit_keeper_away")
                         .with("keeper", host)
                         .with("reason", reason)
                         .write();
             }
         }
-        carryOut();
+        performActions();
     }
 
     private void call(QuotaAction.Call call) {
         if (call.host().equals(self)) {
-            loop.execute(() -> takeResult(self, call.call(), called(self, call.call())));
+            loop.execute(() -> handleCallResult(self, call.call(), handleCall(self, call.call())));
             return;
         }
-        metrics.called();
+        metrics.recordCall();
         network.requestWhenConnected(
-                        call.host(), () -> Envelope.newBuilder().setRateCall(call.call()), REPLY_WAIT, progress -> {})
+                        call.host(), () -> Envelope.newBuilder().setRateCall(call.call()), CALL_TIMEOUT, progress -> {})
                 .subscribe()
                 .with(
-                        reply -> loop.execute(() -> takeResult(call.host(), call.call(), reply.getRateCallResult())),
-                        failure -> metrics.callFailed());
+                        reply -> loop.execute(
+                                () -> handleCallResult(call.host(), call.call(), reply.getRateCallResult())),
+                        failure -> metrics.recordCallFailure());
     }
 
-    private void takeResult(String host, RateCall call, RateCallResult result) {
-        keeper.handleCallResult(host, call.getOwner(), result, refresh());
-        carryOut();
+    private void handleCallResult(String host, RateCall call, RateCallResult result) {
+        server.handleCallResult(host, call.getOwner(), result, refresh());
+        performActions();
     }
 
-    private void tookOver(QuotaAction.RecordTakeover tookOver) {
-        metrics.tookOver();
-        if (lines.tryAcquire()) {
+    private void recordTakeover(QuotaAction.RecordTakeover takeover) {
+        metrics.recordTakeover();
+        if (lineLimiter.tryAcquire()) {
             EVENTS.info("limit_accounts_taken_over")
-                    .with("owner", tookOver.owner())
+                    .with("owner", takeover.owner())
                     .with("keeper", self)
                     .with("revision", view.revision())
                     .write();
         }
     }
 
-    private void tell(RateNotice notice) {
-        spender.handleNotice(notice);
+    private void notifyHosts(RateNotice notice) {
+        client.handleNotice(notice);
         for (TeamAllowance team : notice.getTeamsList()) {
-            metrics.turned(team.getMustAsk());
-            if (lines.tryAcquire()) {
+            metrics.recordModeChange(team.getMustAsk());
+            if (lineLimiter.tryAcquire()) {
                 EVENTS.info(team.getMustAsk() ? "team_must_ask" : "team_is_free")
                         .with("team", team.getTeam())
                         .with("keeper", self)
@@ -358,8 +361,8 @@
     }
 
     /** A request that waits for a decision. */
-    private record Asker(String team, Consumer<Decision> taker) {}
+    private record PendingRequest(String team, Consumer<Decision> callback) {}
 
     /** Who waits for the answer to a report. */
-    private record Reporter(Consumer<QuotaAction.Answer> taker) {}
+    private record PendingReport(Consumer<QuotaAction.Answer> callback) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -52,13 +52,13 @@
 public final class FleetView {
     private static final EventLog EVENTS = EventLog.of(FleetView.class);
     /** How many leafs a line names at the most. */
-    private static final int MOST_NAMED = 12;
+    private static final int MAX_LOGGED_NAMES = 12;
 
     private final HostLocation location;
     private final long startedNanos;
     private final LeafAccess access;
     private final FleetBudget budget;
-    private final ColdRequestLimit coldBound;
+    private final ColdRequestLimit coldRequestLimit;
     private final MonotonicClock clock;
     private final RoutingContext routing;
     private final Map<String, LeafPool> pools = new HashMap<>();
@@ -82,24 +82,24 @@
      */
     public FleetView(
             String self,
-            HostLocation place,
+            HostLocation location,
             FleetBudget budget,
-            ColdRequestLimit coldBound,
+            ColdRequestLimit coldRequestLimit,
             RoutingPolicy policy,
-            CallHeaders names,
+            CallHeaders headerNames,
             EventLoopGroup group,
             MonotonicClock clock,
             RandomGenerator random) {
-        this.location = place;
-        this.hosts = new FleetHosts(place);
+        this.location = location;
+        this.hosts = new FleetHosts(location);
         this.startedNanos = clock.nowNanos();
         this.queries = new EventRate(startedNanos);
         this.routing = new RoutingContext(policy, EventLoopLag.create(LagSamplingPeriod.BUSY_PERIOD));
-        this.access = new LeafAccess(self, place);
+        this.access = new LeafAccess(self, location);
         this.budget = budget;
-        this.coldBound = coldBound;
+        this.coldRequestLimit = coldRequestLimit;
         this.clock = clock;
-        this.connections = new LeafConnectionTable(this, names, group, clock, random);
+        this.connections = new LeafConnectionTable(this, headerNames, group, clock, random);
     }
 
     /** Returns the revision of the tables that was applied last. */
@@ -138,7 +138,7 @@
 
     /** Sets what is told of each connection to a leaf. */
     void onConnectionEvent(Consumer<ConnectionEvent> observer) {
-        connections.onEvent(observer);
+        connections.setObserver(observer);
     }
 
     /** Returns true once requests can be served: a configuration and at least one leaf are known. */
@@ -162,7 +162,7 @@
     }
 
     /** Returns how many queries over shards callers send here in a minute. */
-    int queriesAMinute() {
+    int queriesPerMinute() {
         return queries.perMinute(clock.nowNanos());
     }
 
@@ -268,15 +268,15 @@
         boolean hostsChanged = hosts.apply(delta);
         boolean zonesChanged = applyDrainedZones(delta);
         boolean leavesChanged = applyLeaves(delta);
-        boolean waysChanged = throughHolders != delta.getThroughHolders();
+        boolean accessModeChanged = throughHolders != delta.getThroughHolders();
         throughHolders = delta.getThroughHolders();
-        learnHarm(delta);
-        if (hostsChanged || leavesChanged || zonesChanged || waysChanged || newer.isPresent()) {
+        applyHarm(delta);
+        if (hostsChanged || leavesChanged || zonesChanged || accessModeChanged || newer.isPresent()) {
             accessStale = true;
             if (hostsChanged) {
                 onHostsChanged.run();
             }
-            connections.reviewLater();
+            connections.scheduleReview();
             EVENTS.info("tables_changed")
                     .with("revision", revision)
                     .with("configuration", configuration.version())
@@ -285,13 +285,13 @@
                     .with("leafs", leafRecords.size())
                     .with("leafsBefore", leavesBefore)
                     .with("throughHolders", throughHolders)
-                    .with("leaving", leaving(delta))
+                    .with("leaving", leavingLeafIds(delta))
                     .with("drainedZones", String.join(" ", drainedZones))
                     .write();
         }
     }
 
-    private void learnHarm(TableDelta delta) {
+    private void applyHarm(TableDelta delta) {
         int before = harmFilter.replicatedRestrictedCount();
         harmFilter.applyReplicated(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
         if (harmFilter.replicatedRestrictedCount() != before) {
@@ -299,17 +299,17 @@
                     .with("count", harmFilter.replicatedRestrictedCount())
                     .with("before", before)
                     .with("revision", revision)
-                    .with("fingerprints", barred(delta))
+                    .with("fingerprints", quarantinedFingerprints(delta))
                     .write();
         }
     }
 
     /** Returns the requests of a change that are sent to no leaf from now on, the first of them. */
-    private static String barred(TableDelta delta) {
+    private static String quarantinedFingerprints(TableDelta delta) {
         return delta.getHarmList().stream()
                 .filter(record -> record.getVerdict() == HarmRecord.Verdict.BARRED)
                 .flatMap(record -> Fingerprint.fromBytes(record.getFingerprint()).stream())
-                .limit(MOST_NAMED)
+                .limit(MAX_LOGGED_NAMES)
                 .map(Fingerprint::toString)
                 .collect(Collectors.joining(" "));
     }
@@ -321,18 +321,18 @@
         if (accessStale) {
             accessStale = false;
             access.update(entryHosts(), leafRecords.values(), configuration, throughHolders);
-            pools.values().forEach(this::takeOver);
-            leafRecords.values().forEach(this::boundCold);
+            pools.values().forEach(this::updatePool);
+            leafRecords.values().forEach(this::limitColdRequests);
         }
         return access;
     }
 
     /** Returns the leafs of a change that take no new work from now on, the first of them by name. */
-    private static String leaving(TableDelta delta) {
+    private static String leavingLeafIds(TableDelta delta) {
         return delta.getLeavesList().stream()
                 .filter(leaf -> leaf.getPhase() != LeafRecord.Phase.READY)
                 .map(LeafRecord::getId)
-                .limit(MOST_NAMED)
+                .limit(MAX_LOGGED_NAMES)
                 .collect(Collectors.joining(" "));
     }
 
@@ -411,7 +411,7 @@
     }
 
     /** Tells a leaf what it bears while it is cold, and whether this host may send it that. */
-    private void boundCold(LeafRecord record) {
+    private void limitColdRequests(LeafRecord record) {
         LeafService service = configuration.services().get(record.getService());
         Optional<Leaf> leaf = leaf(record.getId());
         if (service == null || service.coldRequestsPerSecond() <= 0 || leaf.isEmpty()) {
@@ -419,7 +419,7 @@
         }
         leaf.get()
                 .limitColdRequests(
-                        coldBound.maxPerSecond(service.coldRequestsPerSecond()),
+                        coldRequestLimit.maxPerSecond(service.coldRequestsPerSecond()),
                         access.maySendToColdLeaf(record.getId(), record.getService(), record.getZone()),
                         clock.nowNanos());
     }
@@ -437,27 +437,27 @@
     }
 
     private LeafPool newPool(String service) {
-        WindowedBudget own = budget.newShare(startedNanos);
-        LeafPool pool = new LeafPool(service, own, routing);
-        takeOver(pool);
+        WindowedBudget ownBudget = budget.newShare(startedNanos);
+        LeafPool pool = new LeafPool(service, ownBudget, routing);
+        updatePool(pool);
         return pool;
     }
 
     /** Tells the leafs of a service what the agreed tables say of this host's part in asking them. */
-    private void takeOver(LeafPool pool) {
-        shareOut(pool.service(), pool.budget());
+    private void updatePool(LeafPool pool) {
+        assignBudget(pool.service(), pool.budget());
         pool.setHeldLocally(access().isHeld(pool.service()) && access().isHolderOf(pool.service()));
     }
 
     /** Gives this host its part of the fleet's budget for a service, by the agreed tables. */
-    private void shareOut(String service, WindowedBudget own) {
-        FleetBudget.Rank turn = access().rankFor(service);
+    private void assignBudget(String service, WindowedBudget ownBudget) {
+        FleetBudget.Rank rank = access().rankFor(service);
         if (!access().isHeld(service)) {
-            budget.assignShare(own, turn);
+            budget.assignShare(ownBudget, rank);
         } else if (access().isHolderOf(service)) {
-            budget.assignHolderShare(own, turn.hosts(), access().zonesOf(service));
+            budget.assignHolderShare(ownBudget, rank.hosts(), access().zonesOf(service));
         } else {
-            budget.assignNonHolderShare(own, turn);
+            budget.assignNonHolderShare(ownBudget, rank);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
@@ -28,8 +28,8 @@
     private final Histogram answerMicros;
     private final Counter whole;
     private final Counter partial;
-    private final Counter recordDeferredQuery;
-    private final Counter recordQueuedRequest;
+    private final Counter deferredQueries;
+    private final Counter queuedRequests;
     private final Counter stagesAnswered;
     private final Counter stagesFailed;
 
@@ -40,21 +40,21 @@
         this.answerMicros = registry.histogram("gateway_answer_micros");
         this.whole = registry.counter("gateway_answers_whole");
         this.partial = registry.counter("gateway_answers_partial");
-        this.recordDeferredQuery = registry.counter("gateway_queries_held_back");
-        this.recordQueuedRequest = registry.counter("gateway_requests_held_for_room");
+        this.deferredQueries = registry.counter("gateway_queries_held_back");
+        this.queuedRequests = registry.counter("gateway_requests_held_for_room");
         this.stagesAnswered = registry.counter("gateway_stages_answered");
         this.stagesFailed = registry.counter("gateway_stages_failed");
         for (AttemptCounter counter : AttemptCounter.values()) {
-            attempts.put(counter, registry.counter("gateway_attempts_" + lower(counter)));
+            attempts.put(counter, registry.counter("gateway_attempts_" + lowerCaseName(counter)));
         }
         for (LeafOutcome outcome : LeafOutcome.values()) {
-            outcomes.put(outcome, registry.counter("gateway_leaf_" + lower(outcome)));
+            outcomes.put(outcome, registry.counter("gateway_leaf_" + lowerCaseName(outcome)));
         }
         for (ConnectionEvent event : ConnectionEvent.values()) {
-            connections.put(event, registry.counter("gateway_leaf_connection_" + lower(event)));
+            connections.put(event, registry.counter("gateway_leaf_connection_" + lowerCaseName(event)));
         }
         for (RefusalReason reason : RefusalReason.values()) {
-            refusals.put(reason, registry.counter("gateway_refused_" + lower(reason)));
+            refusals.put(reason, registry.counter("gateway_refused_" + lowerCaseName(reason)));
         }
     }
 
@@ -75,16 +75,16 @@
 
     /** Notes a query that will be late in any case and waits until the leafs have room. */
     void recordDeferredQuery() {
-        recordDeferredQuery.inc();
+        deferredQueries.inc();
     }
 
     /** Notes a request that waits because this host is behind. */
     void recordQueuedRequest() {
-        recordQueuedRequest.inc();
+        queuedRequests.inc();
     }
 
     void recordCall(Attempt.Purpose purpose, Distance distance) {
-        registry.counter("gateway_asked_" + lower(purpose) + "_" + lower(distance))
+        registry.counter("gateway_asked_" + lowerCaseName(purpose) + "_" + lowerCaseName(distance))
                 .inc();
     }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    private static String lower(Enum<?> constant) {
+    private static String lowerCaseName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
@@ -16,7 +16,7 @@
  */
 final class HostWarmUp {
     private static final Logger LOGGER = System.getLogger(HostWarmUp.class.getName());
-    private static final Duration LOOK_EVERY = Duration.ofMillis(500);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
     private final FleetView view;
     private final Function<Supplier<WarmUpPlan.Step>, WarmUp> factory;
@@ -24,7 +24,7 @@
     private final MonotonicClock clock;
     private final WarmUpPlan plan = new WarmUpPlan();
     private volatile WarmUp current;
-    private volatile boolean hasHadWork;
+    private volatile boolean receivedWork;
 
     /**
      * Creates one that does nothing yet.
@@ -45,35 +45,35 @@
      *
      * @throws InterruptedException if the thread is interrupted meanwhile
      */
-    void atStart() throws InterruptedException {
+    void runAtStart() throws InterruptedException {
         current.run();
-        loop.execute(this::look);
+        loop.execute(this::checkPlan);
     }
 
     /** Ends it: real work is the better warm-up, and somebody waits for the processor. */
-    void workCame() {
-        if (!hasHadWork) {
-            hasHadWork = true;
+    void onWork() {
+        if (!receivedWork) {
+            receivedWork = true;
             current.end();
         }
     }
 
-    private void look() {
-        switch (plan.nextAfterStart(view.leafCalls(), hasHadWork, clock.nowNanos())) {
-            case WAIT -> loop.schedule(this::look, LOOK_EVERY.toMillis(), TimeUnit.MILLISECONDS);
-            case SERVE -> serveRest();
+    private void checkPlan() {
+        switch (plan.nextAfterStart(view.leafCalls(), receivedWork, clock.nowNanos())) {
+            case WAIT -> loop.schedule(this::checkPlan, CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+            case SERVE -> serveRemaining();
             default -> {}
         }
     }
 
     /** In a thread of its own, since it waits until the queries are served on the event loop. */
-    private void serveRest() {
-        WarmUp rest = factory.apply(() -> plan.next(WarmUpPlan.LeafCalls.MADE_HERE));
-        current = rest;
+    private void serveRemaining() {
+        WarmUp remaining = factory.apply(() -> plan.next(WarmUpPlan.LeafCalls.MADE_HERE));
+        current = remaining;
         Thread thread = new Thread(
                 () -> {
                     try {
-                        rest.run();
+                        remaining.run();
                     } catch (InterruptedException interrupted) {
                         LOGGER.log(Logger.Level.DEBUG, "the warm-up was interrupted", interrupted);
                     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -16,17 +16,17 @@
  */
 final class LagTimer {
     private final EventLoopLag lag;
-    private final FinalizeLead sealLead;
+    private final FinalizeLead finalizeLead;
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final LagSamplingPeriod period = new LagSamplingPeriod();
     private @Nullable ScheduledFuture<?> next;
-    private boolean atRest;
-    private long waitedNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
+    private boolean idle;
+    private long lastPeriodNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
 
-    LagTimer(EventLoopLag lag, FinalizeLead sealLead, EventLoop loop, MonotonicClock clock) {
+    LagTimer(EventLoopLag lag, FinalizeLead finalizeLead, EventLoop loop, MonotonicClock clock) {
         this.lag = lag;
-        this.sealLead = sealLead;
+        this.finalizeLead = finalizeLead;
         this.loop = loop;
         this.clock = clock;
     }
@@ -38,7 +38,7 @@
     /** Notes that work comes; a host at rest looks at once, since the work may have waited here. */
     void onWork() {
         period.onWork(clock.nowNanos());
-        if (atRest && next != null) {
+        if (idle && next != null) {
             next.cancel(false);
             run();
         }
@@ -46,11 +46,11 @@
 
     private void run() {
         long nowNanos = clock.nowNanos();
-        Duration wait = period.next(nowNanos);
-        atRest = wait.equals(LagSamplingPeriod.IDLE_PERIOD);
-        lag.onTaskRun(nowNanos, wait);
-        sealLead.recordTaskDelay(lag.lagNanos(nowNanos), waitedNanos, nowNanos);
-        waitedNanos = wait.toNanos();
-        next = loop.schedule(this::run, wait.toNanos(), TimeUnit.NANOSECONDS);
+        Duration samplingPeriod = period.next(nowNanos);
+        idle = samplingPeriod.equals(LagSamplingPeriod.IDLE_PERIOD);
+        lag.onTaskRun(nowNanos, samplingPeriod);
+        finalizeLead.recordTaskDelay(lag.lagNanos(nowNanos), lastPeriodNanos, nowNanos);
+        lastPeriodNanos = samplingPeriod.toNanos();
+        next = loop.schedule(this::run, samplingPeriod.toNanos(), TimeUnit.NANOSECONDS);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
@@ -24,9 +24,9 @@
  * How this host reaches each leaf: by connections of its own, or through the host that holds the connections to it.
  *
  * <p>A shard's leafs take a bounded number of connections from all hosts together. While every host can have at least
- * {@value #LEAST_DIRECT_CONNECTIONS} and uses them often, each connects itself; in a larger fleet, or one in which a
- * host calls a leaf seldom, the hosts of the leaf's availability zone share the connections out, and
- * {@link ZoneHolders} says which of them asks.
+ * {@value #MIN_DIRECT_CONNECTIONS} and uses them often, each connects itself; in a larger fleet, or one in which a host
+ * calls a leaf seldom, the hosts of the leaf's availability zone share the connections out, and {@link ZoneHolders}
+ * says which of them asks.
  *
  * <p>Invariant: the shares of all hosts that agree on the tables are never more than the part that
  * {@link ConnectionShare} gives out of what a leaf takes, but that a host outside the zone may open one as a last
@@ -34,16 +34,16 @@
  */
 final class LeafAccess {
     /** One connection carries one request at a time: with a single one, a hedge of another query would have to wait. */
-    private static final int LEAST_DIRECT_CONNECTIONS = 2;
+    private static final int MIN_DIRECT_CONNECTIONS = 2;
     /** The number of the shards that no route names yet. */
-    private static final int INDEX_TO_COME = 0;
+    private static final int FUTURE_INDEX = 0;
 
     private final String self;
-    private final HostLocation place;
+    private final HostLocation location;
     private final Map<String, ImmutableList<String>> hostsByZone = new HashMap<>();
     private final Map<ZoneIndex, ImmutableSortedSet<String>> shardsByZone = new HashMap<>();
     /** Kept from one update to the next, since most changes of the tables move no shard. */
-    private final Map<ZoneIndex, HeldZone> holdersByZone = new HashMap<>();
+    private final Map<ZoneIndex, CachedHolders> holdersByZone = new HashMap<>();
 
     /** The number of the index that each shard belongs to. */
     private final Map<String, Integer> indexOfShard = new HashMap<>();
@@ -61,9 +61,9 @@
      *
      * @param self the peer address of this host
      */
-    LeafAccess(String self, HostLocation place) {
+    LeafAccess(String self, HostLocation location) {
         this.self = self;
-        this.place = place;
+        this.location = location;
     }
 
     /**
@@ -123,7 +123,7 @@
     /** Returns true if hosts reach the leafs of a service through holders. */
     boolean isHeld(String service) {
         return indexOfShard.containsKey(service)
-                && (throughHolders || evenShare(service, hosts.size()) < LEAST_DIRECT_CONNECTIONS);
+                && (throughHolders || evenShare(service, hosts.size()) < MIN_DIRECT_CONNECTIONS);
     }
 
     /** Returns true if any shard is held, so that links to holders are needed. */
@@ -140,7 +140,7 @@
         if (!isHeld(service)) {
             return ImmutableList.of();
         }
-        ImmutableList<String> holders = holdersIn(zone, service).of(service);
+        ImmutableList<String> holders = zoneHolders(zone, service).of(service);
         return !holders.isEmpty() && holders.get(0).equals(self) ? ImmutableList.of() : holders;
     }
 
@@ -154,12 +154,12 @@
 
     /** Returns true if this host may be asked to stand in for the holder of a leaf, or is the holder. */
     boolean isHolderOrBackup(String service, String zone) {
-        return !isHeld(service) || holdersIn(zone, service).of(service).contains(self);
+        return !isHeld(service) || zoneHolders(zone, service).of(service).contains(self);
     }
 
     /** Returns true if this host is the holder of a shard in its own availability zone. */
     boolean isHolderOf(String service) {
-        ImmutableList<String> holders = holdersIn(place.zone(), service).of(service);
+        ImmutableList<String> holders = zoneHolders(location.zone(), service).of(service);
         return !holders.isEmpty() && holders.get(0).equals(self);
     }
 
@@ -168,11 +168,11 @@
      * or one of the hosts of its zone that the agreed tables name.
      */
     boolean maySendToColdLeaf(String leafId, String service, String zone) {
-        ImmutableList<String> spenders = isHeld(service)
-                ? holdersIn(zone, service).of(service)
+        ImmutableList<String> senders = isHeld(service)
+                ? zoneHolders(zone, service).of(service)
                 : ZoneHolders.compute(candidatesIn(zone), ImmutableSortedSet.of(leafId))
                         .of(leafId);
-        return !spenders.isEmpty() && spenders.get(0).equals(self);
+        return !senders.isEmpty() && senders.get(0).equals(self);
     }
 
     /**
@@ -185,16 +185,16 @@
         }
         for (Map.Entry<ZoneIndex, ImmutableSortedSet<String>> shards : shardsByZone.entrySet()) {
             if (shards.getValue().stream().anyMatch(shard -> !isHeld(shard))
-                    || wouldHold(shards.getKey().zone(), shards.getValue())) {
+                    || wouldBeHolderOrBackup(shards.getKey().zone(), shards.getValue())) {
                 return WarmUpPlan.LeafCalls.MADE_HERE;
             }
         }
         return WarmUpPlan.LeafCalls.MADE_BY_OTHERS;
     }
 
-    private boolean wouldHold(String zone, ImmutableSortedSet<String> shards) {
+    private boolean wouldBeHolderOrBackup(String zone, ImmutableSortedSet<String> shards) {
         Set<String> candidates = new HashSet<>(candidatesIn(zone));
-        if (zone.equals(place.zone())) {
+        if (zone.equals(location.zone())) {
             candidates.add(self);
         }
         return candidates.contains(self)
@@ -212,17 +212,17 @@
     ImmutableSet<String> holders() {
         ImmutableSet<String> known = holders;
         if (known == null) {
-            known = findHolders();
+            known = computeHolders();
             holders = known;
         }
         return known;
     }
 
-    private ImmutableSet<String> findHolders() {
+    private ImmutableSet<String> computeHolders() {
         ImmutableSet.Builder<String> all = ImmutableSet.builder();
         shardsByZone.forEach((key, services) -> services.forEach(service -> {
             if (isHeld(service)) {
-                holdersIn(key.zone(), service).of(service).stream()
+                zoneHolders(key.zone(), service).of(service).stream()
                         .filter(host -> !host.equals(self))
                         .forEach(all::add);
             }
@@ -239,19 +239,23 @@
         if (!isHolderOrBackup(service, zone)) {
             return 1;
         }
-        int held = evenShare(service, candidatesIn(zone).size());
-        return Math.max(1, direct < LEAST_DIRECT_CONNECTIONS ? held : Math.min(held, besideDirect(service, zone)));
+        int holderShare = evenShare(service, candidatesIn(zone).size());
+        return Math.max(
+                1,
+                direct < MIN_DIRECT_CONNECTIONS
+                        ? holderShare
+                        : Math.min(holderShare, holderShareBesideDirect(service, zone)));
     }
 
     /**
      * Returns how many connections a holder may have while the other hosts still have those of their own, as for a
      * moment after holders came to be used: never fewer than it had.
      */
-    private int besideDirect(String service, String zone) {
+    private int holderShareBesideDirect(String service, String zone) {
         int direct = evenShare(service, hosts.size());
-        int named = holdersIn(zone, service).of(service).size();
-        int left = evenShare(service, 1) - direct * (hosts.size() - named);
-        return Math.max(direct, left / Math.max(1, named));
+        int holdersAndBackups = zoneHolders(zone, service).of(service).size();
+        int remaining = evenShare(service, 1) - direct * (hosts.size() - holdersAndBackups);
+        return Math.max(direct, remaining / Math.max(1, holdersAndBackups));
     }
 
     /**
@@ -263,7 +267,7 @@
      */
     private void assignIndexes(Collection<LeafRecord> leaves) {
         Set<String> singles = new HashSet<>();
-        int lastIndex = INDEX_TO_COME;
+        int lastIndex = FUTURE_INDEX;
         for (Route route : configuration.routes()) {
             if (route.target() instanceof RouteTarget.Scatter scatter) {
                 lastIndex++;
@@ -276,36 +280,36 @@
         }
         for (LeafRecord leaf : leaves) {
             if (!singles.contains(leaf.getService())) {
-                indexOfShard.putIfAbsent(leaf.getService(), INDEX_TO_COME);
+                indexOfShard.putIfAbsent(leaf.getService(), FUTURE_INDEX);
             }
         }
     }
 
     private int evenShare(String service, int hostCount) {
         LeafService known = configuration.services().get(service);
-        int most = known == null ? 1 : known.maxConnections();
-        return ConnectionShare.of(most, hostCount);
+        int maxConnections = known == null ? 1 : known.maxConnections();
+        return ConnectionShare.of(maxConnections, hostCount);
     }
 
     /** Returns the holders of a zone for the index that a shard belongs to. */
-    private ZoneHolders holdersIn(String zone, String shard) {
-        ZoneIndex key = new ZoneIndex(zone, indexOfShard.getOrDefault(shard, INDEX_TO_COME));
-        HeldZone known = holdersByZone.get(key);
+    private ZoneHolders zoneHolders(String zone, String shard) {
+        ZoneIndex key = new ZoneIndex(zone, indexOfShard.getOrDefault(shard, FUTURE_INDEX));
+        CachedHolders known = holdersByZone.get(key);
         if (known == null || known.update() != update) {
-            known = heldZone(key, known);
+            known = updateHolders(key, known);
             holdersByZone.put(key, known);
         }
         return known.holders();
     }
 
     /** Works the holders of a zone out, unless they are still those that were worked out before. */
-    private HeldZone heldZone(ZoneIndex key, @Nullable HeldZone before) {
+    private CachedHolders updateHolders(ZoneIndex key, @Nullable CachedHolders before) {
         ImmutableList<String> candidates = candidatesIn(key.zone());
         ImmutableSortedSet<String> services = shardsByZone.getOrDefault(key, ImmutableSortedSet.of());
-        ZoneHolders holders = before != null && before.followsFrom(candidates, services)
+        ZoneHolders holders = before != null && before.isComputedFrom(candidates, services)
                 ? before.holders()
                 : ZoneHolders.compute(candidates, services);
-        return new HeldZone(update, candidates, services, holders);
+        return new CachedHolders(update, candidates, services, holders);
     }
 
     /** The shards of one index that have leafs in a zone; indices are numbered as the routes name them. */
@@ -316,9 +320,9 @@
      *
      * @param update the number of the update of the tables at which they were last compared
      */
-    private record HeldZone(
+    private record CachedHolders(
             long update, ImmutableList<String> candidates, ImmutableSortedSet<String> services, ZoneHolders holders) {
-        boolean followsFrom(ImmutableList<String> otherCandidates, ImmutableSortedSet<String> otherServices) {
+        boolean isComputedFrom(ImmutableList<String> otherCandidates, ImmutableSortedSet<String> otherServices) {
             return candidates.equals(otherCandidates) && services.equals(otherServices);
         }
     }
@@ -331,7 +335,7 @@
         }
         ImmutableList.Builder<String> inRegion = ImmutableList.builder();
         hostsByZone.forEach((other, addresses) -> {
-            if (place.regionOf(other).equals(place.regionOf(zone))) {
+            if (location.regionOf(other).equals(location.regionOf(zone))) {
                 inRegion.addAll(addresses);
             }
         });
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -22,12 +22,12 @@
  */
 final class LeafConnectionTable {
     /** The first table may name a part of a fleet that is just starting: this long until connections are made ahead. */
-    private static final Duration WARM_AFTER = Duration.ofMillis(400);
+    private static final Duration CONNECT_DELAY = Duration.ofMillis(400);
     /** Hosts make connections at different moments within this time, so that no leaf gets all at once. */
-    private static final Duration WARM_WITHIN = Duration.ofMillis(1_500);
+    private static final Duration CONNECT_SPREAD = Duration.ofMillis(1_500);
 
     private final FleetView view;
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final EventLoopGroup group;
     private final MonotonicClock clock;
     private final RandomGenerator random;
@@ -37,9 +37,13 @@
     private Consumer<ConnectionEvent> observer = event -> {};
 
     LeafConnectionTable(
-            FleetView view, CallHeaders names, EventLoopGroup group, MonotonicClock clock, RandomGenerator random) {
+            FleetView view,
+            CallHeaders headerNames,
+            EventLoopGroup group,
+            MonotonicClock clock,
+            RandomGenerator random) {
         this.view = view;
-        this.names = names;
+        this.headerNames = headerNames;
         this.group = group;
         this.clock = clock;
         this.random = random;
@@ -47,7 +51,7 @@
     }
 
     /** Sets what is told of each connection. */
-    void onEvent(Consumer<ConnectionEvent> newObserver) {
+    void setObserver(Consumer<ConnectionEvent> newObserver) {
         observer = newObserver;
     }
 
@@ -58,7 +62,7 @@
                 unused -> new LeafConnections(
                         leaf,
                         group,
-                        names,
+                        headerNames,
                         clock,
                         () -> view.connectionShare(leaf),
                         event -> observer.accept(event),
@@ -73,17 +77,17 @@
 
     /** Lets go of a leaf that has left; requests under way are finished first. */
     void retire(Leaf leaf) {
-        LeafConnections held = connections.remove(leaf);
-        if (held != null) {
-            held.retire();
+        LeafConnections existing = connections.remove(leaf);
+        if (existing != null) {
+            existing.retire();
         }
     }
 
     /** Looks a little later, each host at another moment, at which connections to keep. */
-    void reviewLater() {
+    void scheduleReview() {
         if (reviewed) {
             reviewed = false;
-            long delayMillis = WARM_AFTER.toMillis() + random.nextLong(WARM_WITHIN.toMillis());
+            long delayMillis = CONNECT_DELAY.toMillis() + random.nextLong(CONNECT_SPREAD.toMillis());
             group.next().schedule(this::reviewAll, delayMillis, TimeUnit.MILLISECONDS);
         }
     }
@@ -96,18 +100,18 @@
     }
 
     private void review(Leaf leaf, String zone) {
-        LeafConnections held = connections.get(leaf);
+        LeafConnections existing = connections.get(leaf);
         LeafAccess access = view.access();
         if (!view.configuration().services().containsKey(leaf.service())) {
             return;
         }
         if (access.keepsConnections(leaf.service(), zone)) {
             // A connection that rested and was closed is made again when it is needed; a holder is asked all the time.
-            if (held == null || access.isHeld(leaf.service())) {
+            if (existing == null || access.isHeld(leaf.service())) {
                 to(leaf).warm();
             }
-        } else if (held != null && !access.isHolderOrBackup(leaf.service(), zone)) {
-            held.closeIdle();
+        } else if (existing != null && !access.isHolderOrBackup(leaf.service(), zone)) {
+            existing.closeIdle();
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
@@ -14,7 +14,7 @@
  */
 final class LimitMetrics {
     /** So many teams can be looked through by an operator, and cost a page of metrics some kilobytes. */
-    private static final int TEAMS = 100;
+    private static final int MAX_TEAMS = 100;
 
     private final MetricRegistry registry;
     private final Set<String> teams = new HashSet<>();
@@ -23,45 +23,45 @@
         this.registry = registry;
     }
 
-    void permitted(QuotaAction.DecisionSource ground, String team) {
-        count("permitted_" + ground.name().toLowerCase(Locale.ROOT));
-        count("team_permitted_" + nameOf(team));
+    void recordPermitted(QuotaAction.DecisionSource source, String team) {
+        count("permitted_" + source.name().toLowerCase(Locale.ROOT));
+        count("team_permitted_" + counterName(team));
     }
 
-    void refused(QuotaAction.DecisionSource ground, String team) {
-        count("refused_" + ground.name().toLowerCase(Locale.ROOT));
-        count("team_refused_" + nameOf(team));
+    void recordRefused(QuotaAction.DecisionSource source, String team) {
+        count("refused_" + source.name().toLowerCase(Locale.ROOT));
+        count("team_refused_" + counterName(team));
     }
 
-    void givenBack() {
+    void recordRefund() {
         count("given_back");
     }
 
-    void reported() {
+    void recordReport() {
         count("reports");
     }
 
-    void reportFailed() {
+    void recordReportFailure() {
         count("reports_failed");
     }
 
-    void reportTaken() {
+    void recordReportReceived() {
         count("reports_taken");
     }
 
-    void called() {
+    void recordCall() {
         count("calls");
     }
 
-    void callFailed() {
+    void recordCallFailure() {
         count("calls_failed");
     }
 
-    void tookOver() {
+    void recordTakeover() {
         count("accounts_taken_over");
     }
 
-    void turned(boolean mustAsk) {
+    void recordModeChange(boolean mustAsk) {
         count(mustAsk ? "teams_turned_must_ask" : "teams_turned_free");
     }
 
@@ -69,9 +69,9 @@
         registry.counter("limits_" + name).inc();
     }
 
-    private String nameOf(String team) {
+    private String counterName(String team) {
         if (!teams.contains(team)) {
-            if (teams.size() >= TEAMS) {
+            if (teams.size() >= MAX_TEAMS) {
                 return "others";
             }
             teams.add(team);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
@@ -21,13 +21,13 @@
  */
 final class NewestVersion implements TableStatus {
     /** A round trip to control and one from there to the leader and its quorum, with room for a lost packet. */
-    private static final Duration ANSWER_WAIT = Duration.ofMillis(600);
+    private static final Duration READ_TIMEOUT = Duration.ofMillis(600);
     /** Spares control where many callers show keys that are not known: a caller that is refused can wait as long. */
-    private static final Duration SPACING = Duration.ofMillis(50);
+    private static final Duration READ_INTERVAL = Duration.ofMillis(50);
     /** Callers beyond that are sent away undecided. */
     private static final int MAX_WAITING = 1_000;
 
-    private final BooleanSupplier current;
+    private final BooleanSupplier controlReachable;
     private final FleetView view;
     private final PeerNetwork network;
     private final Supplier<String> controlHost;
@@ -37,16 +37,16 @@
     /**
      * Creates what asks nothing yet.
      *
-     * @param current true while the control host that is followed is in touch with a leader
+     * @param controlReachable true while the control host that is followed is in touch with a leader
      * @param controlHost tells which control host is followed at the moment
      */
     NewestVersion(
-            BooleanSupplier current,
+            BooleanSupplier controlReachable,
             FleetView view,
             PeerNetwork network,
             Supplier<String> controlHost,
             EventLoop loop) {
-        this.current = current;
+        this.controlReachable = controlReachable;
         this.view = view;
         this.network = network;
         this.controlHost = controlHost;
@@ -55,27 +55,27 @@
 
     @Override
     public boolean isCurrent() {
-        return current.getAsBoolean();
+        return controlReachable.getAsBoolean();
     }
 
     @Override
-    public void confirmNewest(Consumer<Boolean> taker) {
-        if (!isCurrent() || !reads.await(taker)) {
-            taker.accept(false);
+    public void confirmNewest(Consumer<Boolean> callback) {
+        if (!isCurrent() || !reads.await(callback)) {
+            callback.accept(false);
             return;
         }
-        askIfDue();
+        readIfDue();
     }
 
-    private void askIfDue() {
+    private void readIfDue() {
         if (!reads.begin()) {
             return;
         }
-        network.requestWhenConnected(controlHost.get(), NewestVersion::query, ANSWER_WAIT, progress -> {})
+        network.requestWhenConnected(controlHost.get(), NewestVersion::query, READ_TIMEOUT, progress -> {})
                 .subscribe()
                 .with(
-                        reply -> loop.execute(() -> end(isNewest(reply.getVersionQueryResult()))),
-                        failure -> loop.execute(() -> end(false)));
+                        reply -> loop.execute(() -> completeRead(isNewest(reply.getVersionQueryResult()))),
+                        failure -> loop.execute(() -> completeRead(false)));
     }
 
     private static Envelope.Builder query() {
@@ -87,14 +87,14 @@
                 && result.getVersion() <= view.configuration().version();
     }
 
-    private void end(boolean newest) {
+    private void completeRead(boolean newest) {
         // Those who come until the pause is over wait for the next read.
-        loop.schedule(this::askAgain, SPACING.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::endInterval, READ_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         reads.takeWaiters().forEach(taker -> taker.accept(newest));
     }
 
-    private void askAgain() {
+    private void endInterval() {
         reads.end();
-        askIfDue();
+        readIfDue();
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
@@ -31,15 +31,15 @@
     private static final Logger LOGGER = System.getLogger(TableFollower.class.getName());
     private static final EventLog EVENTS = EventLog.of(TableFollower.class);
     /** A control host holds a request back for at most 700 ms; more is a host or a link that does not answer. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(1_100);
+    private static final Duration PULL_TIMEOUT = Duration.ofMillis(1_100);
 
-    private static final long AGAIN_MILLIS = 60;
+    private static final long RETRY_DELAY_MILLIS = 60;
     /**
      * The least time between two requests that are answered with news. Changes come in series, as when a fleet or the
      * leafs of a service start: each alone is a message to every host, a look at all tables and a line in the log. One
      * that comes after a pause finds a request that waits for it, and is told at once.
      */
-    private static final Duration SPACING = Duration.ofMillis(100);
+    private static final Duration MIN_PULL_INTERVAL = Duration.ofMillis(100);
 
     private final FleetView view;
     private final ConfigurationCodec codec;
@@ -47,9 +47,9 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private ImmutableList<String> seeds;
-    private final Supplier<Optional<HostRecord>> self;
-    private String source;
-    private long askedNanos;
+    private final Supplier<Optional<HostRecord>> hostRecord;
+    private String currentControlHost;
+    private long pulledNanos;
     private int failures;
     private boolean synchronizedOnce;
     private boolean lost;
@@ -59,7 +59,7 @@
      * Creates a follower that does nothing yet.
      *
      * @param seeds the peer addresses of the control hosts that are known beforehand, at least one
-     * @param self tells what the tables should say of this host; nothing as long as it takes no part
+     * @param hostRecord tells what the tables should say of this host; nothing as long as it takes no part
      * @param random draws the control host that is asked first: a fleet that starts together would ask the same one
      */
     public TableFollower(
@@ -69,7 +69,7 @@
             EventLoop loop,
             MonotonicClock clock,
             ImmutableList<String> seeds,
-            Supplier<Optional<HostRecord>> self,
+            Supplier<Optional<HostRecord>> hostRecord,
             RandomGenerator random) {
         this.view = view;
         this.codec = codec;
@@ -77,8 +77,8 @@
         this.loop = loop;
         this.clock = clock;
         this.seeds = seeds;
-        this.self = self;
-        this.source = seeds.get(random.nextInt(seeds.size()));
+        this.hostRecord = hostRecord;
+        this.currentControlHost = seeds.get(random.nextInt(seeds.size()));
     }
 
     /** Begins to follow. */
@@ -108,25 +108,27 @@
 
     /** Returns the control host that is asked at present. */
     String controlHost() {
-        return source;
+        return currentControlHost;
     }
 
     private void pull() {
         if (stopped) {
             return;
         }
-        String asked = source;
-        askedNanos = clock.nowNanos();
-        network.request(asked, Envelope.newBuilder().setTablePull(message()), REPLY_WAIT)
+        String controlHost = currentControlHost;
+        pulledNanos = clock.nowNanos();
+        network.request(controlHost, Envelope.newBuilder().setTablePull(pullMessage()), PULL_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> loop.execute(() -> take(reply.getTableDelta())),
-                        failure -> loop.execute(() -> tryAnother(asked, String.valueOf(failure.getMessage()))));
+                        reply -> loop.execute(() -> handleDelta(reply.getTableDelta())),
+                        failure -> loop.execute(
+                                () -> switchControlHost(controlHost, String.valueOf(failure.getMessage()))));
     }
 
     /** Tells a control host at once that this host takes part now: the request under way may be held for a moment. */
     public void announce() {
-        loop.execute(() -> network.request(source, Envelope.newBuilder().setTablePull(message()), REPLY_WAIT)
+        loop.execute(() -> network.request(
+                        currentControlHost, Envelope.newBuilder().setTablePull(pullMessage()), PULL_TIMEOUT)
                 .subscribe()
                 .with(
                         reply -> LOGGER.log(Logger.Level.DEBUG, "this host was announced"),
@@ -136,20 +138,20 @@
                                 failure.getMessage())));
     }
 
-    private TablePull.Builder message() {
+    private TablePull.Builder pullMessage() {
         TablePull.Builder pull =
-                TablePull.newBuilder().setKnownRevision(view.revision()).setQueriesAMinute(view.queriesAMinute());
-        self.get().ifPresent(pull::setSelf);
+                TablePull.newBuilder().setKnownRevision(view.revision()).setQueriesAMinute(view.queriesPerMinute());
+        hostRecord.get().ifPresent(pull::setSelf);
         return pull;
     }
 
-    private void take(TableDelta delta) {
+    private void handleDelta(TableDelta delta) {
         boolean older = delta.getRevision() < view.revision();
         if (older || !delta.getCurrent()) {
             if (!older && synchronizedOnce) {
                 apply(delta);
             }
-            tryAnother(source, "it hears no leader");
+            switchControlHost(currentControlHost, "it hears no leader");
             return;
         }
         failures = 0;
@@ -161,19 +163,19 @@
         if (lost) {
             lost = false;
             EVENTS.info("tables_followed")
-                    .with("controlHost", source)
+                    .with("controlHost", currentControlHost)
                     .with("revision", view.revision())
                     .write();
         }
         preferNearest();
-        pullAgain();
+        scheduleNextPull();
     }
 
     /** Asks for the next change: at once if the request before waited for this one, otherwise a little later. */
-    private void pullAgain() {
-        long earlyNanos = SPACING.toNanos() - (clock.nowNanos() - askedNanos);
-        if (earlyNanos > 0) {
-            loop.schedule(this::pull, earlyNanos, TimeUnit.NANOSECONDS);
+    private void scheduleNextPull() {
+        long delayNanos = MIN_PULL_INTERVAL.toNanos() - (clock.nowNanos() - pulledNanos);
+        if (delayNanos > 0) {
+            loop.schedule(this::pull, delayNanos, TimeUnit.NANOSECONDS);
         } else {
             pull();
         }
@@ -185,7 +187,7 @@
         }
         Optional<RoutingConfiguration> newer = Optional.empty();
         if (!delta.getConfiguration().isEmpty()) {
-            newer = read(delta.getConfiguration());
+            newer = readConfiguration(delta.getConfiguration());
         }
         long before = view.configuration().version();
         view.apply(delta, newer);
@@ -194,12 +196,12 @@
                     .with("configuration", view.configuration().version())
                     .with("before", before)
                     .with("revision", view.revision())
-                    .with("controlHost", source)
+                    .with("controlHost", currentControlHost)
                     .write();
         }
     }
 
-    private Optional<RoutingConfiguration> read(ByteString compressed) {
+    private Optional<RoutingConfiguration> readConfiguration(ByteString compressed) {
         Either<String, RoutingConfiguration> read = codec.read(Compression.inflate(compressed));
         if (read.isLeft()) {
             EVENTS.warning("configuration_unreadable")
@@ -213,27 +215,27 @@
     /** Goes to a control host that is nearer, once the tables name one. */
     private void preferNearest() {
         ImmutableList<String> known = view.controlAddresses();
-        if (failures == 0 && !known.isEmpty() && !known.contains(source)) {
-            source = known.get(0);
+        if (failures == 0 && !known.isEmpty() && !known.contains(currentControlHost)) {
+            currentControlHost = known.get(0);
         }
     }
 
-    private void tryAnother(String asked, String reason) {
+    private void switchControlHost(String failedHost, String reason) {
         failures++;
         ImmutableList<String> candidates = candidates();
-        int next = (candidates.indexOf(asked) + 1) % candidates.size();
-        source = candidates.get(next);
+        int next = (candidates.indexOf(failedHost) + 1) % candidates.size();
+        currentControlHost = candidates.get(next);
         if (!lost && synchronizedOnce) {
             lost = true;
             EVENTS.warning("tables_lost")
-                    .with("controlHost", asked)
-                    .with("next", source)
+                    .with("controlHost", failedHost)
+                    .with("next", currentControlHost)
                     .with("reason", reason)
                     .with("revision", view.revision())
                     .write();
         }
         if (failures % candidates.size() == 0) {
-            loop.schedule(this::pull, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::pull, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             pull();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableStatus.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableStatus.java
@@ -11,9 +11,9 @@
     /**
      * Makes sure that the configuration in force here is the newest.
      *
-     * @param taker is told once, now or later: true if a leader confirmed it after this call, false if it did not
+     * @param callback is told once, now or later: true if a leader confirmed it after this call, false if it did not
      */
-    default void confirmNewest(Consumer<Boolean> taker) {
-        taker.accept(isCurrent());
+    default void confirmNewest(Consumer<Boolean> callback) {
+        callback.accept(isCurrent());
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
@@ -28,9 +28,9 @@
     /**
      * Asks for the permission to make one request, which is decided at once as a rule.
      *
-     * @param taker takes the decision, once, now or later
+     * @param callback takes the decision, once, now or later
      */
-    void requestPermission(CallerIdentity caller, Consumer<Decision> taker);
+    void requestPermission(CallerIdentity caller, Consumer<Decision> callback);
 
     /** What is decided about a request. */
     sealed interface Decision {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -66,24 +66,24 @@
     private static final String FAR = "far";
     private static final int SHARDS = 16;
     /** One in this many shards is far, so that the way over another host is used as well. */
-    private static final int FAR_EVERY = 3;
+    private static final int FAR_SHARD_INTERVAL = 3;
 
     private static final int PART_BYTES = 512;
-    private static final Duration LIMIT = Duration.ofSeconds(1);
-    private static final Duration LOOK_EVERY = Duration.ofMillis(20);
-    private static final Duration ROUTE_TIME = Duration.ofSeconds(2);
+    private static final Duration DEFAULT_TIME_LIMIT = Duration.ofSeconds(1);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
+    private static final Duration ROUTE_TIMEOUT = Duration.ofSeconds(2);
     /** Second attempts for the queries of the warm-up; none is needed, but the code that counts them runs. */
-    private static final FleetBudget BUDGET = new FleetBudget(10, 10, ROUTE_TIME);
+    private static final FleetBudget BUDGET = new FleetBudget(10, 10, ROUTE_TIMEOUT);
 
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final EventLoopGroup group;
     private final MonotonicClock clock;
     private final HostAndPort leafAddress;
     private final HostAndPort callerAddress;
     private final HostAndPort peerAddress;
-    private final AtomicInteger answers = new AtomicInteger();
+    private final AtomicInteger answeredCalls = new AtomicInteger();
     private final int shards;
-    private final Duration limit;
+    private final Duration timeLimit;
     private final Supplier<WarmUpPlan.Step> steps;
     private final CountDownLatch done = new CountDownLatch(1);
 
@@ -109,13 +109,13 @@
      * @param steps says on the event loop whether to serve one more query
      */
     public WarmUp(
-            CallHeaders names,
+            CallHeaders headerNames,
             EventLoopGroup group,
             String address,
             int firstPort,
             MonotonicClock clock,
             Supplier<WarmUpPlan.Step> steps) {
-        this(names, group, address, firstPort, clock, SHARDS, LIMIT, steps);
+        this(headerNames, group, address, firstPort, clock, SHARDS, DEFAULT_TIME_LIMIT, steps);
     }
 
     /**
@@ -125,23 +125,28 @@
      * @param firstPort the first of three ports at that address that are free
      */
     public WarmUp(
-            CallHeaders names, EventLoopGroup group, String address, int firstPort, MonotonicClock clock, Size size) {
-        this(names, group, address, firstPort, clock, size.shards(), size.limit(), countDown(size.queries()));
+            CallHeaders headerNames,
+            EventLoopGroup group,
+            String address,
+            int firstPort,
+            MonotonicClock clock,
+            Size size) {
+        this(headerNames, group, address, firstPort, clock, size.shards(), size.limit(), serveCount(size.queries()));
     }
 
     private WarmUp(
-            CallHeaders names,
+            CallHeaders headerNames,
             EventLoopGroup group,
             String address,
             int firstPort,
             MonotonicClock clock,
             int shards,
-            Duration limit,
+            Duration timeLimit,
             Supplier<WarmUpPlan.Step> steps) {
         this.shards = shards;
-        this.limit = limit;
+        this.timeLimit = timeLimit;
         this.steps = steps;
-        this.names = names;
+        this.headerNames = headerNames;
         this.group = group;
         this.clock = clock;
         this.leafAddress = HostAndPort.fromParts(address, firstPort);
@@ -155,14 +160,14 @@
      * @throws InterruptedException if the thread is interrupted meanwhile
      */
     public void run() throws InterruptedException {
-        long beganNanos = clock.nowNanos();
+        long startedNanos = clock.nowNanos();
         FleetView view = new FleetView(
                 "warm-up",
-                place(),
+                location(),
                 BUDGET,
                 ColdRequestLimit.NONE,
                 RoutingPolicy.DEFAULT,
-                names,
+                headerNames,
                 group,
                 clock,
                 new SplittableRandom(1));
@@ -175,7 +180,7 @@
                 TeamRateLimits.NONE,
                 () -> "",
                 network,
-                names,
+                headerNames,
                 new GatewayMetrics(new MetricRegistry(), clock),
                 clock,
                 group.next(),
@@ -190,24 +195,24 @@
         group.next().execute(() -> {
             view.apply(tables(), Optional.of(configuration()));
             gateway.probeNow();
-            new Caller().next();
+            new TestCaller().sendNext();
         });
-        boolean inTime = done.await(limit.toNanos(), TimeUnit.NANOSECONDS);
+        boolean inTime = done.await(timeLimit.toNanos(), TimeUnit.NANOSECONDS);
         callers.stopNow();
         leaves.stopNow();
         peers.stop();
         network.stop();
         gateway.stop();
         EVENTS.info("warmed_up")
-                .with("leafCalls", answers.get())
-                .with("tookMillis", TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - beganNanos))
+                .with("leafCalls", answeredCalls.get())
+                .with("tookMillis", TimeUnit.NANOSECONDS.toMillis(clock.nowNanos() - startedNanos))
                 .with("inTime", inTime)
                 .write();
     }
 
-    private static Supplier<WarmUpPlan.Step> countDown(int queries) {
-        AtomicInteger left = new AtomicInteger(queries);
-        return () -> left.getAndDecrement() > 0 ? WarmUpPlan.Step.SERVE : WarmUpPlan.Step.END;
+    private static Supplier<WarmUpPlan.Step> serveCount(int queries) {
+        AtomicInteger remaining = new AtomicInteger(queries);
+        return () -> remaining.getAndDecrement() > 0 ? WarmUpPlan.Step.SERVE : WarmUpPlan.Step.END;
     }
 
     /** Ends it early: a real request is the better warm-up, and its caller waits for the processor. */
@@ -217,21 +222,21 @@
 
     /** Returns how many calls its made-up leafs have answered. */
     public int leafCalls() {
-        return answers.get();
+        return answeredCalls.get();
     }
 
     private void answerAsLeaf(HttpExchange exchange) {
         byte[] part = new byte[PART_BYTES];
-        new SplittableRandom(answers.incrementAndGet()).nextBytes(part);
+        new SplittableRandom(answeredCalls.incrementAndGet()).nextBytes(part);
         FullHttpResponse response = HttpExchange.response(200, Unpooled.wrappedBuffer(part));
         response.headers()
-                .set(names.requestId(), exchange.headers().get(names.requestId(), ""))
-                .set(names.signature(), "warm-up-" + answers.get())
-                .set(names.load(), "1,0,2");
+                .set(headerNames.requestId(), exchange.headers().get(headerNames.requestId(), ""))
+                .set(headerNames.signature(), "warm-up-" + answeredCalls.get())
+                .set(headerNames.load(), "1,0,2");
         exchange.respond(response);
     }
 
-    private static HostLocation place() {
+    private static HostLocation location() {
         return new HostLocation(NEAR, NEAR, ImmutableMap.of(NEAR, NEAR, FAR, FAR));
     }
 
@@ -242,7 +247,7 @@
                     .setId("warm-up-" + shard)
                     .setService(service(shard))
                     .setAddress(leafAddress.toString())
-                    .setZone(shard % FAR_EVERY == 0 ? FAR : NEAR)
+                    .setZone(shard % FAR_SHARD_INTERVAL == 0 ? FAR : NEAR)
                     .setSlots(2)
                     .setPhase(LeafRecord.Phase.READY));
         }
@@ -270,7 +275,7 @@
     }
 
     private static Route route(String name, String prefix, RouteTarget target) {
-        return new Route(name, HOST, prefix, RequestKind.IDEMPOTENT, ROUTE_TIME, ROUTE_TIME, 0, 2, target);
+        return new Route(name, HOST, prefix, RequestKind.IDEMPOTENT, ROUTE_TIMEOUT, ROUTE_TIMEOUT, 0, 2, target);
     }
 
     private static String service(int shard) {
@@ -278,21 +283,22 @@
     }
 
     /** Sends one query after the other. Owned by the event loop. */
-    private final class Caller implements LeafCallback {
+    private final class TestCaller implements LeafCallback {
         private final LeafConnections connections;
         private int sent;
 
-        Caller() {
+        TestCaller() {
             Leaf target = new Leaf(
                     "entry", "entry", callerAddress.toString(), Distance.SAME_ZONE, 1, Duration.ZERO, clock.nowNanos());
-            this.connections = new LeafConnections(target, group, names, clock, () -> 1, event -> {}, CallMonitor.NONE);
+            this.connections =
+                    new LeafConnections(target, group, headerNames, clock, () -> 1, event -> {}, CallMonitor.NONE);
         }
 
-        void next() {
+        void sendNext() {
             WarmUpPlan.Step step = done.getCount() == 0 ? WarmUpPlan.Step.END : steps.get();
             switch (step) {
                 case SERVE -> send();
-                case WAIT -> group.next().schedule(this::next, LOOK_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+                case WAIT -> group.next().schedule(this::sendNext, POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
                 default -> {
                     connections.retire();
                     done.countDown();
@@ -304,22 +310,23 @@
             sent++;
             HttpHeaders headers = new DefaultHttpHeaders()
                     .set("Host", HOST)
-                    .set(names.requestId(), "warm-up-" + sent)
-                    .set(names.deadlineMillis(), ROUTE_TIME.toMillis());
+                    .set(headerNames.requestId(), "warm-up-" + sent)
+                    .set(headerNames.deadlineMillis(), ROUTE_TIMEOUT.toMillis());
             String uri = sent % 5 == 0 ? "/single/query" : "/scatter/query";
-            LeafRequest request = LeafRequest.create("GET", uri, headers, new byte[0], HomeRegions.ANY, "", names);
-            connections.send(request, clock.nowNanos() + ROUTE_TIME.toNanos(), this);
+            LeafRequest request =
+                    LeafRequest.create("GET", uri, headers, new byte[0], HomeRegions.ANY, "", headerNames);
+            connections.send(request, clock.nowNanos() + ROUTE_TIMEOUT.toNanos(), this);
         }
 
         @Override
         public void onAnswer(LeafAnswer answer) {
-            next();
+            sendNext();
         }
 
         @Override
         public void onFailure(LeafOutcome outcome) {
             LOGGER.log(Logger.Level.DEBUG, "a warm-up query failed: {0}", outcome);
-            next();
+            sendNext();
         }
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -42,7 +42,7 @@
 /** A team sends six times its limit to five hosts, and the host that keeps account of it ends meanwhile. */
 final class FleetLimitsTest {
     private static final int HOSTS = 5;
-    private static final long GAP_MILLIS = 16;
+    private static final long REQUEST_INTERVAL_MILLIS = 16;
     private static final Duration WINDOW = Duration.ofSeconds(1);
     private static final QuotaBound BOUND = new QuotaBound(WINDOW, 0.1, 20);
     private static final RateLimit LIMIT = new RateLimit(50, 10);
@@ -55,7 +55,7 @@
 
     @AfterEach
     void stop() {
-        hosts.forEach(Host::kill);
+        hosts.forEach(Host::stop);
     }
 
     @Test
@@ -68,46 +68,46 @@
         }
         // What a host made in an earlier life is over after a window.
         Thread.sleep(WINDOW.plusMillis(200).toMillis());
-        hosts.forEach(Host::load);
+        hosts.forEach(Host::startLoad);
         Thread.sleep(2 * WINDOW.toMillis());
         Map<Host, Long> before = new HashMap<>();
         hosts.forEach(host -> before.put(host, host.count("reports_taken")));
         Thread.sleep(WINDOW.toMillis());
         Comparator<Host> byReports =
                 Comparator.comparingLong(host -> host.count("reports_taken") - before.getOrDefault(host, 0L));
-        Host keeper = hosts.stream().max(byReports).orElseThrow();
-        long takenOver = takenOver();
-        keeper.kill();
+        Host quotaServer = hosts.stream().max(byReports).orElseThrow();
+        long takeoversBefore = takeovers();
+        quotaServer.stop();
         long killedNanos = clock.nowNanos();
         Thread.sleep(4 * WINDOW.toMillis());
         long endNanos = clock.nowNanos();
-        hosts.forEach(Host::kill);
+        hosts.forEach(Host::stop);
 
-        assertThat(mostInAWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
-        assertThat(takenOver()).isGreaterThan(takenOver);
+        assertThat(maxPermittedPerWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
+        assertThat(takeovers()).isGreaterThan(takeoversBefore);
         long inLastWindows = permittedNanos.stream()
                 .filter(at -> at > killedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
                 .count();
         assertThat(inLastWindows).isAtLeast((long) LIMIT.perSecond());
     }
 
-    private long takenOver() {
+    private long takeovers() {
         return hosts.stream()
                 .mapToLong(host -> host.count("accounts_taken_over"))
                 .sum();
     }
 
-    private int mostInAWindow() {
+    private int maxPermittedPerWindow() {
         List<Long> times = permittedNanos.stream().sorted().toList();
-        int most = 0;
+        int max = 0;
         int first = 0;
         for (int last = 0; last < times.size(); last++) {
             while (times.get(last) - times.get(first) >= WINDOW.toNanos()) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     private TableDelta tables() {
@@ -147,7 +147,7 @@
                 new PeerServer(address, limits::handle, group, LinkPolicy.OPEN, new PeerTraffic());
 
         Host() throws Exception {
-            view.onHostsChanged(limits::hostsChanged);
+            view.onHostsChanged(limits::onHostsChanged);
         }
 
         void start() throws Exception {
@@ -158,15 +158,15 @@
             limits.start();
         }
 
-        void load() {
+        void startLoad() {
             group.scheduleAtFixedRate(
                     () -> limits.requestPermission(CALLER, spending -> {
                         if (spending instanceof TeamRateLimits.Decision.Permitted) {
                             permittedNanos.add(clock.nowNanos());
                         }
                     }),
-                    GAP_MILLIS,
-                    GAP_MILLIS,
+                    REQUEST_INTERVAL_MILLIS,
+                    REQUEST_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -174,7 +174,7 @@
             return metrics.counter("limits_" + name).getCount();
         }
 
-        void kill() {
+        void stop() {
             if (!group.isShuttingDown()) {
                 server.stop();
                 network.stop();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
@@ -28,7 +28,7 @@
 /** Connections are made ahead once to each new leaf, not at every change of the tables. */
 final class FleetViewTest {
     /** Longer than a host waits before it looks at which connections to make. */
-    private static final long LOOKED_MILLIS = 2_300;
+    private static final long REVIEW_MILLIS = 2_300;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
 
@@ -46,10 +46,10 @@
             thread.start();
             FleetView view = GatewayFixture.view(group, MonotonicClock.system());
             apply(view, tables(leaf.getLocalPort()), Optional.of(configuration()));
-            Thread.sleep(LOOKED_MILLIS);
+            Thread.sleep(REVIEW_MILLIS);
             assertThat(accepted.get()).isEqualTo(1);
             apply(view, anotherHost(), Optional.empty());
-            Thread.sleep(LOOKED_MILLIS);
+            Thread.sleep(REVIEW_MILLIS);
             assertThat(accepted.get()).isEqualTo(1);
         }
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
@@ -40,19 +40,19 @@
     @Test
     void noLeafGetsMoreConnectionsThanItTakes() {
         for (int fleet : new int[] {3, 7, 20, 83, 300}) {
-            for (int most : new int[] {26, 52, 64, 110}) {
+            for (int maxConnections : new int[] {26, 52, 64, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
-                int held = 0;
-                int own = 0;
+                int connections = 0;
+                int zoneHolders = 0;
                 for (HostRecord host : hosts) {
-                    LeafAccess access = access(hosts, most, host.getPeerAddress(), host.getZone());
+                    LeafAccess access = access(hosts, maxConnections, host.getPeerAddress(), host.getZone());
                     boolean mayConnect = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
-                    held += mayConnect ? access.connectionShare("s0", "z0") : 0;
-                    own += access.isHolderOf("s0") && host.getZone().equals("z0") ? 1 : 0;
+                    connections += mayConnect ? access.connectionShare("s0", "z0") : 0;
+                    zoneHolders += access.isHolderOf("s0") && host.getZone().equals("z0") ? 1 : 0;
                 }
-                assertThat(held).isAtMost(most);
-                assertThat(held).isAtLeast(1);
-                assertThat(own).isEqualTo(1);
+                assertThat(connections).isAtMost(maxConnections);
+                assertThat(connections).isAtLeast(1);
+                assertThat(zoneHolders).isEqualTo(1);
             }
         }
     }
@@ -60,18 +60,18 @@
     /** Held or not, and whatever the order in which hosts learnt of one another, one alone spends what is agreed. */
     @Test
     void oneHostAloneMaySendToAColdLeaf() {
-        for (int most : new int[] {26, 410}) {
+        for (int maxConnections : new int[] {26, 410}) {
             List<HostRecord> hosts = hosts(59);
             List<HostRecord> inOtherOrder = new ArrayList<>(hosts);
             Collections.reverse(inOtherOrder);
-            int spenders = 0;
+            int senders = 0;
             for (HostRecord host : hosts) {
-                List<HostRecord> known = spenders % 2 == 0 ? hosts : inOtherOrder;
-                LeafAccess access = access(known, most, host.getPeerAddress(), host.getZone());
-                spenders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
-                spenders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
+                List<HostRecord> knownHosts = senders % 2 == 0 ? hosts : inOtherOrder;
+                LeafAccess access = access(knownHosts, maxConnections, host.getPeerAddress(), host.getZone());
+                senders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
+                senders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
             }
-            assertThat(spenders).isEqualTo(2);
+            assertThat(senders).isEqualTo(2);
         }
     }
 
@@ -146,10 +146,10 @@
     @Test
     void hostsThatRarelyCallALeafUseHoldersAndItsConnectionLimitHolds() {
         for (int fleet : new int[] {3, 4, 7, 8, 18, 24, 40}) {
-            for (int most : new int[] {12, 26, 52, 69, 110}) {
+            for (int maxConnections : new int[] {12, 26, 52, 69, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
-                Tables tables = tables(most, SHARDS);
-                int asking = 0;
+                Tables tables = tables(maxConnections, SHARDS);
+                int directCallers = 0;
                 int connections = 0;
                 for (HostRecord host : hosts) {
                     HostLocation place =
@@ -160,12 +160,12 @@
                     int before = direct ? access.connectionShare("s0", "z0") : 0;
                     access.update(hosts, tables.leaves(), tables.configuration(), true);
                     assertThat(access.isHeld("s0")).isTrue();
-                    asking += access.keepsConnections("s0", "z0") ? 1 : 0;
+                    directCallers += access.keepsConnections("s0", "z0") ? 1 : 0;
                     int after = access.isHolderOrBackup("s0", "z0") ? access.connectionShare("s0", "z0") : 0;
                     connections += Math.max(before, after);
                 }
-                assertThat(asking).isEqualTo(1);
-                assertThat(connections).isAtMost(most);
+                assertThat(directCallers).isEqualTo(1);
+                assertThat(connections).isAtMost(maxConnections);
             }
         }
     }
@@ -243,21 +243,26 @@
     }
 
     private static LeafAccess access(
-            List<HostRecord> hosts, int maxConnections, String self, String zone, int shardsWithLeafs, Route... more) {
+            List<HostRecord> hosts,
+            int maxConnections,
+            String self,
+            String zone,
+            int shardsWithLeaves,
+            Route... moreRoutes) {
         LeafAccess access = new LeafAccess(self, new HostLocation(zone, REGIONS.getOrDefault(zone, zone), REGIONS));
-        Tables tables = tables(maxConnections, shardsWithLeafs, more);
+        Tables tables = tables(maxConnections, shardsWithLeaves, moreRoutes);
         access.update(hosts, tables.leaves(), tables.configuration(), false);
         return access;
     }
 
     private record Tables(List<LeafRecord> leaves, RoutingConfiguration configuration) {}
 
-    /** @param shardsWithLeafs of how many shards leafs are up; those beyond {@link #SHARDS} are in no route yet */
-    private static Tables tables(int maxConnections, int shardsWithLeafs, Route... more) {
+    /** @param shardsWithLeaves of how many shards leafs are up; those beyond {@link #SHARDS} are in no route yet */
+    private static Tables tables(int maxConnections, int shardsWithLeaves, Route... moreRoutes) {
         ImmutableList.Builder<String> shards = ImmutableList.builder();
         ImmutableMap.Builder<String, LeafService> services = ImmutableMap.builder();
         List<LeafRecord> leaves = new ArrayList<>();
-        for (int shard = 0; shard < shardsWithLeafs; shard++) {
+        for (int shard = 0; shard < shardsWithLeaves; shard++) {
             String service = "s" + shard;
             if (shard < SHARDS) {
                 shards.add(service);
@@ -286,7 +291,7 @@
                         1,
                         ImmutableList.<Route>builder()
                                 .add(scatter, single)
-                                .add(more)
+                                .add(moreRoutes)
                                 .build(),
                         services.buildOrThrow(),
                         RequestLimits.DEFAULT));
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
@@ -48,7 +48,7 @@
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = HostAndPort.fromParts("127.0.0.1", any.getLocalPort());
         }
-        control = new PeerServer(address, this::note, group, LinkPolicy.OPEN, new PeerTraffic());
+        control = new PeerServer(address, this::handle, group, LinkPolicy.OPEN, new PeerTraffic());
         control.start();
         newest = new NewestVersion(() -> current, view, network, address::toString, group.next());
         apply(7);
@@ -63,24 +63,24 @@
 
     @Test
     void theVersionInForceIsTheNewestIfALeaderConfirmsIt() throws Exception {
-        assertThat(askAndReply(result(true, 7))).isTrue();
+        assertThat(confirmWithReply(result(true, 7))).isTrue();
     }
 
     @Test
     void aHostThatMissedAVersionIsNotConfirmed() throws Exception {
-        assertThat(askAndReply(result(true, 8))).isFalse();
+        assertThat(confirmWithReply(result(true, 8))).isFalse();
     }
 
     /** Also the answer of a control host that hears no leader, or of an older program. */
     @Test
     void aResultThatNoLeaderConfirmedIsNotAccepted() throws Exception {
-        assertThat(askAndReply(result(false, 7))).isFalse();
-        assertThat(askAndReply(Envelope.newBuilder())).isFalse();
+        assertThat(confirmWithReply(result(false, 7))).isFalse();
+        assertThat(confirmWithReply(Envelope.newBuilder())).isFalse();
     }
 
     @Test
     void aVersionThatArrivesBeforeTheResultCounts() throws Exception {
-        ask();
+        requestConfirmation();
         Consumer<Envelope.Builder> reply = nextQuery();
         apply(8);
         reply.accept(result(true, 8));
@@ -90,14 +90,14 @@
     @Test
     void aHostWithoutALeaderSendsNoQuery() throws Exception {
         current = false;
-        ask();
+        requestConfirmation();
         assertThat(nextAnswer()).isFalse();
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
     }
 
     @Test
     void aQueryWithoutAReplyIsNotConfirmed() throws Exception {
-        ask();
+        requestConfirmation();
         nextQuery();
         assertThat(nextAnswer()).isFalse();
     }
@@ -105,10 +105,10 @@
     /** Load: a thousand callers with keys that are not known. */
     @Test
     void callersShareReadsThatBeganAfterTheirCall() throws Exception {
-        ask();
+        requestConfirmation();
         Consumer<Envelope.Builder> first = nextQuery();
         for (int caller = 0; caller < 999; caller++) {
-            ask();
+            requestConfirmation();
         }
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
         first.accept(result(true, 7));
@@ -122,13 +122,13 @@
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
     }
 
-    private boolean askAndReply(Envelope.Builder reply) throws Exception {
-        ask();
+    private boolean confirmWithReply(Envelope.Builder reply) throws Exception {
+        requestConfirmation();
         nextQuery().accept(reply);
         return nextAnswer();
     }
 
-    private void ask() {
+    private void requestConfirmation() {
         group.next().execute(() -> newest.confirmNewest(answers::add));
     }
 
@@ -140,7 +140,7 @@
         return requireNonNull(answers.poll(WAIT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private void note(Envelope message, Consumer<Envelope.Builder> reply) {
+    private void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasVersionQuery()) {
             queries.add(reply);
         }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
@@ -40,18 +40,18 @@
     private static final long WAIT_MILLIS = 2_000;
     private static final long SERIES_MILLIS = 1_000;
     /** One each 100 ms, with some room. */
-    private static final int MOST_PULLS_IN_SERIES = 14;
+    private static final int MAX_PULLS_IN_SERIES = 14;
 
     private static final int CHANGES = 5;
-    private static final long WAITED_MILLIS = 300;
-    private static final long SPACING_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long PAUSE_MILLIS = 300;
+    private static final long MIN_PULL_INTERVAL_NANOS = Duration.ofMillis(100).toNanos();
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final PeerNetwork network = PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic());
     private final BlockingQueue<TablePull> pulls = new LinkedBlockingQueue<>();
     private volatile Consumer<Envelope.Builder> replyLater = reply -> {};
     private final AtomicLong revision = new AtomicLong();
-    private volatile boolean answersAtOnce;
+    private volatile boolean repliesAtOnce;
     private volatile Optional<HostRecord> self = Optional.empty();
     private PeerServer control;
     private TableFollower follower;
@@ -59,7 +59,7 @@
     @BeforeEach
     void start() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
-        control = new PeerServer(address, this::note, group, LinkPolicy.OPEN, new PeerTraffic());
+        control = new PeerServer(address, this::handle, group, LinkPolicy.OPEN, new PeerTraffic());
         control.start();
         FleetView view = GatewayFixture.view(group, MonotonicClock.system());
         follower = new TableFollower(
@@ -105,10 +105,10 @@
     @Test
     void changesInASeriesAreBatched() throws Exception {
         nextPull();
-        answersAtOnce = true;
+        repliesAtOnce = true;
         replyLater.accept(newer());
         Thread.sleep(SERIES_MILLIS);
-        assertThat(pulls.size()).isIn(Range.closed(3, MOST_PULLS_IN_SERIES));
+        assertThat(pulls.size()).isIn(Range.closed(3, MAX_PULLS_IN_SERIES));
     }
 
     /** A request that waited for a change is followed by the next one at once, so that no change waits for it. */
@@ -117,13 +117,13 @@
         nextPull();
         long fastestNanos = Long.MAX_VALUE;
         for (int change = 0; change < CHANGES; change++) {
-            Thread.sleep(WAITED_MILLIS);
+            Thread.sleep(PAUSE_MILLIS);
             long beganNanos = System.nanoTime();
             replyLater.accept(newer());
             nextPull();
             fastestNanos = Math.min(fastestNanos, System.nanoTime() - beganNanos);
         }
-        assertThat(fastestNanos).isLessThan(SPACING_NANOS);
+        assertThat(fastestNanos).isLessThan(MIN_PULL_INTERVAL_NANOS);
     }
 
     private TablePull nextPull() throws InterruptedException {
@@ -139,11 +139,11 @@
                         .setCurrent(true));
     }
 
-    private void note(Envelope message, Consumer<Envelope.Builder> reply) {
+    private void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasTablePull()) {
             pulls.add(message.getTablePull());
             replyLater = reply;
-            if (answersAtOnce) {
+            if (repliesAtOnce) {
                 reply.accept(newer());
             }
         }
