--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ConfigurationCodec.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ConfigurationCodec.java
@@ -3,9 +3,9 @@
 import io.vavr.control.Either;
 import org.bramblerack.version.routing.RoutingConfiguration;
 
-/** Reads the documents in which operators write routing configurations. Implementations are stateless. */
+/** Parses the documents in which operators write routing configurations. Implementations are stateless. */
 @FunctionalInterface
 public interface ConfigurationCodec {
-    /** Reads a document whole, or tells what is wrong with it and what to do. */
+    /** Parses a document, or returns a message with the errors and their remedies. */
     Either<String, RoutingConfiguration> read(byte[] document);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
@@ -23,21 +23,21 @@
 import org.bramblerack.wire.HostRecord;
 
 /**
- * A process of the entry role: wires its parts together, starts and stops them.
+ * A process of the entry role: creates its components, starts and stops them.
  *
- * <p>Started once, stopped once. All of its parts run on one event loop.
+ * <p>Started once and stopped once. All components run on one event loop.
  */
 public final class EntryProcess {
     private static final EventLog EVENTS = EventLog.of(EntryProcess.class);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     /**
-     * For how long a stopping host still takes requests: callers reach it until the balancer has missed its readiness
-     * twice and a table has told the other hosts.
+     * How long a stopping host still accepts requests: until the load balancer has failed two readiness checks and the
+     * other hosts have received the change of the tables.
      */
     private static final Duration ACCEPT_AFTER_STOP = Duration.ofMillis(3_200);
     /**
-     * How long before it ends a stopping host refuses what comes: the work of the longest single requests of the users'
-     * sites is just under a second, and half a second is for the ways and a busy leaf.
+     * How long before its end a stopping host refuses new requests; covers the longest single request and its network
+     * paths.
      */
     private static final Duration REFUSE_BEFORE_END = Duration.ofMillis(1_500);
 
@@ -58,9 +58,9 @@
     private volatile boolean stopping;
 
     /**
-     * Creates a process that does nothing yet.
+     * Creates a process without starting it.
      *
-     * @param incarnation tells this start of the host from others
+     * @param incarnation identifies this start of the host
      */
     public EntryProcess(
             EntrySettings settings,
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Begins to listen and to follow the tables.
+     * Starts to listen and to follow the tables.
      *
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public void start() throws InterruptedException {
         peers.start();
@@ -150,12 +150,12 @@
                 .write();
     }
 
-    /** Returns true if callers should be sent here. */
+    /** Returns true if the load balancer should send callers to this host. */
     public boolean isReady() {
         return warm && !stopping && gateway.isReady();
     }
 
-    /** Takes over from changed settings what may change while the process runs: the seeds. */
+    /** Applies the settings that may change while the process runs: the seeds. */
     public void reload(EntrySettings changed) {
         follower.setSeeds(changed.seeds());
         EVENTS.info("settings_reloaded")
@@ -164,17 +164,17 @@
                 .write();
     }
 
-    /** Returns the event loop, for listeners that share it. */
+    /** Returns the event loop, to be shared with other listeners. */
     public EventLoopGroup eventLoop() {
         return group;
     }
 
     /**
-     * Stops: is no longer ready and says so, goes on serving callers and other hosts until they have had time to notice
-     * and to ask the hosts that stand in for it, finishes what is under way, refuses what it could not finish, and ends
-     * within the limit of the settings.
+     * Stops the process within the stop limit of the settings. First reports not ready and keeps serving callers and
+     * other hosts, so that they can detect the stop and switch to backups; then finishes the requests in progress, and
+     * refuses those that it could not finish in time.
      *
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public void stop() throws InterruptedException {
         long stopStartedNanos = clock.nowNanos();
@@ -210,7 +210,7 @@
                 .write();
     }
 
-    /** Ends everything at once, whatever is under way. */
+    /** Stops at once without waiting for requests in progress. */
     public void stopNow() {
         stopping = true;
         callers.stopNow();
@@ -258,8 +258,8 @@
     }
 
     /**
-     * Returns what the tables should say of this host: nothing as long as it warms up, since others would have it ask
-     * their shards by code that is not loaded yet, on a processor that is busy with that.
+     * Returns the record of this host for the tables; empty during the warm-up, since other hosts would otherwise call
+     * it while its code is not loaded and its processor is busy.
      */
     private Optional<HostRecord> hostRecord() {
         if (!warm) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
@@ -14,18 +14,18 @@
 /**
  * The settings of the entry role.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  *
  * @param name the host's name
- * @param location where it is
- * @param callerAddress where callers reach it
- * @param peerAddress where other hosts reach it
- * @param seeds the peer addresses of control hosts that are known beforehand
- * @param budget what all hosts may spend on extra attempts at a service
- * @param coldRequestLimit by how much all hosts together may go over what cold leafs are made for
- * @param quota by how much all hosts together may go beyond the limits of teams; empty if these are not kept
- * @param routing which mechanisms take part in routing
- * @param stopLimit how long a planned stop may take
+ * @param location the host's availability zone and region
+ * @param callerAddress the address on which callers connect
+ * @param peerAddress the address on which other hosts connect
+ * @param seeds the peer addresses of the initially known control hosts
+ * @param budget the budget of all hosts together for extra attempts at a service
+ * @param coldRequestLimit how far all hosts together may exceed the rate of cold leaves
+ * @param quota how far all hosts together may exceed the rate limits of teams; empty if these are not enforced
+ * @param routing the routing features in use
+ * @param stopLimit the maximum duration of a planned stop
  */
 public record EntrySettings(
         String name,
@@ -38,8 +38,8 @@
         Optional<QuotaBound> quota,
         RoutingPolicy routing,
         Duration stopLimit) {
-    /** Refuses settings without a control host to ask. */
+    /** Rejects settings without a seed. */
     public EntrySettings {
-        checkArgument(!seeds.isEmpty(), "no control host is named; name one at least");
+        checkArgument(!seeds.isEmpty(), "no seeds are set; name at least one control host");
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
@@ -11,26 +11,24 @@
 import org.bramblerack.wire.TableDelta;
 
 /**
- * The hosts that the agreed tables name.
+ * The hosts that the replicated tables list.
  *
- * <p>Invariant: a host that has gone is no longer listed, but where it was is remembered, since messages to it may
- * still be under way. Owned by the event loop; {@link #regionOf} and {@link #otherRegionOf} alone are safe for use by
- * many threads.
+ * <p>Invariant: a host that has left is no longer listed, but its region stays known, since messages to it may still be
+ * in flight. Owned by the event loop; only {@link #regionOf} and {@link #otherRegionOf} are thread-safe.
  */
 final class FleetHosts {
     private final HostLocation location;
     private final Map<String, HostRecord> hosts = new LinkedHashMap<>();
     private final Map<String, String> regionsByAddress = new ConcurrentHashMap<>();
 
-    /** Creates an empty list of hosts as seen from a place. */
     FleetHosts(HostLocation location) {
         this.location = location;
     }
 
     /**
-     * Applies what changed.
+     * Applies a change of the tables.
      *
-     * @return true if other hosts take requests of callers than before
+     * @return true if the entry hosts changed
      */
     boolean apply(TableDelta delta) {
         ImmutableList<HostRecord> before = entryHosts();
@@ -50,14 +48,14 @@
         }
     }
 
-    /** Returns the hosts that take requests of callers. */
+    /** Returns the hosts that accept requests from callers. */
     ImmutableList<HostRecord> entryHosts() {
         return hosts.values().stream()
                 .filter(host -> host.getEntry() && host.getPhase() == HostRecord.Phase.READY)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the peer addresses of the hosts that serve control, the nearest first. */
+    /** Returns the peer addresses of the control hosts, nearest first. */
     ImmutableList<String> controlAddresses() {
         return hosts.values().stream()
                 .filter(host -> !host.getControlAddress().isEmpty() && host.getPhase() == HostRecord.Phase.READY)
@@ -66,12 +64,12 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the region of a host with the given name or peer address, if it is or was known. */
+    /** Returns the region of a host, given by name or peer address, if the host is or was known. */
     Optional<String> regionOf(String host) {
         return Optional.ofNullable(regionsByAddress.get(PeerNetwork.addressOf(host)));
     }
 
-    /** Returns the region of a host with the given name or peer address if it is known to be another one. */
+    /** Returns the region of a host, given by name or peer address, if it is known to differ from this host's. */
     Optional<String> otherRegionOf(String host) {
         return regionOf(host).filter(region -> !region.equals(location.region()));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -33,22 +33,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps teams to their limits over all hosts: carries the messages between what this host spends and who keeps account,
- * itself or another host.
+ * Enforces the rate limits of teams over all hosts: runs this host's quota client and quota server and exchanges their
+ * messages with other hosts.
  *
- * <p>Without teams that have a limit, it sends nothing. Owned by the event loop.
+ * <p>Sends nothing while no team has a limit. Owned by the event loop.
  */
 final class FleetLimits implements TeamRateLimits {
     private static final EventLog EVENTS = EventLog.of(FleetLimits.class);
-    /** For how long an answer to a call is waited for: several ways there and back between far regions. */
+    /** Allows several round trips between distant regions. */
     private static final Duration CALL_TIMEOUT = Duration.ofMillis(150);
 
     private static final Duration WAKE_INTERVAL = Duration.ofMillis(100);
-    /** Teams are looked through one by one, so not often. */
+    /** Eviction iterates over all teams. */
     private static final Duration EVICTION_INTERVAL = Duration.ofSeconds(5);
-    /** Shorter suspensions are like a moment in which this host is behind. */
+    /** Shorter pauses are handled as event-loop lag. */
     private static final Duration MIN_SUSPENSION = Duration.ofMillis(400);
-    /** A team that comes near its limit and goes again gives two lines. */
+    /** A team that repeatedly approaches its limit writes two lines each time. */
     private static final int MAX_LINES_PER_SECOND = 10;
 
     private final String self;
@@ -71,10 +71,10 @@
     private @Nullable ScheduledFuture<?> wakeTask;
 
     /**
-     * Creates limits that nothing was spent of.
+     * Creates limits with nothing spent.
      *
      * @param self the peer address of this host
-     * @param tablesCurrent true while the control host that is followed is in touch with a leader
+     * @param tablesCurrent true while the followed control host is connected to a leader
      */
     FleetLimits(
             String self,
@@ -183,7 +183,7 @@
         performActions();
     }
 
-    /** Takes over what has changed on this host and in the tables, and returns the present time. */
+    /** Updates client and server with this host's state and the tables, and returns the present time. */
     private long refresh() {
         long nowNanos = clock.nowNanos();
         if (suspendDetector.wasSuspended(nowNanos, wallClock.millis())) {
@@ -198,7 +198,7 @@
         return nowNanos;
     }
 
-    /** Takes the entry hosts of the tables. */
+    /** Applies a change of the entry hosts in the tables. */
     void onHostsChanged() {
         ImmutableList<String> newHosts =
                 view.entryHosts().stream().map(HostRecord::getPeerAddress).collect(ImmutableList.toImmutableList());
@@ -276,7 +276,7 @@
         }
         metrics.recordReport();
         ScheduledFuture<?> timeout = loop.schedule(
-                () -> reportFailed(id, report.host(), "no answer in time"),
+                () -> reportFailed(id, report.host(), "no answer within the timeout"),
                 report.answerTimeout().toNanos(),
                 TimeUnit.NANOSECONDS);
         network.requestWhenConnected(
@@ -360,9 +360,9 @@
         }
     }
 
-    /** A request that waits for a decision. */
+    /** A request that waits for its decision. */
     private record PendingRequest(String team, Consumer<Decision> callback) {}
 
-    /** Who waits for the answer to a report. */
+    /** A report whose sender waits for the answer. */
     private record PendingReport(Consumer<QuotaAction.Answer> callback) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -44,14 +44,14 @@
 import org.bramblerack.wire.TableDelta;
 
 /**
- * What this host knows of the fleet: the configuration in force, the leafs, the other hosts.
+ * The state of the fleet as known to this host: the routing configuration in force, the leaves and the other hosts.
  *
- * <p>Invariants: the revision only grows, and with it the configuration's version; a leaf that is leaving takes no work
- * from the moment at which the change arrives. Owned by the event loop.
+ * <p>Invariants: the revision and the configuration's version never decrease; a leaf that is draining receives no new
+ * work once the change is applied. Owned by the event loop.
  */
 public final class FleetView {
     private static final EventLog EVENTS = EventLog.of(FleetView.class);
-    /** How many leafs a line names at the most. */
+    /** The maximum number of leaves or fingerprints in one log line. */
     private static final int MAX_LOGGED_NAMES = 12;
 
     private final HostLocation location;
@@ -76,7 +76,7 @@
     private Runnable onHostsChanged = () -> {};
 
     /**
-     * Creates a view that knows nothing.
+     * Creates an empty view.
      *
      * @param self the peer address of this host
      */
@@ -102,32 +102,30 @@
         this.connections = new LeafConnectionTable(this, headerNames, group, clock, random);
     }
 
-    /** Returns the revision of the tables that was applied last. */
+    /** Returns the revision of the tables that were applied last. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the configuration in force on this host. */
     public RoutingConfiguration configuration() {
         return configuration;
     }
 
-    /** Returns what keeps requests from leafs that end those which run them. */
+    /** Returns the filter for requests that end the leaves which run them. */
     HarmfulRequestFilter harmFilter() {
         return harmFilter;
     }
 
-    /** Returns what the routing decisions of this host share. */
+    /** Returns the routing state that all leaf pools of this host share. */
     RoutingContext routing() {
         return routing;
     }
 
-    /** Returns where this host is. */
     public HostLocation location() {
         return location;
     }
 
-    /** Adds what to do when entry or control hosts have come or gone. */
+    /** Adds a task that runs when entry or control hosts have joined or left. */
     void onHostsChanged(Runnable task) {
         Runnable before = onHostsChanged;
         onHostsChanged = () -> {
@@ -136,7 +134,7 @@
         };
     }
 
-    /** Sets what is told of each connection to a leaf. */
+    /** Sets the observer of the connections to all leaves. */
     void onConnectionEvent(Consumer<ConnectionEvent> observer) {
         connections.setObserver(observer);
     }
@@ -146,79 +144,77 @@
         return configuration.version() > 0 && !leafRecords.isEmpty();
     }
 
-    /** Returns the other hosts and this one that take requests of callers. */
+    /** Returns the hosts that accept requests from callers, this one included once the tables list it. */
     public ImmutableList<HostRecord> entryHosts() {
         return hosts.entryHosts();
     }
 
-    /** Returns the peer addresses of the hosts that serve control, the nearest first. */
+    /** Returns the peer addresses of the control hosts, nearest first. */
     public ImmutableList<String> controlAddresses() {
         return hosts.controlAddresses();
     }
 
-    /** Notes a query over shards of a caller. */
+    /** Records a caller's query over shards. */
     void recordQuery() {
         queries.record(clock.nowNanos());
     }
 
-    /** Returns how many queries over shards callers send here in a minute. */
+    /** Returns how many queries over shards callers send to this host per minute. */
     int queriesPerMinute() {
         return queries.perMinute(clock.nowNanos());
     }
 
-    /** Returns the region of a host with the given name or peer address, if it is or was known. */
+    /** Returns the region of a host, given by name or peer address, if the host is or was known. */
     Optional<String> regionOf(String host) {
         return hosts.regionOf(host);
     }
 
-    /** Returns the region of a host with the given name or peer address if it is known to be another one. */
+    /** Returns the region of a host, given by name or peer address, if it is known to differ from this host's. */
     Optional<String> otherRegionOf(String host) {
         return hosts.otherRegionOf(host);
     }
 
-    /** Returns the leafs of a service; a service without any has an empty pool. */
+    /** Returns the leaves of a service; a service without leaves has an empty pool. */
     public LeafPool pool(String service) {
         return pools.computeIfAbsent(service, this::newPool);
     }
 
-    /** Returns a leaf by its identifier. */
     Optional<Leaf> leaf(String id) {
         return leafRecord(id).flatMap(record -> pool(record.getService()).find(id));
     }
 
-    /** Returns the hosts through which to ask a leaf, the preferred first; empty if this host is to ask it itself. */
+    /** Returns the hosts through which to call a leaf, in order of preference; empty if this host calls it directly. */
     ImmutableList<String> holdersOf(Leaf leaf) {
         return leafRecord(leaf.id())
                 .map(record -> access().holdersOf(record.getService(), record.getZone()))
                 .orElse(ImmutableList.of());
     }
 
-    /** Returns true if a peer address is this host's. */
     boolean isSelf(String host) {
         return access.isSelf(host);
     }
 
-    /** Returns the hosts that hold connections to any shard, if shards are reached through holders. */
+    /** Returns the other hosts that are holders or backups of any shard; empty if shards are called directly. */
     ImmutableSet<String> holders() {
         return access().holders();
     }
 
-    /** Says who calls leafs for queries, by the agreed tables. */
+    /** Returns which hosts call leaves for queries, by the replicated tables. */
     WarmUpPlan.LeafCalls leafCalls() {
         return configuration.version() == 0 ? WarmUpPlan.LeafCalls.UNKNOWN : access().leafCalls();
     }
 
-    /** Returns true if the leafs of a service are reached through holders. */
+    /** Returns true if the leaves of a service are reached through holders. */
     boolean isHeld(String service) {
         return access().isHeld(service);
     }
 
-    /** Returns true if shards are reached through holders, since the hosts are too many to connect to every leaf. */
+    /** Returns true if any shard is reached through holders. */
     boolean usesHolders() {
         return access().isAnyHeld();
     }
 
-    /** Returns the share of a query's shards at which a call would begin at once. */
+    /** Returns the share of a query's shards at which a call would start at once. */
     double shareWithCapacity(RouteTarget.Scatter target, long nowNanos) {
         long count = target.shards().stream()
                 .filter(shard -> pool(shard).hasCapacity(nowNanos))
@@ -226,37 +222,37 @@
         return (double) count / target.shards().size();
     }
 
-    /** Returns true if shards may be left to other hosts; those that are reached through holders always are. */
+    /**
+     * Returns true if queries may delegate shards to other hosts; always true if shards are reached through holders.
+     */
     boolean usesStages() {
         return usesHolders() || routing.uses(RoutingFeature.STAGES);
     }
 
-    /** Returns the records of the leafs that have not left. */
+    /** Returns the records of all leaves that have not left. */
     ImmutableList<LeafRecord> leafRecords() {
         return ImmutableList.copyOf(leafRecords.values());
     }
 
-    /** Returns the record of a leaf. */
     public Optional<LeafRecord> leafRecord(String id) {
         return Optional.ofNullable(leafRecords.get(id));
     }
 
-    /** Returns the connections of this host to a leaf. */
     public LeafConnections connectionsTo(Leaf leaf) {
-        // A leaf that has just come is told what it bears before anything is sent to it.
+        // Apply pending table changes first, so that a new leaf has its cold limit before it is called.
         access();
         return connections.to(leaf);
     }
 
-    /** Returns what is known of how long the calls of a route take. */
+    /** Returns the observed latencies of a route's calls. */
     public LatencyTracker latency(Route route) {
         return latencies.computeIfAbsent(route.name(), unused -> HedgeTiming.newLatencyTracker(route.goal()));
     }
 
     /**
-     * Applies what changed.
+     * Applies a change of the tables.
      *
-     * @param newer the configuration that came with the change, if one did
+     * @param newer the configuration that the change contains, if any
      */
     public void apply(TableDelta delta, Optional<RoutingConfiguration> newer) {
         revision = delta.getRevision();
@@ -304,7 +300,7 @@
         }
     }
 
-    /** Returns the requests of a change that are sent to no leaf from now on, the first of them. */
+    /** Returns the first fingerprints that a change quarantines, for a log line. */
     private static String quarantinedFingerprints(TableDelta delta) {
         return delta.getHarmList().stream()
                 .filter(record -> record.getVerdict() == HarmRecord.Verdict.BARRED)
@@ -314,9 +310,7 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /**
-     * Returns how leafs are reached, worked out anew only if it is asked for after a change: changes come in series.
-     */
+    /** Returns how leaves are reached, recomputed on the first call after a change, since changes arrive in series. */
     LeafAccess access() {
         if (accessStale) {
             accessStale = false;
@@ -327,7 +321,7 @@
         return access;
     }
 
-    /** Returns the leafs of a change that take no new work from now on, the first of them by name. */
+    /** Returns the first leaves of a change that accept no new work, for a log line. */
     private static String leavingLeafIds(TableDelta delta) {
         return delta.getLeavesList().stream()
                 .filter(leaf -> leaf.getPhase() != LeafRecord.Phase.READY)
@@ -336,7 +330,7 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** Returns true if the leafs of other availability zones than before get no work. */
+    /** Returns true if the set of drained zones changed. */
     private boolean applyDrainedZones(TableDelta delta) {
         ImmutableSet<String> before = drainedZones;
         drainedZones = ImmutableSet.copyOf(delta.getDrainedZonesList());
@@ -349,7 +343,7 @@
         return true;
     }
 
-    /** A leaf that got no work for long may have turned cold meanwhile. */
+    /** A leaf that received no work while its zone was drained may be cold again. */
     private void setDrained(Leaf leaf, LeafRecord record, boolean wasDrained) {
         boolean drained = drainedZones.contains(record.getZone());
         leaf.setZoneDrained(drained);
@@ -410,7 +404,7 @@
         }
     }
 
-    /** Tells a leaf what it bears while it is cold, and whether this host may send it that. */
+    /** Sets a leaf's rate limit while it is cold, and whether this host may send it requests within that limit. */
     private void limitColdRequests(LeafRecord record) {
         LeafService service = configuration.services().get(record.getService());
         Optional<Leaf> leaf = leaf(record.getId());
@@ -443,13 +437,13 @@
         return pool;
     }
 
-    /** Tells the leafs of a service what the agreed tables say of this host's part in asking them. */
+    /** Updates a pool's retry budget and whether this host is the holder of the service. */
     private void updatePool(LeafPool pool) {
         assignBudget(pool.service(), pool.budget());
         pool.setHeldLocally(access().isHeld(pool.service()) && access().isHolderOf(pool.service()));
     }
 
-    /** Gives this host its part of the fleet's budget for a service, by the agreed tables. */
+    /** Sets this host's share of the fleet's budget for extra attempts at a service. */
     private void assignBudget(String service, WindowedBudget ownBudget) {
         FleetBudget.Rank rank = access().rankFor(service);
         if (!access().isHeld(service)) {
@@ -461,7 +455,7 @@
         }
     }
 
-    /** Returns how many connections this host may have to a leaf. */
+    /** Returns the maximum number of connections from this host to a leaf. */
     int connectionShare(Leaf leaf) {
         String zone = leafRecord(leaf.id()).map(LeafRecord::getZone).orElse("");
         return access().connectionShare(leaf.service(), zone);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
@@ -17,7 +17,7 @@
 import org.bramblerack.request.routed.RefusalReason;
 import org.jspecify.annotations.Nullable;
 
-/** The counters of the entry role, one for each reason, and how long answers took. Safe for use by many threads. */
+/** The metrics of the entry role: counters by outcome and reason, and the latency of answers. Thread-safe. */
 public final class GatewayMetrics {
     private final Map<AttemptCounter, Counter> attempts = new EnumMap<>(AttemptCounter.class);
     private final Map<LeafOutcome, Counter> outcomes = new EnumMap<>(LeafOutcome.class);
@@ -33,7 +33,6 @@
     private final Counter stagesAnswered;
     private final Counter stagesFailed;
 
-    /** Creates the counters in a registry. */
     public GatewayMetrics(MetricRegistry registry, MonotonicClock clock) {
         this.registry = registry;
         this.clock = clock;
@@ -58,27 +57,27 @@
         }
     }
 
-    /** Notes that the answer to a request is on its way, of whichever kind. */
+    /** Records the time from receiving a request to answering or refusing it. */
     void recordAnswer(long receivedNanos) {
         answerMicros.update(TimeUnit.NANOSECONDS.toMicros(clock.nowNanos() - receivedNanos));
     }
 
-    /** Notes a request whose deadline is no number; it is served as if it named none. */
+    /** Records a request with a malformed deadline; it is served as if it had none. */
     void recordMalformedDeadline() {
         registry.counter("gateway_malformed_deadline").inc();
     }
 
-    /** Notes a request that was refused before a route was found. */
+    /** Records a request that was refused before its route was found. */
     void recordUnroutedRefusal(String outcome) {
         registry.counter("gateway_refused_" + outcome.toLowerCase(Locale.ROOT)).inc();
     }
 
-    /** Notes a query that will be late in any case and waits until the leafs have room. */
+    /** Records a query that cannot meet its goal and is deferred until the leaves have capacity. */
     void recordDeferredQuery() {
         deferredQueries.inc();
     }
 
-    /** Notes a request that waits because this host is behind. */
+    /** Records a request that is queued because this host is lagging. */
     void recordQueuedRequest() {
         queuedRequests.inc();
     }
@@ -96,7 +95,6 @@
         increment(outcomes.get(outcome));
     }
 
-    /** Notes what became of a connection to a leaf. */
     void count(ConnectionEvent event) {
         increment(connections.get(event));
     }
@@ -117,7 +115,7 @@
         (answered ? stagesAnswered : stagesFailed).inc();
     }
 
-    /** Returns every counter that is not zero, for a log line. */
+    /** Returns all counters that are not zero, for a log line. */
     String summary() {
         return CounterSummary.of(registry);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostLocation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostLocation.java
@@ -7,28 +7,27 @@
 import org.bramblerack.process.leaf.LeafLocation;
 
 /**
- * Where this host is, and which region each availability zone belongs to.
+ * The availability zone and region of this host, and the region of each zone.
  *
- * <p>Immutable and safe for use by many threads.
+ * <p>Immutable and thread-safe.
  */
 public record HostLocation(String zone, String region, ImmutableMap<String, String> regionsByZone) {
-    /** Refuses missing names. */
+    /** Rejects missing names. */
     public HostLocation {
         requireNonNull(zone);
         requireNonNull(region);
     }
 
-    /** Returns the region of a zone; a zone that is not known is a region of its own. */
+    /** Returns the region of a zone; an unknown zone counts as its own region. */
     public String regionOf(String otherZone) {
         return regionsByZone.getOrDefault(otherZone, otherZone);
     }
 
-    /** Returns where the leafs of a zone are. */
+    /** Returns the location of the leaves in a zone. */
     public LeafLocation leafLocation(String otherZone) {
         return new LeafLocation(otherZone, regionOf(otherZone), distanceTo(otherZone));
     }
 
-    /** Returns how far a zone is. */
     public Distance distanceTo(String otherZone) {
         return Distance.between(zone, region, otherZone, regionOf(otherZone));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
@@ -10,9 +10,10 @@
 import org.bramblerack.process.WarmUpPlan;
 
 /**
- * Warms a host up when it starts, and once more if it learns later that it calls leafs; work that comes ends both.
+ * Runs the warm-up of a host at its start, and its remainder if the host later turns out to call leaves. The first real
+ * work ends either.
  *
- * <p>The plan is looked at on the event loop; safe for use by many threads.
+ * <p>The plan is evaluated on the event loop. Thread-safe.
  */
 final class HostWarmUp {
     private static final Logger LOGGER = System.getLogger(HostWarmUp.class.getName());
@@ -27,9 +28,9 @@
     private volatile boolean receivedWork;
 
     /**
-     * Creates one that does nothing yet.
+     * Creates a warm-up without starting it.
      *
-     * @param factory makes a warm-up that serves what it is told to
+     * @param factory creates a warm-up that follows the given steps
      */
     HostWarmUp(
             FleetView view, Function<Supplier<WarmUpPlan.Step>, WarmUp> factory, EventLoop loop, MonotonicClock clock) {
@@ -41,16 +42,16 @@
     }
 
     /**
-     * Serves the queries of a start and returns.
+     * Serves the queries of the start and returns.
      *
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     void runAtStart() throws InterruptedException {
         current.run();
         loop.execute(this::checkPlan);
     }
 
-    /** Ends it: real work is the better warm-up, and somebody waits for the processor. */
+    /** Ends the warm-up: real work needs the processor and warms up the same code. */
     void onWork() {
         if (!receivedWork) {
             receivedWork = true;
@@ -66,7 +67,7 @@
         }
     }
 
-    /** In a thread of its own, since it waits until the queries are served on the event loop. */
+    /** Runs on a separate thread, since it blocks while the event loop serves the queries. */
     private void serveRemaining() {
         WarmUp remaining = factory.apply(() -> plan.next(WarmUpPlan.LeafCalls.MADE_HERE));
         current = remaining;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -11,8 +11,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs the task by which a host sees how far it is behind, and how early to seal its answers, as often as
- * {@link LagSamplingPeriod} says. Owned by the event loop.
+ * Runs the periodic task that measures event-loop lag and adjusts how early answers are finalized, at the intervals of
+ * {@link LagSamplingPeriod}. Owned by the event loop.
  */
 final class LagTimer {
     private final EventLoopLag lag;
@@ -35,7 +35,7 @@
         loop.execute(this::run);
     }
 
-    /** Notes that work comes; a host at rest looks at once, since the work may have waited here. */
+    /** Records that work arrived; an idle host measures at once, since the work may have waited for the event loop. */
     void onWork() {
         period.onWork(clock.nowNanos());
         if (idle && next != null) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
@@ -21,35 +21,34 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How this host reaches each leaf: by connections of its own, or through the host that holds the connections to it.
+ * How this host reaches each leaf: by its own connections, or through the host that holds the connections to it.
  *
- * <p>A shard's leafs take a bounded number of connections from all hosts together. While every host can have at least
- * {@value #MIN_DIRECT_CONNECTIONS} and uses them often, each connects itself; in a larger fleet, or one in which a host
- * calls a leaf seldom, the hosts of the leaf's availability zone share the connections out, and {@link ZoneHolders}
- * says which of them asks.
+ * <p>The leaf of a shard accepts a limited number of connections from all hosts together. While every host can have at
+ * least {@value #MIN_DIRECT_CONNECTIONS} of them and calls the leaf often enough to use them, each host connects
+ * directly. In larger fleets, or if hosts rarely call a leaf, the hosts of the leaf's availability zone hold the
+ * connections, and {@link ZoneHolders} assigns each shard to one of them.
  *
- * <p>Invariant: the shares of all hosts that agree on the tables are never more than the part that
- * {@link ConnectionShare} gives out of what a leaf takes, but that a host outside the zone may open one as a last
- * resort. Owned by the event loop.
+ * <p>Invariant: the shares of all hosts with the same tables never exceed the part of a leaf's connections that
+ * {@link ConnectionShare} allocates, except that a host outside the zone may open one connection as a last resort.
+ * Owned by the event loop.
  */
 final class LeafAccess {
-    /** One connection carries one request at a time: with a single one, a hedge of another query would have to wait. */
+    /** A connection carries one request at a time, so a hedge needs a second one. */
     private static final int MIN_DIRECT_CONNECTIONS = 2;
-    /** The number of the shards that no route names yet. */
+    /** The index number of shards that no route names yet. */
     private static final int FUTURE_INDEX = 0;
 
     private final String self;
     private final HostLocation location;
     private final Map<String, ImmutableList<String>> hostsByZone = new HashMap<>();
     private final Map<ZoneIndex, ImmutableSortedSet<String>> shardsByZone = new HashMap<>();
-    /** Kept from one update to the next, since most changes of the tables move no shard. */
+    /** Kept between updates, since most changes of the tables move no shard. */
     private final Map<ZoneIndex, CachedHolders> holdersByZone = new HashMap<>();
 
-    /** The number of the index that each shard belongs to. */
     private final Map<String, Integer> indexOfShard = new HashMap<>();
 
     private long update;
-    /** Worked out when it is asked for: every host looks at its links again and again, and the tables seldom change. */
+    /** Computed on demand: it is read often, and the tables rarely change. */
     private @Nullable ImmutableSet<String> holders;
 
     private boolean throughHolders;
@@ -57,7 +56,7 @@
     private ImmutableList<String> hosts = ImmutableList.of();
 
     /**
-     * Creates the access of a host that knows no leafs.
+     * Creates the access of a host that knows no leaves.
      *
      * @param self the peer address of this host
      */
@@ -67,9 +66,9 @@
     }
 
     /**
-     * Takes over the agreed tables.
+     * Applies the replicated tables.
      *
-     * @param newThroughHolders true if shards are reached through holders however few the hosts are
+     * @param newThroughHolders true if shards are reached through holders regardless of the number of hosts
      */
     void update(
             Collection<HostRecord> entryHosts,
@@ -106,33 +105,32 @@
         holdersByZone.keySet().retainAll(shardsByZone.keySet());
     }
 
-    /** Returns true if a peer address is this host's. */
     boolean isSelf(String host) {
         return host.equals(self);
     }
 
-    /** Returns which turn this host has when something is shared out among the entry hosts for one service. */
+    /** Returns this host's rank among the entry hosts, by which a service's budget is divided. */
     FleetBudget.Rank rankFor(String service) {
         int position = hosts.indexOf(self);
-        // A host that the tables do not name yet comes after all that they do name.
+        // A host that the tables do not list yet ranks after all listed hosts.
         return position >= 0
                 ? FleetBudget.Rank.of(position, hosts.size(), service)
                 : new FleetBudget.Rank(hosts.size(), hosts.size() + 1);
     }
 
-    /** Returns true if hosts reach the leafs of a service through holders. */
+    /** Returns true if hosts reach the leaves of a service through holders. */
     boolean isHeld(String service) {
         return indexOfShard.containsKey(service)
                 && (throughHolders || evenShare(service, hosts.size()) < MIN_DIRECT_CONNECTIONS);
     }
 
-    /** Returns true if any shard is held, so that links to holders are needed. */
+    /** Returns true if any shard is reached through holders, so that links to them are needed. */
     boolean isAnyHeld() {
         return indexOfShard.keySet().stream().anyMatch(this::isHeld);
     }
 
     /**
-     * Returns the hosts through which to ask a leaf, the preferred first; empty if this host is to ask it itself.
+     * Returns the hosts through which to call a leaf, in order of preference; empty if this host calls it directly.
      *
      * @param zone the availability zone of the leaf
      */
@@ -145,14 +143,14 @@
     }
 
     /**
-     * Returns true if this host should keep connections to a leaf open ahead of their use. While the tables name no
-     * host, as when a whole fleet starts, each would take itself for the only one and connect to every leaf.
+     * Returns true if this host keeps connections to a leaf open ahead of use. False while the tables list no host, as
+     * when a whole fleet starts: otherwise each host would consider itself the only one and connect to every leaf.
      */
     boolean keepsConnections(String service, String zone) {
         return !hosts.isEmpty() && holdersOf(service, zone).isEmpty();
     }
 
-    /** Returns true if this host may be asked to stand in for the holder of a leaf, or is the holder. */
+    /** Returns true if this host is the holder of a leaf or a backup, or if the leaf is called directly. */
     boolean isHolderOrBackup(String service, String zone) {
         return !isHeld(service) || zoneHolders(zone, service).of(service).contains(self);
     }
@@ -164,8 +162,8 @@
     }
 
     /**
-     * Returns true if this host is the one that may send requests to a leaf while it is cold: the holder of the leaf,
-     * or one of the hosts of its zone that the agreed tables name.
+     * Returns true if this host may send requests to a leaf while it is cold. Only one host may: the holder of the
+     * leaf, or one host of its zone that the replicated tables determine.
      */
     boolean maySendToColdLeaf(String leafId, String service, String zone) {
         ImmutableList<String> senders = isHeld(service)
@@ -176,8 +174,8 @@
     }
 
     /**
-     * Says who calls leafs for queries, this host counted in its zone whether the tables name it yet or not. Unknown
-     * while no leafs are known, or no hosts: a host that starts first would take itself for the only one.
+     * Returns which hosts call leaves for queries, counting this host in its zone even if the tables do not list it
+     * yet. Unknown while no leaves or no hosts are known: the first host to start would consider itself the only one.
      */
     WarmUpPlan.LeafCalls leafCalls() {
         if (shardsByZone.isEmpty() || hosts.isEmpty()) {
@@ -201,14 +199,14 @@
                 && ZoneHolders.compute(candidates, shards).hosts().contains(self);
     }
 
-    /** Returns in how many availability zones a shard has a leaf. */
+    /** Returns the number of availability zones in which a shard has a leaf. */
     int zonesOf(String service) {
         return (int) shardsByZone.values().stream()
                 .filter(services -> services.contains(service))
                 .count();
     }
 
-    /** Returns the hosts that hold any shard in any zone or stand in for one that does, but this one. */
+    /** Returns the other hosts that are holders or backups of any shard in any zone. */
     ImmutableSet<String> holders() {
         ImmutableSet<String> known = holders;
         if (known == null) {
@@ -230,7 +228,7 @@
         return all.build();
     }
 
-    /** Returns how many connections this host may have to a leaf, at least 1. */
+    /** Returns the maximum number of connections from this host to a leaf, at least 1. */
     int connectionShare(String service, String zone) {
         int direct = evenShare(service, hosts.size());
         if (!isHeld(service)) {
@@ -248,8 +246,8 @@
     }
 
     /**
-     * Returns how many connections a holder may have while the other hosts still have those of their own, as for a
-     * moment after holders came to be used: never fewer than it had.
+     * Returns how many connections a holder may have while other hosts may still have direct ones, shortly after the
+     * change to holders. Never fewer than its direct share.
      */
     private int holderShareBesideDirect(String service, String zone) {
         int direct = evenShare(service, hosts.size());
@@ -259,11 +257,11 @@
     }
 
     /**
-     * Notes which services are shards, and of which index.
+     * Determines which services are shards, and the index of each.
      *
-     * <p>Each index has holders of its own, so that another one that is being built beside it moves none of them. A
-     * service that no route names is taken for a shard of an index to come. One that a route asks for single answers is
-     * none, unless a query asks it as a shard as well.
+     * <p>Each index has its own holders, so that building a new index beside it moves none of them. A service that no
+     * route names counts as a shard of a future index. A service that is the target of a single-answer route is not a
+     * shard, unless a scatter route names it too.
      */
     private void assignIndexes(Collection<LeafRecord> leaves) {
         Set<String> singles = new HashSet<>();
@@ -291,7 +289,7 @@
         return ConnectionShare.of(maxConnections, hostCount);
     }
 
-    /** Returns the holders of a zone for the index that a shard belongs to. */
+    /** Returns the holders of a zone for the index of a shard. */
     private ZoneHolders zoneHolders(String zone, String shard) {
         ZoneIndex key = new ZoneIndex(zone, indexOfShard.getOrDefault(shard, FUTURE_INDEX));
         CachedHolders known = holdersByZone.get(key);
@@ -302,7 +300,7 @@
         return known.holders();
     }
 
-    /** Works the holders of a zone out, unless they are still those that were worked out before. */
+    /** Computes the holders of a zone, unless the earlier ones are still valid. */
     private CachedHolders updateHolders(ZoneIndex key, @Nullable CachedHolders before) {
         ImmutableList<String> candidates = candidatesIn(key.zone());
         ImmutableSortedSet<String> services = shardsByZone.getOrDefault(key, ImmutableSortedSet.of());
@@ -312,13 +310,13 @@
         return new CachedHolders(update, candidates, services, holders);
     }
 
-    /** The shards of one index that have leafs in a zone; indices are numbered as the routes name them. */
+    /** The shards of one index that have leaves in a zone. Indexes are numbered in the order of the routes. */
     private record ZoneIndex(String zone, int index) {}
 
     /**
-     * The holders of a zone and what they follow from.
+     * The holders of a zone and the inputs that they were computed from.
      *
-     * @param update the number of the update of the tables at which they were last compared
+     * @param update the number of the table update at which the inputs were last compared
      */
     private record CachedHolders(
             long update, ImmutableList<String> candidates, ImmutableSortedSet<String> services, ZoneHolders holders) {
@@ -327,7 +325,7 @@
         }
     }
 
-    /** The hosts of the zone; if it has none left, those of its region; if that has none, all. */
+    /** Returns the hosts of the zone; if there are none, those of its region; if there are none either, all hosts. */
     private ImmutableList<String> candidatesIn(String zone) {
         ImmutableList<String> inZone = hostsByZone.getOrDefault(zone, ImmutableList.of());
         if (!inZone.isEmpty()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -16,14 +16,15 @@
 import org.bramblerack.wire.LeafRecord;
 
 /**
- * The connections of this host to leafs: made ahead where it asks them itself, closed where others hold them.
+ * The connections of this host to leaves: opened ahead of use where this host calls the leaf directly, closed where
+ * other hosts hold the connections.
  *
  * <p>Owned by the event loop.
  */
 final class LeafConnectionTable {
-    /** The first table may name a part of a fleet that is just starting: this long until connections are made ahead. */
+    /** The tables may be incomplete while a fleet starts, so connections are opened only after this delay. */
     private static final Duration CONNECT_DELAY = Duration.ofMillis(400);
-    /** Hosts make connections at different moments within this time, so that no leaf gets all at once. */
+    /** The interval over which hosts spread their connects, so that a leaf does not receive all of them at once. */
     private static final Duration CONNECT_SPREAD = Duration.ofMillis(1_500);
 
     private final FleetView view;
@@ -50,12 +51,10 @@
         this.harmLines = new LeafHarm.LogLimit(clock);
     }
 
-    /** Sets what is told of each connection. */
     void setObserver(Consumer<ConnectionEvent> newObserver) {
         observer = newObserver;
     }
 
-    /** Returns the connections to a leaf. */
     LeafConnections to(Leaf leaf) {
         return connections.computeIfAbsent(
                 leaf,
@@ -75,7 +74,7 @@
         return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLines, clock);
     }
 
-    /** Lets go of a leaf that has left; requests under way are finished first. */
+    /** Removes a leaf that has left; its requests in progress are finished first. */
     void retire(Leaf leaf) {
         LeafConnections existing = connections.remove(leaf);
         if (existing != null) {
@@ -83,7 +82,7 @@
         }
     }
 
-    /** Looks a little later, each host at another moment, at which connections to keep. */
+    /** Schedules a review of which connections to keep, after a delay that differs from host to host. */
     void scheduleReview() {
         if (reviewed) {
             reviewed = false;
@@ -106,7 +105,7 @@
             return;
         }
         if (access.keepsConnections(leaf.service(), zone)) {
-            // A connection that rested and was closed is made again when it is needed; a holder is asked all the time.
+            // Only holders reopen connections that were closed as idle, since they call their leaves constantly.
             if (existing == null || access.isHeld(leaf.service())) {
                 to(leaf).warm();
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LimitMetrics.java
@@ -7,13 +7,12 @@
 import org.bramblerack.process.quota.QuotaAction;
 
 /**
- * The counters of limits on teams' rates.
+ * The counters of the teams' rate limits.
  *
- * <p>A team has counters of its own as long as there are not many; those of the others are counted together. Owned by
- * the event loop.
+ * <p>The first {@value #MAX_TEAMS} teams have their own counters; all others share one. Owned by the event loop.
  */
 final class LimitMetrics {
-    /** So many teams can be looked through by an operator, and cost a page of metrics some kilobytes. */
+    /** Bounds the size of the metrics page. */
     private static final int MAX_TEAMS = 100;
 
     private final MetricRegistry registry;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
@@ -13,18 +13,18 @@
 import org.bramblerack.wire.VersionQueryResult;
 
 /**
- * Asks control whether the configuration in force here is the newest, for requests whose refusal depends on it.
+ * Queries control whether the configuration in force on this host is the newest, for requests whose refusal depends on
+ * it.
  *
- * <p>That the control host that is followed hears a leader is not enough: a table that was agreed on a moment ago may
- * not have come here yet, and a host that was suspended looks at its callers before it hears of what it missed. Owned
- * by the event loop.
+ * <p>A connection between the followed control host and a leader is not enough: this host may not have received the
+ * latest table yet, and a resumed host may serve callers before it detects its suspension. Owned by the event loop.
  */
 final class NewestVersion implements TableStatus {
-    /** A round trip to control and one from there to the leader and its quorum, with room for a lost packet. */
+    /** Allows a round trip to control, one from there to the leader and its quorum, and a lost packet. */
     private static final Duration READ_TIMEOUT = Duration.ofMillis(600);
-    /** Spares control where many callers show keys that are not known: a caller that is refused can wait as long. */
+    /** Limits the load on control when many callers present unknown keys. */
     private static final Duration READ_INTERVAL = Duration.ofMillis(50);
-    /** Callers beyond that are sent away undecided. */
+    /** Further callers are answered unconfirmed. */
     private static final int MAX_WAITING = 1_000;
 
     private final BooleanSupplier controlReachable;
@@ -35,10 +35,10 @@
     private final SharedReads<Consumer<Boolean>> reads = new SharedReads<>(MAX_WAITING);
 
     /**
-     * Creates what asks nothing yet.
+     * Creates a check without pending reads.
      *
-     * @param controlReachable true while the control host that is followed is in touch with a leader
-     * @param controlHost tells which control host is followed at the moment
+     * @param controlReachable true while the followed control host is connected to a leader
+     * @param controlHost returns the peer address of the control host that is followed at present
      */
     NewestVersion(
             BooleanSupplier controlReachable,
@@ -88,7 +88,7 @@
     }
 
     private void completeRead(boolean newest) {
-        // Those who come until the pause is over wait for the next read.
+        // Callers that arrive during the interval wait for the next read.
         loop.schedule(this::endInterval, READ_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         reads.takeWaiters().forEach(taker -> taker.accept(newest));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
@@ -21,23 +21,23 @@
 import org.bramblerack.wire.TablePull;
 
 /**
- * Follows the agreed tables: asks one control host for changes, again and again, and another if it does not answer or
- * is not in touch with a leader.
+ * Follows the replicated tables: pulls changes from one control host, and switches to another if it does not answer or
+ * is not connected to a leader.
  *
- * <p>Invariants: a table older than the one known is never applied. The first table comes from a control host that is
- * in touch with a leader. Owned by the event loop.
+ * <p>Invariants: a table older than the known one is never applied. The first table comes from a control host that is
+ * connected to a leader. Owned by the event loop.
  */
 public final class TableFollower {
     private static final Logger LOGGER = System.getLogger(TableFollower.class.getName());
     private static final EventLog EVENTS = EventLog.of(TableFollower.class);
-    /** A control host holds a request back for at most 700 ms; more is a host or a link that does not answer. */
+    /** A control host defers its answer by at most 700 ms. */
     private static final Duration PULL_TIMEOUT = Duration.ofMillis(1_100);
 
     private static final long RETRY_DELAY_MILLIS = 60;
     /**
-     * The least time between two requests that are answered with news. Changes come in series, as when a fleet or the
-     * leafs of a service start: each alone is a message to every host, a look at all tables and a line in the log. One
-     * that comes after a pause finds a request that waits for it, and is told at once.
+     * The minimum time between two pulls that are answered with changes. Changes arrive in series, for example when a
+     * fleet starts, and each answer costs a message, an update of all tables and a log line. A change after a pause is
+     * still received at once, since a deferred pull is waiting for it.
      */
     private static final Duration MIN_PULL_INTERVAL = Duration.ofMillis(100);
 
@@ -56,11 +56,11 @@
     private boolean stopped;
 
     /**
-     * Creates a follower that does nothing yet.
+     * Creates a follower without starting it.
      *
-     * @param seeds the peer addresses of the control hosts that are known beforehand, at least one
-     * @param hostRecord tells what the tables should say of this host; nothing as long as it takes no part
-     * @param random draws the control host that is asked first: a fleet that starts together would ask the same one
+     * @param seeds the peer addresses of the initially known control hosts, at least one
+     * @param hostRecord returns this host's record for the tables; empty while it must not be listed
+     * @param random chooses the first control host, so that a fleet that starts together does not overload one of them
      */
     public TableFollower(
             FleetView view,
@@ -81,32 +81,30 @@
         this.currentControlHost = seeds.get(random.nextInt(seeds.size()));
     }
 
-    /** Begins to follow. */
     public void start() {
         loop.execute(this::pull);
     }
 
-    /** Replaces the control hosts that are known beforehand. */
+    /** Replaces the initially known control hosts. */
     public void setSeeds(ImmutableList<String> newSeeds) {
         loop.execute(() -> seeds = newSeeds);
     }
 
-    /** Stops following. */
     public void stop() {
         loop.execute(() -> stopped = true);
     }
 
-    /** Returns true once the tables came from a control host that is in touch with a leader. */
+    /** Returns true once tables were received from a control host that is connected to a leader. */
     public boolean isSynchronized() {
         return synchronizedOnce;
     }
 
-    /** Returns true while the control host that is followed is in touch with a leader, by its last answer. */
+    /** Returns true while the followed control host is connected to a leader, according to its last answer. */
     public boolean isCurrent() {
         return synchronizedOnce && !lost;
     }
 
-    /** Returns the control host that is asked at present. */
+    /** Returns the peer address of the control host that is followed at present. */
     String controlHost() {
         return currentControlHost;
     }
@@ -125,16 +123,19 @@
                                 () -> switchControlHost(controlHost, String.valueOf(failure.getMessage()))));
     }
 
-    /** Tells a control host at once that this host takes part now: the request under way may be held for a moment. */
+    /**
+     * Sends this host's current record to the control host at once, since the answer to the pending pull may be
+     * deferred.
+     */
     public void announce() {
         loop.execute(() -> network.request(
                         currentControlHost, Envelope.newBuilder().setTablePull(pullMessage()), PULL_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> LOGGER.log(Logger.Level.DEBUG, "this host was announced"),
+                        reply -> LOGGER.log(Logger.Level.DEBUG, "sent the record of this host to control"),
                         failure -> LOGGER.log(
                                 Logger.Level.DEBUG,
-                                "the announcement failed, the next request makes it again: {0}",
+                                "could not send the record of this host; the next pull sends it again: {0}",
                                 failure.getMessage())));
     }
 
@@ -151,7 +152,7 @@
             if (!older && synchronizedOnce) {
                 apply(delta);
             }
-            switchControlHost(currentControlHost, "it hears no leader");
+            switchControlHost(currentControlHost, "not connected to a leader");
             return;
         }
         failures = 0;
@@ -171,7 +172,7 @@
         scheduleNextPull();
     }
 
-    /** Asks for the next change: at once if the request before waited for this one, otherwise a little later. */
+    /** Pulls the next change: at once if the last pull was deferred, otherwise after the minimum interval. */
     private void scheduleNextPull() {
         long delayNanos = MIN_PULL_INTERVAL.toNanos() - (clock.nowNanos() - pulledNanos);
         if (delayNanos > 0) {
@@ -212,7 +213,7 @@
         return Optional.of(read.get());
     }
 
-    /** Goes to a control host that is nearer, once the tables name one. */
+    /** Switches to the nearest control host if the tables do not list the present one. */
     private void preferNearest() {
         ImmutableList<String> known = view.controlAddresses();
         if (failures == 0 && !known.isEmpty() && !known.contains(currentControlHost)) {
@@ -241,7 +242,7 @@
         }
     }
 
-    /** The control hosts of the tables, the nearest first, then the seeds. */
+    /** Returns the control hosts of the tables, nearest first, followed by the seeds. */
     private ImmutableList<String> candidates() {
         return ImmutableList.<String>builder().addAll(view.controlAddresses()).addAll(seeds).build().stream()
                 .distinct()
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableStatus.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableStatus.java
@@ -2,16 +2,17 @@
 
 import java.util.function.Consumer;
 
-/** What a host knows of the age of its tables. Owned by the event loop. */
+/** Whether a host's copy of the replicated tables is up to date. Owned by the event loop. */
 @FunctionalInterface
 public interface TableStatus {
-    /** Returns true while the control host that is followed is in touch with a leader, by its last answer. */
+    /** Returns true while the followed control host is connected to a leader, according to its last answer. */
     boolean isCurrent();
 
     /**
-     * Makes sure that the configuration in force here is the newest.
+     * Checks whether the configuration in force on this host is the newest.
      *
-     * @param callback is told once, now or later: true if a leader confirmed it after this call, false if it did not
+     * @param callback receives the result once, during this call or later: true if a leader confirmed the version after
+     *     this call began, otherwise false
      */
     default void confirmNewest(Consumer<Boolean> callback) {
         callback.accept(isCurrent());
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
@@ -5,50 +5,50 @@
 import org.bramblerack.request.routed.CallerIdentity;
 import org.bramblerack.wire.Envelope;
 
-/** Bounds how many requests a team makes on all hosts together. Owned by the event loop. */
+/** Limits the request rate of each team over all hosts. Owned by the event loop. */
 interface TeamRateLimits {
-    /** Every request is permitted. */
+    /** Permits every request. */
     TeamRateLimits NONE = (caller, taker) -> taker.accept(Decision.UNLIMITED);
 
-    /** Begins to look after what is due. */
+    /** Starts the periodic work. */
     default void start() {}
 
-    /** Stops looking. */
+    /** Stops the periodic work. */
     default void stop() {}
 
     /**
-     * Takes a message of another host.
+     * Handles a message from another host.
      *
-     * @return false if it is not about limits
+     * @return false if the message does not concern rate limits
      */
     default boolean handle(Envelope message, Consumer<Envelope.Builder> reply) {
         return false;
     }
 
     /**
-     * Asks for the permission to make one request, which is decided at once as a rule.
+     * Requests permission for one request; usually decided at once.
      *
-     * @param callback takes the decision, once, now or later
+     * @param callback receives the decision exactly once, during this call or later
      */
     void requestPermission(CallerIdentity caller, Consumer<Decision> callback);
 
-    /** What is decided about a request. */
+    /** The decision about a request. */
     sealed interface Decision {
-        /** A permission that was taken from no limit. */
+        /** A permission that counts against no limit. */
         Permitted UNLIMITED = new Permitted(() -> {});
 
         /**
-         * The request may be made.
+         * The request is permitted.
          *
-         * @param refund to be called once if it turns out not to have run
+         * @param refund to be run once if the request turns out not to have run
          */
         record Permitted(Runnable refund) implements Decision {}
 
         /**
-         * The team has spent what it may.
+         * The team has reached its limit.
          *
-         * @param retryAfter when there will be a permission for this caller
-         * @param decidedBy which host's word it was, of those that may decide, for the log
+         * @param retryAfter when to try again
+         * @param decidedBy the name of the decision's source, for the log
          */
         record Refused(Duration retryAfter, String decidedBy) implements Decision {}
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -52,11 +52,11 @@
 import org.bramblerack.wire.TableDelta;
 
 /**
- * Serves a few queries within the process before it counts as ready, so that its code is loaded and compiled when the
- * first caller comes.
+ * Serves a few queries within the process before it becomes ready, so that its code is loaded and compiled when the
+ * first caller arrives.
  *
- * <p>A gateway of its own with made-up leafs runs within the machine; nothing of it is left afterwards, and a failure
- * only means that the first queries are slower. Run once.
+ * <p>Runs a separate gateway with test leaves on this machine and removes it afterwards. A failure only makes the first
+ * queries slower. Run once.
  */
 public final class WarmUp {
     private static final Logger LOGGER = System.getLogger(WarmUp.class.getName());
@@ -65,14 +65,14 @@
     private static final String NEAR = "near";
     private static final String FAR = "far";
     private static final int SHARDS = 16;
-    /** One in this many shards is far, so that the way over another host is used as well. */
+    /** Every third shard is in another region, so that the path through another host runs too. */
     private static final int FAR_SHARD_INTERVAL = 3;
 
     private static final int PART_BYTES = 512;
     private static final Duration DEFAULT_TIME_LIMIT = Duration.ofSeconds(1);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
     private static final Duration ROUTE_TIMEOUT = Duration.ofSeconds(2);
-    /** Second attempts for the queries of the warm-up; none is needed, but the code that counts them runs. */
+    /** Extra attempts for the warm-up's queries; they need none, but the code that counts them runs. */
     private static final FleetBudget BUDGET = new FleetBudget(10, 10, ROUTE_TIMEOUT);
 
     private final CallHeaders headerNames;
@@ -88,25 +88,29 @@
     private final CountDownLatch done = new CountDownLatch(1);
 
     /**
-     * How much is served.
+     * The size of a warm-up.
      *
-     * @param shards how many shards a query has
-     * @param queries how many queries at the most
-     * @param limit how long it may take
+     * @param shards the number of shards per query
+     * @param queries the maximum number of queries
+     * @param limit the maximum duration
      */
     public record Size(int shards, int queries, Duration limit) {
-        /** Refuses what would serve nothing. */
+        /** Rejects a size that serves nothing. */
         public Size {
-            checkArgument(shards >= 2 && queries >= 1, "%s queries over %s shards", queries, shards);
+            checkArgument(
+                    shards >= 2 && queries >= 1,
+                    "%s queries over %s shards; give at least 1 query and 2 shards",
+                    queries,
+                    shards);
         }
     }
 
     /**
-     * Creates a warm-up of a host that does nothing yet.
+     * Creates a warm-up.
      *
      * @param address an address of this machine
-     * @param firstPort the first of three ports at that address that are free
-     * @param steps says on the event loop whether to serve one more query
+     * @param firstPort the first of three consecutive free ports at that address
+     * @param steps decides on the event loop whether to serve one more query
      */
     public WarmUp(
             CallHeaders headerNames,
@@ -119,10 +123,10 @@
     }
 
     /**
-     * Creates one of another size, as to measure what a call costs.
+     * Creates a warm-up of a given size, for example to benchmark the cost of a call.
      *
      * @param address an address of this machine
-     * @param firstPort the first of three ports at that address that are free
+     * @param firstPort the first of three consecutive free ports at that address
      */
     public WarmUp(
             CallHeaders headerNames,
@@ -157,7 +161,7 @@
     /**
      * Serves the queries and returns.
      *
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public void run() throws InterruptedException {
         long startedNanos = clock.nowNanos();
@@ -215,12 +219,12 @@
         return () -> remaining.getAndDecrement() > 0 ? WarmUpPlan.Step.SERVE : WarmUpPlan.Step.END;
     }
 
-    /** Ends it early: a real request is the better warm-up, and its caller waits for the processor. */
+    /** Ends the warm-up early: the first real request needs the processor and warms up the same code. */
     public void end() {
         done.countDown();
     }
 
-    /** Returns how many calls its made-up leafs have answered. */
+    /** Returns how many calls the test leaves have answered. */
     public int leafCalls() {
         return answeredCalls.get();
     }
@@ -282,7 +286,7 @@
         return "warm-up-service-" + shard;
     }
 
-    /** Sends one query after the other. Owned by the event loop. */
+    /** Sends the queries one after another. Owned by the event loop. */
     private final class TestCaller implements LeafCallback {
         private final LeafConnections connections;
         private int sent;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The entry role on routed configurations: takes requests of callers, sends them to leafs, and answers.
+ * The entry role for routed configurations: receives requests from callers, calls leaves and answers.
  *
- * <p>Everything in this package belongs to one event loop, and nothing in it is locked: on a fraction of a core more
- * threads would only add switches between them.
+ * <p>The package runs on one event loop and uses no locks: on a fraction of a core, more threads would only add context
+ * switches.
  */
 @NullMarked
 package org.bramblerack.daemon.gateway;
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -39,7 +39,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A team sends six times its limit to five hosts, and the host that keeps account of it ends meanwhile. */
+/** A team sends six times its limit to five hosts while its quota server stops; guards against exceeding the bound. */
 final class FleetLimitsTest {
     private static final int HOSTS = 5;
     private static final long REQUEST_INTERVAL_MILLIS = 16;
@@ -66,7 +66,7 @@
         for (Host host : hosts) {
             host.start();
         }
-        // What a host made in an earlier life is over after a window.
+        // Spending of an earlier incarnation no longer counts after one window.
         Thread.sleep(WINDOW.plusMillis(200).toMillis());
         hosts.forEach(Host::startLoad);
         Thread.sleep(2 * WINDOW.toMillis());
@@ -124,7 +124,7 @@
         return delta.build();
     }
 
-    /** The part of an entry host that keeps limits, with real connections to the others. */
+    /** The rate limits of one entry host, with real connections to the others. */
     private final class Host {
         private final NioEventLoopGroup group = new NioEventLoopGroup(1);
         private final HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections are made ahead once to each new leaf, not at every change of the tables. */
+/** Tests that connections are opened ahead of use once per new leaf, not at every change of the tables. */
 final class FleetViewTest {
-    /** Longer than a host waits before it looks at which connections to make. */
+    /** Longer than the maximum delay of a connection review. */
     private static final long REVIEW_MILLIS = 2_300;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
@@ -22,7 +22,7 @@
 import org.bramblerack.wire.LeafRecord;
 import org.junit.jupiter.api.Test;
 
-/** The shares of all hosts stay within what a leaf takes, and every shard is reached by somebody. */
+/** Tests that hosts together stay within the connections that a leaf accepts, and that every shard is reachable. */
 final class LeafAccessTest {
     private static final int SHARDS = 30;
     private static final int ZONES = 6;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Held or not, and whatever the order in which hosts learnt of one another, one alone spends what is agreed. */
+    /** Guards against two hosts spending the allowance of one cold leaf, whatever the order of their host lists. */
     @Test
     void oneHostAloneMaySendToAColdLeaf() {
         for (int maxConnections : new int[] {26, 410}) {
@@ -99,7 +99,7 @@
         assertThat(access.connectionShare("single", "z0")).isEqualTo(1);
     }
 
-    /** The leafs of an index that is cut anew start before the version that names them as shards. */
+    /** The leaves of a new index start before the configuration that names them as shards. */
     @Test
     void onlyHoldersConnectToLeavesOfShardsThatNoRouteNames() {
         List<HostRecord> hosts = hosts(83);
@@ -111,7 +111,7 @@
         assertThat(connecting).isEqualTo(1);
     }
 
-    /** Operators name single shards in routes of their own, to look at one or to try a route. */
+    /** Operators add routes to a single shard, for example for tests. */
     @Test
     void aShardThatASingleRouteAlsoNamesIsStillHeld() {
         List<HostRecord> hosts = hosts(83);
@@ -125,7 +125,7 @@
         assertThat(connecting).isEqualTo(1);
     }
 
-    /** A new index is built beside the one that is asked; if its shards moved the others, every query would suffer. */
+    /** Guards against a new index changing the holders of the index in use. */
     @Test
     void aNewIndexMovesNoShardOfTheIndexInUse() {
         List<HostRecord> hosts = hosts(83);
@@ -139,10 +139,7 @@
         }
     }
 
-    /**
-     * Eighteen hosts that take a query every other second would find each connection closed when they need it. Hosts
-     * learn of a change at different moments, so that each may have what it had before or what it has after.
-     */
+    /** Hosts apply a change at different times, so each may have its connections from before or after it. */
     @Test
     void hostsThatRarelyCallALeafUseHoldersAndItsConnectionLimitHolds() {
         for (int fleet : new int[] {3, 4, 7, 8, 18, 24, 40}) {
@@ -170,7 +167,7 @@
         }
     }
 
-    /** Most changes of the tables move no shard: a leaf says that it drains, a configuration changes a time. */
+    /** Most changes of the tables, such as a draining leaf, move no shard. */
     @Test
     void holdersStayTheSameWhenTheTablesAreAppliedAgain() {
         List<HostRecord> hosts = hosts(83);
@@ -205,7 +202,7 @@
         assertThat(calling).isIn(Range.closed(ZONES, hosts.size() / 2));
     }
 
-    /** A host is named by the tables only once it is warm, and must know before what to warm up for. */
+    /** The tables list a host only after its warm-up, which already depends on whether it calls leaves. */
     @Test
     void aStartingHostKnowsWhetherItWillCallLeaves() {
         List<HostRecord> hosts = hosts(83);
@@ -224,7 +221,7 @@
         assertThat(access(hosts(0), 26, "10.0.0.0:1", "z0").leafCalls()).isEqualTo(WarmUpPlan.LeafCalls.UNKNOWN);
     }
 
-    /** After power the leafs are known before any host is. */
+    /** After a restart of the whole fleet, leaves are known before any host is. */
     @Test
     void aHostWithoutKnownHostsOpensNoConnectionsAheadOfUse() {
         for (boolean throughHolders : new boolean[] {false, true}) {
@@ -257,7 +254,7 @@
 
     private record Tables(List<LeafRecord> leaves, RoutingConfiguration configuration) {}
 
-    /** @param shardsWithLeaves of how many shards leafs are up; those beyond {@link #SHARDS} are in no route yet */
+    /** @param shardsWithLeaves the number of shards with leaves; no route names those beyond {@link #SHARDS} */
     private static Tables tables(int maxConnections, int shardsWithLeaves, Route... moreRoutes) {
         ImmutableList.Builder<String> shards = ImmutableList.builder();
         ImmutableMap.Builder<String, LeafService> services = ImmutableMap.builder();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whether a host may say for good that a key is not known: what control says, and what it does not say. */
+/** Guards against refusing a caller's key as unknown without a leader's confirmation of the newest version. */
 final class NewestVersionTest {
     private static final long WAIT_MILLIS = 3_000;
     private static final long QUIET_MILLIS = 200;
@@ -71,7 +71,7 @@
         assertThat(confirmWithReply(result(true, 8))).isFalse();
     }
 
-    /** Also the answer of a control host that hears no leader, or of an older program. */
+    /** Also the answer of a control host without a leader, or of an older version of the software. */
     @Test
     void aResultThatNoLeaderConfirmedIsNotAccepted() throws Exception {
         assertThat(confirmWithReply(result(false, 7))).isFalse();
@@ -102,7 +102,7 @@
         assertThat(nextAnswer()).isFalse();
     }
 
-    /** Load: a thousand callers with keys that are not known. */
+    /** Guards against a query to control for each of many callers with unknown keys. */
     @Test
     void callersShareReadsThatBeganAfterTheirCall() throws Exception {
         requestConfirmation();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When other hosts learn that a host takes part, or no longer does: a control host that holds requests back. */
+/** Tests when the record of a host is sent to a control host that defers its answers. */
 final class TableFollowerTest {
     private static final HostRecord READY = HostRecord.newBuilder()
             .setName("h")
@@ -39,7 +39,7 @@
             READY.toBuilder().setPhase(HostRecord.Phase.LEAVING).build();
     private static final long WAIT_MILLIS = 2_000;
     private static final long SERIES_MILLIS = 1_000;
-    /** One each 100 ms, with some room. */
+    /** One per 100 ms, plus a margin. */
     private static final int MAX_PULLS_IN_SERIES = 14;
 
     private static final int CHANGES = 5;
@@ -65,7 +65,7 @@
         follower = new TableFollower(
                 view,
                 document -> {
-                    throw new IllegalStateException("no configuration comes");
+                    throw new IllegalStateException("unexpected configuration");
                 },
                 network,
                 group.next(),
@@ -89,7 +89,7 @@
         assertThat(nextPull().hasSelf()).isFalse();
     }
 
-    /** The first request is still held, so an announcement that waited for its answer would come too late. */
+    /** Guards against an announcement that waits for the answer to the deferred first pull. */
     @Test
     void aChangeOfTheHostRecordIsSentAtOnce() throws Exception {
         nextPull();
@@ -101,7 +101,7 @@
         assertThat(nextPull().getSelf()).isEqualTo(LEAVING);
     }
 
-    /** As when the leafs of a service start: each answer would otherwise be followed by a request at once. */
+    /** Guards against one pull per change while the leaves of a service start. */
     @Test
     void changesInASeriesAreBatched() throws Exception {
         nextPull();
@@ -111,7 +111,7 @@
         assertThat(pulls.size()).isIn(Range.closed(3, MAX_PULLS_IN_SERIES));
     }
 
-    /** A request that waited for a change is followed by the next one at once, so that no change waits for it. */
+    /** Guards against a delay after a pull that was deferred until a change. */
     @Test
     void aChangeAfterAPauseIsFollowedByAPullAtOnce() throws Exception {
         nextPull();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/WarmUpTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/WarmUpTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A host that warms up leaves the processor to the first caller that comes. */
+/** Tests that a warm-up serves its queries and ends when the first caller arrives. */
 final class WarmUpTest {
     private static final CallHeaders NAMES = new CallHeaders(
             "Request-Id",
