--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -238,6 +238,7 @@
         return Optional.ofNullable(leafRecords.get(id));
     }
 
+    /** Returns the connections of this host to a leaf, with all table changes applied. */
     public LeafConnections connectionsTo(Leaf leaf) {
         // Apply pending table changes first, so that a new leaf has its cold limit before it is called.
         access();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
@@ -33,6 +33,7 @@
     private final Counter stagesAnswered;
     private final Counter stagesFailed;
 
+    /** Registers all metrics. */
     public GatewayMetrics(MetricRegistry registry, MonotonicClock clock) {
         this.registry = registry;
         this.clock = clock;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
@@ -152,7 +152,7 @@
             if (!older && synchronizedOnce) {
                 apply(delta);
             }
-            switchControlHost(currentControlHost, "not connected to a leader");
+            switchControlHost(currentControlHost, "not connected to a leader, or its tables are older");
             return;
         }
         failures = 0;
