--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
@@ -22,7 +22,7 @@
  * @param peerAddress the address on which other hosts connect
  * @param seeds the peer addresses of the initially known control hosts
  * @param budget the budget of all hosts together for extra attempts at a service
- * @param coldRequestLimit how far all hosts together may exceed the rate of cold leaves
+ * @param coldRequestLimit how far all hosts together may exceed the rate limits of cold leaves
  * @param quota how far all hosts together may exceed the rate limits of teams; empty if these are not enforced
  * @param routing the routing features in use
  * @param stopLimit the maximum duration of a planned stop
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
@@ -10,8 +10,8 @@
 import org.bramblerack.process.WarmUpPlan;
 
 /**
- * Runs the warm-up of a host at its start, and its remainder if the host later turns out to call leaves. The first real
- * work ends either.
+ * Runs the warm-up of a host at its start, and its remainder if the host later turns out to call leaves. Real work ends
+ * both early.
  *
  * <p>The plan is evaluated on the event loop. Thread-safe.
  */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -33,7 +33,7 @@
     private final MonotonicClock clock;
     private final RandomGenerator random;
     private final Map<Leaf, LeafConnections> connections = new HashMap<>();
-    private final LeafHarm.LogLimit harmLines;
+    private final LeafHarm.LogLimit harmLogLimit;
     private boolean reviewed = true;
     private Consumer<ConnectionEvent> observer = event -> {};
 
@@ -48,7 +48,7 @@
         this.group = group;
         this.clock = clock;
         this.random = random;
-        this.harmLines = new LeafHarm.LogLimit(clock);
+        this.harmLogLimit = new LeafHarm.LogLimit(clock);
     }
 
     void setObserver(Consumer<ConnectionEvent> newObserver) {
@@ -65,13 +65,13 @@
                         clock,
                         () -> view.connectionShare(leaf),
                         event -> observer.accept(event),
-                        harmWatch(leaf)));
+                        harmMonitor(leaf)));
     }
 
-    private CallMonitor harmWatch(Leaf leaf) {
+    private CallMonitor harmMonitor(Leaf leaf) {
         long incarnation =
                 view.leafRecord(leaf.id()).map(LeafRecord::getIncarnation).orElse(0L);
-        return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLines, clock);
+        return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLogLimit, clock);
     }
 
     /** Removes a leaf that has left; its requests in progress are finished first. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
@@ -17,7 +17,8 @@
  * it.
  *
  * <p>A connection between the followed control host and a leader is not enough: this host may not have received the
- * latest table yet, and a resumed host may serve callers before it detects its suspension. Owned by the event loop.
+ * latest table yet, and a host that resumes after a suspension may serve callers before it receives the changes that it
+ * missed. Owned by the event loop.
  */
 final class NewestVersion implements TableStatus {
     /** Allows a round trip to control, one from there to the leader and its quorum, and a lost packet. */
@@ -90,7 +91,7 @@
     private void completeRead(boolean newest) {
         // Callers that arrive during the interval wait for the next read.
         loop.schedule(this::endInterval, READ_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
-        reads.takeWaiters().forEach(taker -> taker.accept(newest));
+        reads.takeWaiters().forEach(callback -> callback.accept(newest));
     }
 
     private void endInterval() {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -73,12 +73,12 @@
         Map<Host, Long> before = new HashMap<>();
         hosts.forEach(host -> before.put(host, host.count("reports_taken")));
         Thread.sleep(WINDOW.toMillis());
-        Comparator<Host> byReports =
+        Comparator<Host> byReportCount =
                 Comparator.comparingLong(host -> host.count("reports_taken") - before.getOrDefault(host, 0L));
-        Host quotaServer = hosts.stream().max(byReports).orElseThrow();
+        Host quotaServer = hosts.stream().max(byReportCount).orElseThrow();
         long takeoversBefore = takeovers();
         quotaServer.stop();
-        long killedNanos = clock.nowNanos();
+        long stoppedNanos = clock.nowNanos();
         Thread.sleep(4 * WINDOW.toMillis());
         long endNanos = clock.nowNanos();
         hosts.forEach(Host::stop);
@@ -86,7 +86,7 @@
         assertThat(maxPermittedPerWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
         assertThat(takeovers()).isGreaterThan(takeoversBefore);
         long inLastWindows = permittedNanos.stream()
-                .filter(at -> at > killedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
+                .filter(at -> at > stoppedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
                 .count();
         assertThat(inLastWindows).isAtLeast((long) LIMIT.perSecond());
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void noLeafGetsMoreConnectionsThanItTakes() {
+    void noLeafGetsMoreConnectionsThanItAccepts() {
         for (int fleet : new int[] {3, 7, 20, 83, 300}) {
             for (int maxConnections : new int[] {26, 52, 64, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
@@ -62,11 +62,11 @@
     void oneHostAloneMaySendToAColdLeaf() {
         for (int maxConnections : new int[] {26, 410}) {
             List<HostRecord> hosts = hosts(59);
-            List<HostRecord> inOtherOrder = new ArrayList<>(hosts);
-            Collections.reverse(inOtherOrder);
+            List<HostRecord> reversed = new ArrayList<>(hosts);
+            Collections.reverse(reversed);
             int senders = 0;
             for (HostRecord host : hosts) {
-                List<HostRecord> knownHosts = senders % 2 == 0 ? hosts : inOtherOrder;
+                List<HostRecord> knownHosts = senders % 2 == 0 ? hosts : reversed;
                 LeafAccess access = access(knownHosts, maxConnections, host.getPeerAddress(), host.getZone());
                 senders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
                 senders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
@@ -149,9 +149,9 @@
                 int directCallers = 0;
                 int connections = 0;
                 for (HostRecord host : hosts) {
-                    HostLocation place =
+                    HostLocation location =
                             new HostLocation(host.getZone(), REGIONS.getOrDefault(host.getZone(), ""), REGIONS);
-                    LeafAccess access = new LeafAccess(host.getPeerAddress(), place);
+                    LeafAccess access = new LeafAccess(host.getPeerAddress(), location);
                     access.update(hosts, tables.leaves(), tables.configuration(), false);
                     boolean direct = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
                     int before = direct ? access.connectionShare("s0", "z0") : 0;
@@ -190,13 +190,14 @@
         int calling = 0;
         for (HostRecord host : hosts) {
             LeafAccess access = access(hosts, 64, host.getPeerAddress(), host.getZone());
-            boolean named = false;
+            boolean holderOrBackup = false;
             for (int shard = 0; shard < SHARDS; shard++) {
-                named |= access.isHolderOrBackup("s" + shard, host.getZone());
+                holderOrBackup |= access.isHolderOrBackup("s" + shard, host.getZone());
             }
             boolean calls = access.leafCalls() == WarmUpPlan.LeafCalls.MADE_HERE;
             assertThat(calls)
-                    .isEqualTo(named || (host.getZone().equals("z0") && access.isHolderOrBackup("to-come", "z0")));
+                    .isEqualTo(holderOrBackup
+                            || (host.getZone().equals("z0") && access.isHolderOrBackup("to-come", "z0")));
             calling += calls ? 1 : 0;
         }
         assertThat(calling).isIn(Range.closed(ZONES, hosts.size() / 2));
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
@@ -118,10 +118,10 @@
         long fastestNanos = Long.MAX_VALUE;
         for (int change = 0; change < CHANGES; change++) {
             Thread.sleep(PAUSE_MILLIS);
-            long beganNanos = System.nanoTime();
+            long startedNanos = System.nanoTime();
             replyLater.accept(newer());
             nextPull();
-            fastestNanos = Math.min(fastestNanos, System.nanoTime() - beganNanos);
+            fastestNanos = Math.min(fastestNanos, System.nanoTime() - startedNanos);
         }
         assertThat(fastestNanos).isLessThan(MIN_PULL_INTERVAL_NANOS);
     }
