--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
@@ -144,7 +144,7 @@
 
     /**
      * Returns true if this host keeps connections to a leaf open ahead of use. False while the tables list no host, as
-     * when a whole fleet starts: otherwise each host would consider itself the only one and connect to every leaf.
+     * when a whole fleet starts, since each of its hosts would then connect to every leaf.
      */
     boolean keepsConnections(String service, String zone) {
         return !hosts.isEmpty() && holdersOf(service, zone).isEmpty();
@@ -175,7 +175,7 @@
 
     /**
      * Returns which hosts call leaves for queries, counting this host in its zone even if the tables do not list it
-     * yet. Unknown while no leaves or no hosts are known: the first host to start would consider itself the only one.
+     * yet. Unknown while no leaves or no hosts are known, as on the first host to start.
      */
     WarmUpPlan.LeafCalls leafCalls() {
         if (shardsByZone.isEmpty() || hosts.isEmpty()) {
