--- a/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/harm/HarmfulRequestFilter.java
@@ -15,36 +15,31 @@
 import org.bramblerack.wire.TakeTrial;
 
 /**
- * Keeps requests from leafs that end the leafs which run them: what this host saw of that, what all hosts agreed on,
- * and what is still to be told.
+ * Blocks requests that crash the leaves which run them. Combines the evidence of this host, the replicated verdicts,
+ * and the evidence that is not reported yet.
  *
- * <p>Invariants: what all agreed on goes before what this host makes of its own evidence, which counts only as long as
- * nothing is agreed of a request. A request that a leaf answered a moment ago is not accused. What is kept is bounded.
- * Not safe for use by several threads.
+ * <p>Invariants: a replicated verdict takes precedence over the evidence of this host, which counts only for requests
+ * without one. A request that a leaf answered recently is not suspected. All state is bounded. Not safe for use by
+ * several threads.
  */
 public final class HarmfulRequestFilter {
     /**
-     * How long a survived request is remembered: hosts that saw another part of it tell of leafs that ended after at
-     * most a few seconds.
-     */
-    private static final long SURVIVED_NANOS = Duration.ofSeconds(10).toNanos();
-    /**
-     * How many survived requests are remembered: 25 s' worth of the 160 queries a second of an entry host of the
-     * planned size. One that holds leafs for others answers more, and remembers less than the time above.
+     * How long the survival of a request is remembered: other hosts may report leaves that ended a few seconds earlier.
      */
+    private static final long SURVIVAL_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
+
     private static final int MAX_SURVIVED = 4_096;
-    /** How many requests are remembered that were tried by the word of this host alone: as many as are on trial. */
-    private static final int MAX_TRIED_ALONE = HarmRecords.MAX_RECORDS;
+    private static final int MAX_LOCAL_TRIALS = HarmRecords.MAX_RECORDS;
 
-    private final Map<Fingerprint, HarmRecord.Verdict> agreed = new HashMap<>();
-    private final HarmRecords own = new HarmRecords();
-    private final Map<Fingerprint, Long> recordSurvival = new LinkedHashMap<>();
-    private final Map<Fingerprint, Long> triedAlone = new LinkedHashMap<>();
-    private final UnreportedEvidence untold = new UnreportedEvidence();
-    private int agreedRestricted;
-    private int ownRestricted;
+    private final Map<Fingerprint, HarmRecord.Verdict> replicated = new HashMap<>();
+    private final HarmRecords local = new HarmRecords();
+    private final Map<Fingerprint, Long> survived = new LinkedHashMap<>();
+    private final Map<Fingerprint, Long> localTrials = new LinkedHashMap<>();
+    private final UnreportedEvidence unreported = new UnreportedEvidence();
+    private int replicatedRestricted;
+    private int locallyRestricted;
 
-    /** Returns whether a request may be sent to leafs; works its fingerprints out only if any request may not. */
+    /** Returns whether a request may be sent to leaves. Computes its fingerprints only if any request is restricted. */
     public Permission permission(Supplier<Fingerprints> request) {
         if (!hasRestrictions()) {
             return Permission.FREE;
@@ -55,203 +50,209 @@
         return exact.compareTo(path) > 0 ? exact : path;
     }
 
-    /** Returns true if any request may not be sent to leafs freely. */
+    /** Returns true if any request is quarantined or on trial. */
     public boolean hasRestrictions() {
-        return agreedRestricted + ownRestricted > 0;
+        return replicatedRestricted + locallyRestricted > 0;
     }
 
-    /** Returns how many requests are barred or on trial by the evidence that this host has, for a log line. */
+    /** Returns how many requests are quarantined or on trial by the evidence of this host. */
     public int locallyRestrictedCount() {
-        return ownRestricted;
+        return locallyRestricted;
     }
 
-    /** Returns how many requests are barred or on trial by agreement, for a log line. */
+    /** Returns how many requests are quarantined or on trial by replicated verdicts. */
     public int replicatedRestrictedCount() {
-        return agreedRestricted;
+        return replicatedRestricted;
     }
 
     /**
-     * Notes that a leaf ended with requests on it.
+     * Records that a leaf ended while it was running requests.
      *
-     * @param leafStart tells this start of the leaf from others
+     * @param leafStart identifies the incarnation of the leaf
      */
-    public void recordLeafEnd(long leafStart, List<Arrival> onIt, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
-        for (Arrival arrival : onIt) {
+    public void recordLeafEnd(long leafStart, List<Arrival> arrivals, long nowNanos) {
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        for (Arrival arrival : arrivals) {
             for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-                if (!survivedOfLate(fingerprint, nowNanos)) {
-                    untold.ended(fingerprint, leafStart, arrival.digest());
-                    seen.addEnded(HarmEvidence.newBuilder()
+                if (!survivedRecently(fingerprint, nowNanos)) {
+                    unreported.addLeafEnd(fingerprint, leafStart, arrival.digest());
+                    evidence.addEnded(HarmEvidence.newBuilder()
                             .setFingerprint(fingerprint.toBytes())
                             .addLeafStarts(leafStart)
                             .addArrivals(arrival.digest()));
                 }
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
     /**
-     * Notes that a call was sent and broke. That bars nothing by itself, but leafs may be back before a host has found
-     * that they ended; then arrivals that broke, and none that was answered, are all that shows.
+     * Records that the connection of a call was lost. Alone this does not restrict the request. But a leaf may have
+     * restarted before a host detects its end, and then repeated disconnects without an answer are the only evidence.
      */
     public void recordDisconnect(Arrival arrival, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-            if (!survivedOfLate(fingerprint, nowNanos)) {
-                untold.broke(fingerprint, List.of(arrival.digest()));
-                seen.addEnded(HarmEvidence.newBuilder()
+            if (!survivedRecently(fingerprint, nowNanos)) {
+                unreported.addDisconnects(fingerprint, List.of(arrival.digest()));
+                evidence.addEnded(HarmEvidence.newBuilder()
                         .setFingerprint(fingerprint.toBytes())
                         .addBrokenArrivals(arrival.digest()));
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
-    /** Notes that a query over several shards broke and was given up before a leaf of any shard had answered it. */
+    /**
+     * Records that a query over several shards lost a connection and was abandoned before a leaf of any shard had
+     * answered.
+     */
     public void recordNoShardAnswered(Arrival arrival, long nowNanos) {
-        HarmReport.Builder seen = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
+        HarmReport.Builder evidence = HarmReport.newBuilder().setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos));
         for (Fingerprint fingerprint : arrival.fingerprints().all()) {
-            if (!survivedOfLate(fingerprint, nowNanos)) {
-                untold.lostWhole(fingerprint);
-                seen.addEnded(HarmEvidence.newBuilder()
+            if (!survivedRecently(fingerprint, nowNanos)) {
+                unreported.addNoShardAnswered(fingerprint);
+                evidence.addEnded(HarmEvidence.newBuilder()
                         .setFingerprint(fingerprint.toBytes())
                         .setLostWhole(true));
             }
         }
-        takeOwn(seen.build());
+        applyLocally(evidence.build());
     }
 
-    /** Notes that a leaf answered a request, with success or a failure of its own. */
+    /** Records that a leaf answered a request, with success or an error of its own. */
     public void recordSurvival(Fingerprints request, long nowNanos) {
         for (Fingerprint fingerprint : request.all()) {
-            noteLast(recordSurvival, fingerprint, nowNanos, MAX_SURVIVED);
-            if (isAccused(fingerprint)) {
-                acquit(fingerprint);
+            recordTime(survived, fingerprint, nowNanos, MAX_SURVIVED);
+            if (isSuspect(fingerprint)) {
+                clear(fingerprint);
             }
         }
     }
 
     /**
-     * Takes what was agreed on.
+     * Applies replicated verdicts.
      *
-     * @param whole true if what the records lack is not held any more
+     * @param isFull true if the records are the complete state rather than a change to it
      */
-    public void applyReplicated(List<HarmRecord> records, boolean whole, long nowNanos) {
-        if (whole) {
-            agreed.clear();
+    public void applyReplicated(List<HarmRecord> records, boolean isFull, long nowNanos) {
+        if (isFull) {
+            replicated.clear();
         }
         for (HarmRecord record : records) {
             Fingerprint.fromBytes(record.getFingerprint())
                     .ifPresent(fingerprint -> applyReplicated(fingerprint, record.getVerdict(), nowNanos));
         }
-        agreedRestricted = (int) agreed.values().stream()
+        replicatedRestricted = (int) replicated.values().stream()
                 .filter(verdict -> verdict != HarmRecord.Verdict.SUSPECTED)
                 .count();
     }
 
-    /** Takes what another host saw, where hosts tell one another and nothing is agreed. */
+    /** Applies the evidence of another host, where hosts exchange it directly and nothing is replicated. */
     public void applyPeerReport(HarmReport report, long nowNanos) {
-        takeOwn(report.toBuilder()
+        applyLocally(report.toBuilder()
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
         for (HarmEvidence evidence : report.getEndedList()) {
             Fingerprint.fromBytes(evidence.getFingerprint())
-                    .filter(fingerprint -> survivedOfLate(fingerprint, nowNanos))
-                    .ifPresent(this::acquit);
+                    .filter(fingerprint -> survivedRecently(fingerprint, nowNanos))
+                    .ifPresent(this::clear);
         }
     }
 
     /**
-     * Has an arrival of a request tried by the word of this host alone, unless another is: for a host to which control
-     * gives no answer.
+     * Starts a trial of an arrival without the control hosts, for a host that cannot reach them. Returns false if
+     * another arrival is on trial here.
      */
     public boolean tryStartLocalTrial(Arrival arrival, long nowNanos) {
         Fingerprints request = arrival.fingerprints();
-        if (request.all().stream().anyMatch(fingerprint -> triedOfLate(fingerprint, nowNanos))) {
+        if (request.all().stream().anyMatch(fingerprint -> localTrialRunning(fingerprint, nowNanos))) {
             return false;
         }
-        boolean granted = own.tryStartTrial(newTrialRequest(arrival)
+        boolean granted = local.tryStartTrial(newTrialRequest(arrival)
                 .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                 .build());
         if (granted) {
-            request.all().forEach(fingerprint -> noteLast(triedAlone, fingerprint, nowNanos, MAX_TRIED_ALONE));
+            request.all().forEach(fingerprint -> recordTime(localTrials, fingerprint, nowNanos, MAX_LOCAL_TRIALS));
         }
         return granted;
     }
 
     /**
-     * Ends a trial; whether a leaf answered it is known here.
+     * Ends a trial; its outcome follows from the recorded answers.
      *
-     * @param broke true if it reached a leaf and its call broke there
-     * @return what to tell control, without the time
+     * @param disconnected true if the request reached a leaf and its connection was lost
+     * @return the message for the control hosts, without the time
      */
-    public TakeTrial.Builder endTrial(Arrival arrival, boolean broke, long nowNanos) {
+    public TakeTrial.Builder endTrial(Arrival arrival, boolean disconnected, long nowNanos) {
         List<Fingerprint> request = arrival.fingerprints().all();
-        request.forEach(triedAlone::remove);
+        request.forEach(localTrials::remove);
         TakeTrial.Builder trial =
-                newTrialRequest(arrival).setGivenBack(true).setOutcome(outcome(request, broke, nowNanos));
-        own.endTrial(
+                newTrialRequest(arrival).setGivenBack(true).setOutcome(outcome(request, disconnected, nowNanos));
+        local.endTrial(
                 trial.clone()
                         .setAtMillis(TimeUnit.NANOSECONDS.toMillis(nowNanos))
                         .build(),
                 0);
-        ownRestricted = own.restrictedCount();
+        locallyRestricted = local.restrictedCount();
         return trial;
     }
 
-    private TakeTrial.Outcome outcome(List<Fingerprint> request, boolean broke, long nowNanos) {
-        if (request.stream().allMatch(fingerprint -> survivedOfLate(fingerprint, nowNanos))) {
+    private TakeTrial.Outcome outcome(List<Fingerprint> request, boolean disconnected, long nowNanos) {
+        if (request.stream().allMatch(fingerprint -> survivedRecently(fingerprint, nowNanos))) {
             return TakeTrial.Outcome.ANSWERED;
         }
-        boolean accuses = broke && request.stream().noneMatch(fingerprint -> survivedOfLate(fingerprint, nowNanos));
-        return accuses ? TakeTrial.Outcome.BROKEN : TakeTrial.Outcome.OUTCOME_UNSPECIFIED;
+        boolean isEvidence =
+                disconnected && request.stream().noneMatch(fingerprint -> survivedRecently(fingerprint, nowNanos));
+        return isEvidence ? TakeTrial.Outcome.BROKEN : TakeTrial.Outcome.OUTCOME_UNSPECIFIED;
     }
 
-    /** Returns the question whether an arrival may be tried, without the time. */
+    /** Returns a request for a trial of an arrival, without the time. */
     public static TakeTrial.Builder newTrialRequest(Arrival arrival) {
         TakeTrial.Builder trial = TakeTrial.newBuilder().setArrival(arrival.digest());
         arrival.fingerprints().all().forEach(fingerprint -> trial.addFingerprints(fingerprint.toBytes()));
         return trial;
     }
 
-    /** Another host may have told of the request, so that there is no evidence of this host's own to hold the time. */
-    private boolean triedOfLate(Fingerprint fingerprint, long nowNanos) {
-        Long atNanos = triedAlone.get(fingerprint);
+    /** Tracked apart from the local records, since the request may be known only from another host. */
+    private boolean localTrialRunning(Fingerprint fingerprint, long nowNanos) {
+        Long atNanos = localTrials.get(fingerprint);
         return atNanos != null && nowNanos - atNanos < TimeUnit.MILLISECONDS.toNanos(HarmRecords.TRIAL_MILLIS);
     }
 
-    /** Notes the time of what was done with a request, and forgets what was noted first beyond a bound. */
-    private static void noteLast(Map<Fingerprint, Long> times, Fingerprint fingerprint, long nowNanos, int bound) {
+    /** Records the time of an event of a request, and evicts the oldest entries beyond the bound. */
+    private static void recordTime(Map<Fingerprint, Long> times, Fingerprint fingerprint, long nowNanos, int bound) {
         times.remove(fingerprint);
         times.put(fingerprint, nowNanos);
-        Iterator<Fingerprint> firstNoted = times.keySet().iterator();
+        Iterator<Fingerprint> oldestFirst = times.keySet().iterator();
         for (int excess = times.size() - bound; excess > 0; excess--) {
-            firstNoted.next();
-            firstNoted.remove();
+            oldestFirst.next();
+            oldestFirst.remove();
         }
     }
 
-    /** Takes what is to be told, if anything is; it counts as told unless it is handed back. */
+    /**
+     * Removes and returns the evidence to be reported, if any; {@link #restoreReport} undoes this if the report fails.
+     */
     public Optional<HarmReport> takeReport() {
-        return untold.takeReport();
+        return unreported.takeReport();
     }
 
-    /** Takes over what a host saw to which control gives no answer, to tell it in that host's place. */
+    /** Adopts the evidence of a host that cannot reach the control hosts, to report it on its behalf. */
     public void adoptReport(HarmReport report, long nowNanos) {
-        untold.handBack(report);
+        unreported.restore(report);
         applyPeerReport(report, nowNanos);
     }
 
-    /** Takes back a report that was not agreed on, to make it again. */
+    /** Restores the evidence of a report that failed, so that it is reported again. */
     public void restoreReport(HarmReport report) {
-        untold.handBack(report);
+        unreported.restore(report);
     }
 
     private Permission permission(Fingerprint fingerprint) {
-        HarmRecord.Verdict verdict = agreed.get(fingerprint);
+        HarmRecord.Verdict verdict = replicated.get(fingerprint);
         if (verdict == null) {
-            verdict = own.verdict(fingerprint).orElse(HarmRecord.Verdict.CLEARED);
+            verdict = local.verdict(fingerprint).orElse(HarmRecord.Verdict.CLEARED);
         }
         return switch (verdict) {
             case BARRED -> Permission.QUARANTINED;
@@ -261,43 +262,44 @@
     }
 
     private void applyReplicated(Fingerprint fingerprint, HarmRecord.Verdict verdict, long nowNanos) {
-        if (!accuses(verdict)) {
-            agreed.remove(fingerprint);
-            takeOwn(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
+        if (!isRestrictive(verdict)) {
+            replicated.remove(fingerprint);
+            applyLocally(
+                    HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
             return;
         }
-        agreed.put(fingerprint, verdict);
-        if (survivedOfLate(fingerprint, nowNanos)) {
-            acquit(fingerprint);
+        replicated.put(fingerprint, verdict);
+        if (survivedRecently(fingerprint, nowNanos)) {
+            clear(fingerprint);
         }
     }
 
-    private boolean isAccused(Fingerprint fingerprint) {
-        return agreed.containsKey(fingerprint)
-                || own.verdict(fingerprint)
-                        .filter(HarmfulRequestFilter::accuses)
+    private boolean isSuspect(Fingerprint fingerprint) {
+        return replicated.containsKey(fingerprint)
+                || local.verdict(fingerprint)
+                        .filter(HarmfulRequestFilter::isRestrictive)
                         .isPresent();
     }
 
-    private static boolean accuses(HarmRecord.Verdict verdict) {
+    private static boolean isRestrictive(HarmRecord.Verdict verdict) {
         return switch (verdict) {
             case SUSPECTED, ON_TRIAL, BARRED -> true;
             default -> false;
         };
     }
 
-    private boolean survivedOfLate(Fingerprint fingerprint, long nowNanos) {
-        Long atNanos = recordSurvival.get(fingerprint);
-        return atNanos != null && nowNanos - atNanos <= SURVIVED_NANOS;
+    private boolean survivedRecently(Fingerprint fingerprint, long nowNanos) {
+        Long atNanos = survived.get(fingerprint);
+        return atNanos != null && nowNanos - atNanos <= SURVIVAL_RETENTION_NANOS;
     }
 
-    private void acquit(Fingerprint fingerprint) {
-        untold.survived(fingerprint);
-        takeOwn(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
+    private void clear(Fingerprint fingerprint) {
+        unreported.clear(fingerprint);
+        applyLocally(HarmReport.newBuilder().addSurvived(fingerprint.toBytes()).build());
     }
 
-    private void takeOwn(HarmReport report) {
-        own.applyReport(report, 0);
-        ownRestricted = own.restrictedCount();
+    private void applyLocally(HarmReport report) {
+        local.applyReport(report, 0);
+        locallyRestricted = local.restrictedCount();
     }
 }
