--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -44,21 +44,21 @@
 import org.bramblerack.wire.TableDelta;
 
 /**
- * What this host knows of the fleet: the configuration in force, the leafs, the other hosts.
+ * The state of the fleet as known to this host: the routing configuration in force, the leaves and the other hosts.
  *
- * <p>Invariants: the revision only grows, and with it the configuration's version; a leaf that is leaving takes no work
- * from the moment at which the change arrives. Owned by the event loop.
+ * <p>Invariants: the revision and the configuration's version never decrease; a leaf that is draining receives no new
+ * work once the change is applied. Owned by the event loop.
  */
 public final class FleetView {
     private static final EventLog EVENTS = EventLog.of(FleetView.class);
-    /** How many leafs a line names at the most. */
-    private static final int MOST_NAMED = 12;
+    /** The maximum number of leaves or fingerprints in one log line. */
+    private static final int MAX_LOGGED_NAMES = 12;
 
     private final HostLocation location;
     private final long startedNanos;
     private final LeafAccess access;
     private final FleetBudget budget;
-    private final ColdRequestLimit coldBound;
+    private final ColdRequestLimit coldRequestLimit;
     private final MonotonicClock clock;
     private final RoutingContext routing;
     private final Map<String, LeafPool> pools = new HashMap<>();
@@ -76,58 +76,56 @@
     private Runnable onHostsChanged = () -> {};
 
     /**
-     * Creates a view that knows nothing.
+     * Creates an empty view.
      *
      * @param self the peer address of this host
      */
     public FleetView(
             String self,
-            HostLocation place,
+            HostLocation location,
             FleetBudget budget,
-            ColdRequestLimit coldBound,
+            ColdRequestLimit coldRequestLimit,
             RoutingPolicy policy,
-            CallHeaders names,
+            CallHeaders headerNames,
             EventLoopGroup group,
             MonotonicClock clock,
             RandomGenerator random) {
-        this.location = place;
-        this.hosts = new FleetHosts(place);
+        this.location = location;
+        this.hosts = new FleetHosts(location);
         this.startedNanos = clock.nowNanos();
         this.queries = new EventRate(startedNanos);
         this.routing = new RoutingContext(policy, EventLoopLag.create(LagSamplingPeriod.BUSY_PERIOD));
-        this.access = new LeafAccess(self, place);
+        this.access = new LeafAccess(self, location);
         this.budget = budget;
-        this.coldBound = coldBound;
+        this.coldRequestLimit = coldRequestLimit;
         this.clock = clock;
-        this.connections = new LeafConnectionTable(this, names, group, clock, random);
+        this.connections = new LeafConnectionTable(this, headerNames, group, clock, random);
     }
 
-    /** Returns the revision of the tables that was applied last. */
+    /** Returns the revision of the tables that were applied last. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the configuration in force on this host. */
     public RoutingConfiguration configuration() {
         return configuration;
     }
 
-    /** Returns what keeps requests from leafs that end those which run them. */
+    /** Returns the filter for requests that end the leaves which run them. */
     HarmfulRequestFilter harmFilter() {
         return harmFilter;
     }
 
-    /** Returns what the routing decisions of this host share. */
+    /** Returns the routing state that all leaf pools of this host share. */
     RoutingContext routing() {
         return routing;
     }
 
-    /** Returns where this host is. */
     public HostLocation location() {
         return location;
     }
 
-    /** Adds what to do when entry or control hosts have come or gone. */
+    /** Adds a task that runs when entry or control hosts have joined or left. */
     void onHostsChanged(Runnable task) {
         Runnable before = onHostsChanged;
         onHostsChanged = () -> {
@@ -136,9 +134,9 @@
         };
     }
 
-    /** Sets what is told of each connection to a leaf. */
+    /** Sets the observer of the connections to all leaves. */
     void onConnectionEvent(Consumer<ConnectionEvent> observer) {
-        connections.onEvent(observer);
+        connections.setObserver(observer);
     }
 
     /** Returns true once requests can be served: a configuration and at least one leaf are known. */
@@ -146,79 +144,77 @@
         return configuration.version() > 0 && !leafRecords.isEmpty();
     }
 
-    /** Returns the other hosts and this one that take requests of callers. */
+    /** Returns the hosts that accept requests from callers, this one included once the tables list it. */
     public ImmutableList<HostRecord> entryHosts() {
         return hosts.entryHosts();
     }
 
-    /** Returns the peer addresses of the hosts that serve control, the nearest first. */
+    /** Returns the peer addresses of the control hosts, nearest first. */
     public ImmutableList<String> controlAddresses() {
         return hosts.controlAddresses();
     }
 
-    /** Notes a query over shards of a caller. */
+    /** Records a caller's query over shards. */
     void recordQuery() {
         queries.record(clock.nowNanos());
     }
 
-    /** Returns how many queries over shards callers send here in a minute. */
-    int queriesAMinute() {
+    /** Returns how many queries over shards callers send to this host per minute. */
+    int queriesPerMinute() {
         return queries.perMinute(clock.nowNanos());
     }
 
-    /** Returns the region of a host with the given name or peer address, if it is or was known. */
+    /** Returns the region of a host, given by name or peer address, if the host is or was known. */
     Optional<String> regionOf(String host) {
         return hosts.regionOf(host);
     }
 
-    /** Returns the region of a host with the given name or peer address if it is known to be another one. */
+    /** Returns the region of a host, given by name or peer address, if it is known to differ from this host's. */
     Optional<String> otherRegionOf(String host) {
         return hosts.otherRegionOf(host);
     }
 
-    /** Returns the leafs of a service; a service without any has an empty pool. */
+    /** Returns the leaves of a service; a service without leaves has an empty pool. */
     public LeafPool pool(String service) {
         return pools.computeIfAbsent(service, this::newPool);
     }
 
-    /** Returns a leaf by its identifier. */
     Optional<Leaf> leaf(String id) {
         return leafRecord(id).flatMap(record -> pool(record.getService()).find(id));
     }
 
-    /** Returns the hosts through which to ask a leaf, the preferred first; empty if this host is to ask it itself. */
+    /** Returns the hosts through which to call a leaf, in order of preference; empty if this host calls it directly. */
     ImmutableList<String> holdersOf(Leaf leaf) {
         return leafRecord(leaf.id())
                 .map(record -> access().holdersOf(record.getService(), record.getZone()))
                 .orElse(ImmutableList.of());
     }
 
-    /** Returns true if a peer address is this host's. */
     boolean isSelf(String host) {
         return access.isSelf(host);
     }
 
-    /** Returns the hosts that hold connections to any shard, if shards are reached through holders. */
+    /** Returns the other hosts that are holders or backups of any shard; empty if shards are called directly. */
     ImmutableSet<String> holders() {
         return access().holders();
     }
 
-    /** Says who calls leafs for queries, by the agreed tables. */
+    /** Returns which hosts call leaves for queries, by the replicated tables. */
     WarmUpPlan.LeafCalls leafCalls() {
         return configuration.version() == 0 ? WarmUpPlan.LeafCalls.UNKNOWN : access().leafCalls();
     }
 
-    /** Returns true if the leafs of a service are reached through holders. */
+    /** Returns true if the leaves of a service are reached through holders. */
     boolean isHeld(String service) {
         return access().isHeld(service);
     }
 
-    /** Returns true if shards are reached through holders, since the hosts are too many to connect to every leaf. */
+    /** Returns true if any shard is reached through holders. */
     boolean usesHolders() {
         return access().isAnyHeld();
     }
 
-    /** Returns the share of a query's shards at which a call would begin at once. */
+    /** Returns the share of a query's shards at which a call would start at once. */
     double shareWithCapacity(RouteTarget.Scatter target, long nowNanos) {
         long count = target.shards().stream()
                 .filter(shard -> pool(shard).hasCapacity(nowNanos))
@@ -226,37 +222,38 @@
         return (double) count / target.shards().size();
     }
 
-    /** Returns true if shards may be left to other hosts; those that are reached through holders always are. */
+    /**
+     * Returns true if queries may delegate shards to other hosts; always true if shards are reached through holders.
+     */
     boolean usesStages() {
         return usesHolders() || routing.uses(RoutingFeature.STAGES);
     }
 
-    /** Returns the records of the leafs that have not left. */
+    /** Returns the records of all leaves that have not left. */
     ImmutableList<LeafRecord> leafRecords() {
         return ImmutableList.copyOf(leafRecords.values());
     }
 
-    /** Returns the record of a leaf. */
     public Optional<LeafRecord> leafRecord(String id) {
         return Optional.ofNullable(leafRecords.get(id));
     }
 
-    /** Returns the connections of this host to a leaf. */
+    /** Returns the connections of this host to a leaf, with all table changes applied. */
     public LeafConnections connectionsTo(Leaf leaf) {
-        // A leaf that has just come is told what it bears before anything is sent to it.
+        // Apply pending table changes first, so that a new leaf has its cold limit before it is called.
         access();
         return connections.to(leaf);
     }
 
-    /** Returns what is known of how long the calls of a route take. */
+    /** Returns the observed latencies of a route's calls. */
     public LatencyTracker latency(Route route) {
         return latencies.computeIfAbsent(route.name(), unused -> HedgeTiming.newLatencyTracker(route.goal()));
     }
 
     /**
-     * Applies what changed.
+     * Applies a change of the tables.
      *
-     * @param newer the configuration that came with the change, if one did
+     * @param newer the configuration that the change contains, if any
      */
     public void apply(TableDelta delta, Optional<RoutingConfiguration> newer) {
         revision = delta.getRevision();
@@ -268,15 +265,15 @@
         boolean hostsChanged = hosts.apply(delta);
         boolean zonesChanged = applyDrainedZones(delta);
         boolean leavesChanged = applyLeaves(delta);
-        boolean waysChanged = throughHolders != delta.getThroughHolders();
+        boolean accessModeChanged = throughHolders != delta.getThroughHolders();
         throughHolders = delta.getThroughHolders();
-        learnHarm(delta);
-        if (hostsChanged || leavesChanged || zonesChanged || waysChanged || newer.isPresent()) {
+        applyHarm(delta);
+        if (hostsChanged || leavesChanged || zonesChanged || accessModeChanged || newer.isPresent()) {
             accessStale = true;
             if (hostsChanged) {
                 onHostsChanged.run();
             }
-            connections.reviewLater();
+            connections.scheduleReview();
             EVENTS.info("tables_changed")
                     .with("revision", revision)
                     .with("configuration", configuration.version())
@@ -285,13 +282,13 @@
                     .with("leafs", leafRecords.size())
                     .with("leafsBefore", leavesBefore)
                     .with("throughHolders", throughHolders)
-                    .with("leaving", leaving(delta))
+                    .with("leaving", leavingLeafIds(delta))
                     .with("drainedZones", String.join(" ", drainedZones))
                     .write();
         }
     }
 
-    private void learnHarm(TableDelta delta) {
+    private void applyHarm(TableDelta delta) {
         int before = harmFilter.replicatedRestrictedCount();
         harmFilter.applyReplicated(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
         if (harmFilter.replicatedRestrictedCount() != before) {
@@ -299,44 +296,42 @@
                     .with("count", harmFilter.replicatedRestrictedCount())
                     .with("before", before)
                     .with("revision", revision)
-                    .with("fingerprints", barred(delta))
+                    .with("fingerprints", quarantinedFingerprints(delta))
                     .write();
         }
     }
 
-    /** Returns the requests of a change that are sent to no leaf from now on, the first of them. */
-    private static String barred(TableDelta delta) {
+    /** Returns the first fingerprints that a change quarantines, for a log line. */
+    private static String quarantinedFingerprints(TableDelta delta) {
         return delta.getHarmList().stream()
                 .filter(record -> record.getVerdict() == HarmRecord.Verdict.BARRED)
                 .flatMap(record -> Fingerprint.fromBytes(record.getFingerprint()).stream())
-                .limit(MOST_NAMED)
+                .limit(MAX_LOGGED_NAMES)
                 .map(Fingerprint::toString)
                 .collect(Collectors.joining(" "));
     }
 
-    /**
-     * Returns how leafs are reached, worked out anew only if it is asked for after a change: changes come in series.
-     */
+    /** Returns how leaves are reached, recomputed on the first call after a change, since changes arrive in series. */
     LeafAccess access() {
         if (accessStale) {
             accessStale = false;
             access.update(entryHosts(), leafRecords.values(), configuration, throughHolders);
-            pools.values().forEach(this::takeOver);
-            leafRecords.values().forEach(this::boundCold);
+            pools.values().forEach(this::updatePool);
+            leafRecords.values().forEach(this::limitColdRequests);
         }
         return access;
     }
 
-    /** Returns the leafs of a change that take no new work from now on, the first of them by name. */
-    private static String leaving(TableDelta delta) {
+    /** Returns the first leaves of a change that accept no new work, for a log line. */
+    private static String leavingLeafIds(TableDelta delta) {
         return delta.getLeavesList().stream()
                 .filter(leaf -> leaf.getPhase() != LeafRecord.Phase.READY)
                 .map(LeafRecord::getId)
-                .limit(MOST_NAMED)
+                .limit(MAX_LOGGED_NAMES)
                 .collect(Collectors.joining(" "));
     }
 
-    /** Returns true if the leafs of other availability zones than before get no work. */
+    /** Returns true if the set of drained zones changed. */
     private boolean applyDrainedZones(TableDelta delta) {
         ImmutableSet<String> before = drainedZones;
         drainedZones = ImmutableSet.copyOf(delta.getDrainedZonesList());
@@ -349,7 +344,7 @@
         return true;
     }
 
-    /** A leaf that got no work for long may have turned cold meanwhile. */
+    /** A leaf that received no work while its zone was drained may be cold again. */
     private void setDrained(Leaf leaf, LeafRecord record, boolean wasDrained) {
         boolean drained = drainedZones.contains(record.getZone());
         leaf.setZoneDrained(drained);
@@ -410,8 +405,8 @@
         }
     }
 
-    /** Tells a leaf what it bears while it is cold, and whether this host may send it that. */
-    private void boundCold(LeafRecord record) {
+    /** Sets a leaf's rate limit while it is cold, and whether this host may send it requests within that limit. */
+    private void limitColdRequests(LeafRecord record) {
         LeafService service = configuration.services().get(record.getService());
         Optional<Leaf> leaf = leaf(record.getId());
         if (service == null || service.coldRequestsPerSecond() <= 0 || leaf.isEmpty()) {
@@ -419,7 +414,7 @@
         }
         leaf.get()
                 .limitColdRequests(
-                        coldBound.maxPerSecond(service.coldRequestsPerSecond()),
+                        coldRequestLimit.maxPerSecond(service.coldRequestsPerSecond()),
                         access.maySendToColdLeaf(record.getId(), record.getService(), record.getZone()),
                         clock.nowNanos());
     }
@@ -437,31 +432,31 @@
     }
 
     private LeafPool newPool(String service) {
-        WindowedBudget own = budget.newShare(startedNanos);
-        LeafPool pool = new LeafPool(service, own, routing);
-        takeOver(pool);
+        WindowedBudget ownBudget = budget.newShare(startedNanos);
+        LeafPool pool = new LeafPool(service, ownBudget, routing);
+        updatePool(pool);
         return pool;
     }
 
-    /** Tells the leafs of a service what the agreed tables say of this host's part in asking them. */
-    private void takeOver(LeafPool pool) {
-        shareOut(pool.service(), pool.budget());
+    /** Updates a pool's retry budget and whether this host is the holder of the service. */
+    private void updatePool(LeafPool pool) {
+        assignBudget(pool.service(), pool.budget());
         pool.setHeldLocally(access().isHeld(pool.service()) && access().isHolderOf(pool.service()));
     }
 
-    /** Gives this host its part of the fleet's budget for a service, by the agreed tables. */
-    private void shareOut(String service, WindowedBudget own) {
-        FleetBudget.Rank turn = access().rankFor(service);
+    /** Sets this host's share of the fleet's budget for extra attempts at a service. */
+    private void assignBudget(String service, WindowedBudget ownBudget) {
+        FleetBudget.Rank rank = access().rankFor(service);
         if (!access().isHeld(service)) {
-            budget.assignShare(own, turn);
+            budget.assignShare(ownBudget, rank);
         } else if (access().isHolderOf(service)) {
-            budget.assignHolderShare(own, turn.hosts(), access().zonesOf(service));
+            budget.assignHolderShare(ownBudget, rank.hosts(), access().zonesOf(service));
         } else {
-            budget.assignNonHolderShare(own, turn);
+            budget.assignNonHolderShare(ownBudget, rank);
         }
     }
 
-    /** Returns how many connections this host may have to a leaf. */
+    /** Returns the maximum number of connections from this host to a leaf. */
     int connectionShare(Leaf leaf) {
         String zone = leafRecord(leaf.id()).map(LeafRecord::getZone).orElse("");
         return access().connectionShare(leaf.service(), zone);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -16,74 +16,77 @@
 import org.bramblerack.wire.LeafRecord;
 
 /**
- * The connections of this host to leafs: made ahead where it asks them itself, closed where others hold them.
+ * The connections of this host to leaves: opened ahead of use where this host calls the leaf directly, closed where
+ * other hosts hold the connections.
  *
  * <p>Owned by the event loop.
  */
 final class LeafConnectionTable {
-    /** The first table may name a part of a fleet that is just starting: this long until connections are made ahead. */
-    private static final Duration WARM_AFTER = Duration.ofMillis(400);
-    /** Hosts make connections at different moments within this time, so that no leaf gets all at once. */
-    private static final Duration WARM_WITHIN = Duration.ofMillis(1_500);
+    /** The tables may be incomplete while a fleet starts, so connections are opened only after this delay. */
+    private static final Duration CONNECT_DELAY = Duration.ofMillis(400);
+    /** The interval over which hosts spread their connects, so that a leaf does not receive all of them at once. */
+    private static final Duration CONNECT_SPREAD = Duration.ofMillis(1_500);
 
     private final FleetView view;
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final EventLoopGroup group;
     private final MonotonicClock clock;
     private final RandomGenerator random;
     private final Map<Leaf, LeafConnections> connections = new HashMap<>();
-    private final LeafHarm.LogLimit harmLines;
+    private final LeafHarm.LogLimit harmLogLimit;
     private boolean reviewed = true;
     private Consumer<ConnectionEvent> observer = event -> {};
 
     LeafConnectionTable(
-            FleetView view, CallHeaders names, EventLoopGroup group, MonotonicClock clock, RandomGenerator random) {
+            FleetView view,
+            CallHeaders headerNames,
+            EventLoopGroup group,
+            MonotonicClock clock,
+            RandomGenerator random) {
         this.view = view;
-        this.names = names;
+        this.headerNames = headerNames;
         this.group = group;
         this.clock = clock;
         this.random = random;
-        this.harmLines = new LeafHarm.LogLimit(clock);
+        this.harmLogLimit = new LeafHarm.LogLimit(clock);
     }
 
-    /** Sets what is told of each connection. */
-    void onEvent(Consumer<ConnectionEvent> newObserver) {
+    void setObserver(Consumer<ConnectionEvent> newObserver) {
         observer = newObserver;
     }
 
-    /** Returns the connections to a leaf. */
     LeafConnections to(Leaf leaf) {
         return connections.computeIfAbsent(
                 leaf,
                 unused -> new LeafConnections(
                         leaf,
                         group,
-                        names,
+                        headerNames,
                         clock,
                         () -> view.connectionShare(leaf),
                         event -> observer.accept(event),
-                        harmWatch(leaf)));
+                        harmMonitor(leaf)));
     }
 
-    private CallMonitor harmWatch(Leaf leaf) {
+    private CallMonitor harmMonitor(Leaf leaf) {
         long incarnation =
                 view.leafRecord(leaf.id()).map(LeafRecord::getIncarnation).orElse(0L);
-        return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLines, clock);
+        return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLogLimit, clock);
     }
 
-    /** Lets go of a leaf that has left; requests under way are finished first. */
+    /** Removes a leaf that has left; its requests in progress are finished first. */
     void retire(Leaf leaf) {
-        LeafConnections held = connections.remove(leaf);
-        if (held != null) {
-            held.retire();
+        LeafConnections existing = connections.remove(leaf);
+        if (existing != null) {
+            existing.retire();
         }
     }
 
-    /** Looks a little later, each host at another moment, at which connections to keep. */
-    void reviewLater() {
+    /** Schedules a review of which connections to keep, after a delay that differs from host to host. */
+    void scheduleReview() {
         if (reviewed) {
             reviewed = false;
-            long delayMillis = WARM_AFTER.toMillis() + random.nextLong(WARM_WITHIN.toMillis());
+            long delayMillis = CONNECT_DELAY.toMillis() + random.nextLong(CONNECT_SPREAD.toMillis());
             group.next().schedule(this::reviewAll, delayMillis, TimeUnit.MILLISECONDS);
         }
     }
@@ -96,18 +99,18 @@
     }
 
     private void review(Leaf leaf, String zone) {
-        LeafConnections held = connections.get(leaf);
+        LeafConnections existing = connections.get(leaf);
         LeafAccess access = view.access();
         if (!view.configuration().services().containsKey(leaf.service())) {
             return;
         }
         if (access.keepsConnections(leaf.service(), zone)) {
-            // A connection that rested and was closed is made again when it is needed; a holder is asked all the time.
-            if (held == null || access.isHeld(leaf.service())) {
+            // Only holders reopen connections that were closed as idle, since they call their leaves constantly.
+            if (existing == null || access.isHeld(leaf.service())) {
                 to(leaf).warm();
             }
-        } else if (held != null && !access.isHolderOrBackup(leaf.service(), zone)) {
-            held.closeIdle();
+        } else if (existing != null && !access.isHolderOrBackup(leaf.service(), zone)) {
+            existing.closeIdle();
         }
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -39,10 +39,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A team sends six times its limit to five hosts, and the host that keeps account of it ends meanwhile. */
+/** A team sends six times its limit to five hosts while its quota server stops; guards against exceeding the bound. */
 final class FleetLimitsTest {
     private static final int HOSTS = 5;
-    private static final long GAP_MILLIS = 16;
+    private static final long REQUEST_INTERVAL_MILLIS = 16;
     private static final Duration WINDOW = Duration.ofSeconds(1);
     private static final QuotaBound BOUND = new QuotaBound(WINDOW, 0.1, 20);
     private static final RateLimit LIMIT = new RateLimit(50, 10);
@@ -55,7 +55,7 @@
 
     @AfterEach
     void stop() {
-        hosts.forEach(Host::kill);
+        hosts.forEach(Host::stop);
     }
 
     @Test
@@ -66,48 +66,48 @@
         for (Host host : hosts) {
             host.start();
         }
-        // What a host made in an earlier life is over after a window.
+        // Spending of an earlier incarnation no longer counts after one window.
         Thread.sleep(WINDOW.plusMillis(200).toMillis());
-        hosts.forEach(Host::load);
+        hosts.forEach(Host::startLoad);
         Thread.sleep(2 * WINDOW.toMillis());
         Map<Host, Long> before = new HashMap<>();
         hosts.forEach(host -> before.put(host, host.count("reports_taken")));
         Thread.sleep(WINDOW.toMillis());
-        Comparator<Host> byReports =
+        Comparator<Host> byReportCount =
                 Comparator.comparingLong(host -> host.count("reports_taken") - before.getOrDefault(host, 0L));
-        Host keeper = hosts.stream().max(byReports).orElseThrow();
-        long takenOver = takenOver();
-        keeper.kill();
-        long killedNanos = clock.nowNanos();
+        Host quotaServer = hosts.stream().max(byReportCount).orElseThrow();
+        long takeoversBefore = takeovers();
+        quotaServer.stop();
+        long stoppedNanos = clock.nowNanos();
         Thread.sleep(4 * WINDOW.toMillis());
         long endNanos = clock.nowNanos();
-        hosts.forEach(Host::kill);
+        hosts.forEach(Host::stop);
 
-        assertThat(mostInAWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
-        assertThat(takenOver()).isGreaterThan(takenOver);
+        assertThat(maxPermittedPerWindow()).isAtMost((int) BOUND.maxRequests(LIMIT));
+        assertThat(takeovers()).isGreaterThan(takeoversBefore);
         long inLastWindows = permittedNanos.stream()
-                .filter(at -> at > killedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
+                .filter(at -> at > stoppedNanos + 2 * WINDOW.toNanos() && at <= endNanos)
                 .count();
         assertThat(inLastWindows).isAtLeast((long) LIMIT.perSecond());
     }
 
-    private long takenOver() {
+    private long takeovers() {
         return hosts.stream()
                 .mapToLong(host -> host.count("accounts_taken_over"))
                 .sum();
     }
 
-    private int mostInAWindow() {
+    private int maxPermittedPerWindow() {
         List<Long> times = permittedNanos.stream().sorted().toList();
-        int most = 0;
+        int max = 0;
         int first = 0;
         for (int last = 0; last < times.size(); last++) {
             while (times.get(last) - times.get(first) >= WINDOW.toNanos()) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     private TableDelta tables() {
@@ -124,7 +124,7 @@
         return delta.build();
     }
 
-    /** The part of an entry host that keeps limits, with real connections to the others. */
+    /** The rate limits of one entry host, with real connections to the others. */
     private final class Host {
         private final NioEventLoopGroup group = new NioEventLoopGroup(1);
         private final HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
@@ -147,7 +147,7 @@
                 new PeerServer(address, limits::handle, group, LinkPolicy.OPEN, new PeerTraffic());
 
         Host() throws Exception {
-            view.onHostsChanged(limits::hostsChanged);
+            view.onHostsChanged(limits::onHostsChanged);
         }
 
         void start() throws Exception {
@@ -158,15 +158,15 @@
             limits.start();
         }
 
-        void load() {
+        void startLoad() {
             group.scheduleAtFixedRate(
                     () -> limits.requestPermission(CALLER, spending -> {
                         if (spending instanceof TeamRateLimits.Decision.Permitted) {
                             permittedNanos.add(clock.nowNanos());
                         }
                     }),
-                    GAP_MILLIS,
-                    GAP_MILLIS,
+                    REQUEST_INTERVAL_MILLIS,
+                    REQUEST_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -174,7 +174,7 @@
             return metrics.counter("limits_" + name).getCount();
         }
 
-        void kill() {
+        void stop() {
             if (!group.isShuttingDown()) {
                 server.stop();
                 network.stop();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whether a host may say for good that a key is not known: what control says, and what it does not say. */
+/** Guards against refusing a caller's key as unknown without a leader's confirmation of the newest version. */
 final class NewestVersionTest {
     private static final long WAIT_MILLIS = 3_000;
     private static final long QUIET_MILLIS = 200;
@@ -48,7 +48,7 @@
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = HostAndPort.fromParts("127.0.0.1", any.getLocalPort());
         }
-        control = new PeerServer(address, this::note, group, LinkPolicy.OPEN, new PeerTraffic());
+        control = new PeerServer(address, this::handle, group, LinkPolicy.OPEN, new PeerTraffic());
         control.start();
         newest = new NewestVersion(() -> current, view, network, address::toString, group.next());
         apply(7);
@@ -63,24 +63,24 @@
 
     @Test
     void theVersionInForceIsTheNewestIfALeaderConfirmsIt() throws Exception {
-        assertThat(askAndReply(result(true, 7))).isTrue();
+        assertThat(confirmWithReply(result(true, 7))).isTrue();
     }
 
     @Test
     void aHostThatMissedAVersionIsNotConfirmed() throws Exception {
-        assertThat(askAndReply(result(true, 8))).isFalse();
+        assertThat(confirmWithReply(result(true, 8))).isFalse();
     }
 
-    /** Also the answer of a control host that hears no leader, or of an older program. */
+    /** Also the answer of a control host without a leader, or of an older version of the software. */
     @Test
     void aResultThatNoLeaderConfirmedIsNotAccepted() throws Exception {
-        assertThat(askAndReply(result(false, 7))).isFalse();
-        assertThat(askAndReply(Envelope.newBuilder())).isFalse();
+        assertThat(confirmWithReply(result(false, 7))).isFalse();
+        assertThat(confirmWithReply(Envelope.newBuilder())).isFalse();
     }
 
     @Test
     void aVersionThatArrivesBeforeTheResultCounts() throws Exception {
-        ask();
+        requestConfirmation();
         Consumer<Envelope.Builder> reply = nextQuery();
         apply(8);
         reply.accept(result(true, 8));
@@ -90,25 +90,25 @@
     @Test
     void aHostWithoutALeaderSendsNoQuery() throws Exception {
         current = false;
-        ask();
+        requestConfirmation();
         assertThat(nextAnswer()).isFalse();
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
     }
 
     @Test
     void aQueryWithoutAReplyIsNotConfirmed() throws Exception {
-        ask();
+        requestConfirmation();
         nextQuery();
         assertThat(nextAnswer()).isFalse();
     }
 
-    /** Load: a thousand callers with keys that are not known. */
+    /** Guards against a query to control for each of many callers with unknown keys. */
     @Test
     void callersShareReadsThatBeganAfterTheirCall() throws Exception {
-        ask();
+        requestConfirmation();
         Consumer<Envelope.Builder> first = nextQuery();
         for (int caller = 0; caller < 999; caller++) {
-            ask();
+            requestConfirmation();
         }
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
         first.accept(result(true, 7));
@@ -122,13 +122,13 @@
         assertThat(queries.poll(QUIET_MILLIS, TimeUnit.MILLISECONDS)).isNull();
     }
 
-    private boolean askAndReply(Envelope.Builder reply) throws Exception {
-        ask();
+    private boolean confirmWithReply(Envelope.Builder reply) throws Exception {
+        requestConfirmation();
         nextQuery().accept(reply);
         return nextAnswer();
     }
 
-    private void ask() {
+    private void requestConfirmation() {
         group.next().execute(() -> newest.confirmNewest(answers::add));
     }
 
@@ -140,7 +140,7 @@
         return requireNonNull(answers.poll(WAIT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private void note(Envelope message, Consumer<Envelope.Builder> reply) {
+    private void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasVersionQuery()) {
             queries.add(reply);
         }
