--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
@@ -13,27 +13,27 @@
     /** Some seconds of lines at the most that a process writes; at about 300 bytes each well below a megabyte. */
     private static final int QUEUE_LINES = 1_024;
     /** How long the end of a process waits for its last lines to be written. */
-    private static final int FLUSH_MILLIS = 300;
+    private static final int FLUSH_TIMEOUT_MILLIS = 300;
 
-    private final AtomicLong lost = new AtomicLong();
+    private final AtomicLong dropped = new AtomicLong();
 
     /** Creates an appender with an empty queue. */
     public BoundedAppender() {
         setQueueSize(QUEUE_LINES);
         setDiscardingThreshold(0);
         setNeverBlock(true);
-        setMaxFlushTime(FLUSH_MILLIS);
+        setMaxFlushTime(FLUSH_TIMEOUT_MILLIS);
     }
 
     /** Returns how many lines were dropped so far. */
     public long droppedLineCount() {
-        return lost.get();
+        return dropped.get();
     }
 
     @Override
     protected void append(ILoggingEvent event) {
         if (getRemainingCapacity() == 0) {
-            lost.incrementAndGet();
+            dropped.incrementAndGet();
             return;
         }
         super.append(event);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/JsonLineEncoder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/JsonLineEncoder.java
@@ -19,7 +19,7 @@
  */
 public final class JsonLineEncoder extends EncoderBase<ILoggingEvent> {
     private static final byte[] LINE_END = "\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int USUAL_LINE_BYTES = 320;
+    private static final int INITIAL_LINE_BYTES = 320;
 
     private final JsonFactory factory = new JsonFactory();
 
@@ -30,7 +30,7 @@
 
     @Override
     public byte[] encode(ILoggingEvent event) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_LINE_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
         try (JsonGenerator json = factory.createGenerator(bytes)) {
             json.writeStartObject();
             json.writeStringField(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
@@ -14,28 +14,28 @@
     private static final long PERIOD_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final MonotonicClock clock;
-    private final int linesASecond;
-    private long periodBeganNanos;
+    private final int linesPerSecond;
+    private long periodStartNanos;
     private int lines;
-    private long leftOut;
+    private long suppressed;
 
     /** Creates a bound that lets the given number of lines through in each second. */
-    public LogRateLimiter(MonotonicClock clock, int linesASecond) {
-        checkArgument(linesASecond > 0, "%s lines a second", linesASecond);
+    public LogRateLimiter(MonotonicClock clock, int linesPerSecond) {
+        checkArgument(linesPerSecond > 0, "%s lines a second", linesPerSecond);
         this.clock = clock;
-        this.linesASecond = linesASecond;
-        this.periodBeganNanos = clock.nowNanos();
+        this.linesPerSecond = linesPerSecond;
+        this.periodStartNanos = clock.nowNanos();
     }
 
     /** Returns true if a line may be written now; otherwise counts it as left out. */
     public boolean tryAcquire() {
         long nowNanos = clock.nowNanos();
-        if (nowNanos - periodBeganNanos >= PERIOD_NANOS) {
-            periodBeganNanos = nowNanos;
+        if (nowNanos - periodStartNanos >= PERIOD_NANOS) {
+            periodStartNanos = nowNanos;
             lines = 0;
         }
-        if (lines >= linesASecond) {
-            leftOut++;
+        if (lines >= linesPerSecond) {
+            suppressed++;
             return false;
         }
         lines++;
@@ -44,8 +44,8 @@
 
     /** Returns how many lines were left out since the last call of this method. */
     public long takeSuppressedCount() {
-        long taken = leftOut;
-        leftOut = 0;
-        return taken;
+        long count = suppressed;
+        suppressed = 0;
+        return count;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/RequestExplanation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/RequestExplanation.java
@@ -17,15 +17,15 @@
  */
 public final class RequestExplanation {
     /** A change that a request meets is seldom older: hosts forget what is silent within some seconds. */
-    private static final Duration LOOK_BACK = Duration.ofSeconds(10);
+    private static final Duration RELATED_EVENT_WINDOW = Duration.ofSeconds(10);
 
     /** The latest of what happened before; more would bury it. */
-    private static final int MOST_BACKGROUND = 20;
+    private static final int MAX_RELATED_EVENTS = 20;
 
-    private static final String ENDED = "request_ended";
+    private static final String REQUEST_ENDED = "request_ended";
 
     /** What an outcome means and where to look next. */
-    private static final ImmutableMap<String, String> MEANINGS = ImmutableMap.<String, String>builder()
+    private static final ImmutableMap<String, String> OUTCOME_MEANINGS = ImmutableMap.<String, String>builder()
             .put("WHOLE", "whole and in time; nothing went wrong on this host")
             .put("PASSED_ON", "a leaf's answer was passed on in time")
             .put("PARTIAL", "shards were missing when the answer had to leave; 'tried' names each and what was tried")
@@ -74,7 +74,7 @@
         sorted.sort(Comparator.comparing(LoggedEvent::at));
         ImmutableList.Builder<String> lines = ImmutableList.builder();
         for (LoggedEvent event : sorted) {
-            if (event.event().equals(ENDED) && event.field("request").equals(requestId)) {
+            if (event.event().equals(REQUEST_ENDED) && event.field("request").equals(requestId)) {
                 lines.addAll(explain(event, sorted));
             }
         }
@@ -95,7 +95,7 @@
         String outcome = ended.field("outcome");
         ImmutableList.Builder<String> lines = ImmutableList.builder();
         lines.add(ended.file() + " " + ended.at() + " " + outcome + " after " + ended.field("tookMillis") + " ms");
-        lines.add("  meaning: " + MEANINGS.getOrDefault(outcome, "the leaf's own answer was passed on"));
+        lines.add("  meaning: " + OUTCOME_MEANINGS.getOrDefault(outcome, "the leaf's own answer was passed on"));
         if (!ended.field("onBehalfOf").isEmpty()) {
             lines.add("  asked on behalf of host " + ended.field("onBehalfOf"));
         }
@@ -109,29 +109,29 @@
                 lines.add("  tried: " + tried);
             }
         }
-        Instant since = ended.at().minus(LOOK_BACK);
-        List<String> background = new ArrayList<>();
+        Instant since = ended.at().minus(RELATED_EVENT_WINDOW);
+        List<String> related = new ArrayList<>();
         for (LoggedEvent event : events) {
             boolean before = !event.at().isBefore(since) && !event.at().isAfter(ended.at());
-            if (before && isBackground(event, ended)) {
-                background.add(
+            if (before && isRelated(event, ended)) {
+                related.add(
                         "  before: " + event.at() + " " + event.file() + " " + event.event() + " " + event.fields());
             }
         }
-        lines.addAll(background.subList(Math.max(0, background.size() - MOST_BACKGROUND), background.size()));
+        lines.addAll(related.subList(Math.max(0, related.size() - MAX_RELATED_EVENTS), related.size()));
         return lines.build();
     }
 
     /** What changed on the same host, and what leafs that the request was sent to reported anywhere. */
-    private static boolean isBackground(LoggedEvent event, LoggedEvent ended) {
-        if (event.event().equals(ENDED) || event.event().equals("counters")) {
+    private static boolean isRelated(LoggedEvent event, LoggedEvent ended) {
+        if (event.event().equals(REQUEST_ENDED) || event.event().equals("counters")) {
             return false;
         }
         String tried = ended.field("tried");
-        boolean ofALeafThatWasTried = isNamedIn(tried, event.field("leaf")) || isNamedIn(tried, event.field("service"));
-        boolean ofTheSameHost =
+        boolean concernsTriedLeaf = isNamedIn(tried, event.field("leaf")) || isNamedIn(tried, event.field("service"));
+        boolean fromSameHost =
                 event.file().equals(ended.file()) && event.field("leaf").isEmpty() && !isRoutine(event);
-        return ofTheSameHost || ofALeafThatWasTried;
+        return fromSameHost || concernsTriedLeaf;
     }
 
     private static boolean isNamedIn(String tried, String name) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
@@ -31,9 +31,9 @@
     private final Workers workers;
     private final MonotonicClock clock;
     private final ReentrantLock lock = new ReentrantLock();
-    private final ReplicaLimiter gate;
+    private final ReplicaLimiter limiter;
     private final UpstreamHarm harm;
-    private final LeafEndDetector<LeafRequest> ends = new LeafEndDetector<>();
+    private final LeafEndDetector<LeafRequest> endDetector = new LeafEndDetector<>();
     private final Map<String, Call> calls = new HashMap<>();
 
     HeldUpstream(
@@ -48,7 +48,7 @@
         this.workers = workers;
         this.clock = clock;
         this.harm = harm;
-        this.gate = new ReplicaLimiter(slots);
+        this.limiter = new ReplicaLimiter(slots);
     }
 
     Upstream upstream() {
@@ -59,11 +59,11 @@
         return protocol;
     }
 
-    void submit(LeafRequest request, Consumer<LeafOutcome> done) {
+    void submit(LeafRequest request, Consumer<LeafOutcome> onOutcome) {
         lock.lock();
         try {
-            calls.put(request.callId(), new Call(request, done));
-            carryOut(gate.submit(request.callId(), request.priority(), request.deadlineNanos(), clock.nowNanos()));
+            calls.put(request.callId(), new Call(request, onOutcome));
+            execute(limiter.submit(request.callId(), request.priority(), request.deadlineNanos(), clock.nowNanos()));
         } finally {
             lock.unlock();
         }
@@ -72,7 +72,7 @@
     void cancel(String callId) {
         lock.lock();
         try {
-            carryOut(gate.cancel(callId));
+            execute(limiter.cancel(callId));
         } finally {
             lock.unlock();
         }
@@ -81,7 +81,7 @@
     void setSlots(int slots) {
         lock.lock();
         try {
-            gate.setSlots(slots);
+            limiter.setSlots(slots);
         } finally {
             lock.unlock();
         }
@@ -90,13 +90,13 @@
     int inFlight() {
         lock.lock();
         try {
-            return gate.running() + gate.waiting();
+            return limiter.running() + limiter.waiting();
         } finally {
             lock.unlock();
         }
     }
 
-    private void carryOut(List<LimiterAction> actions) {
+    private void execute(List<LimiterAction> actions) {
         for (LimiterAction action : actions) {
             if (action instanceof LimiterAction.Dispatch dispatch) {
                 dispatch(dispatch.callId());
@@ -114,54 +114,56 @@
             return;
         }
         if (!harm.maySend(call.request())) {
-            workers.run(() -> ended(callId, new LeafOutcome.Failed(LeafFailure.HARMFUL)));
+            workers.run(() -> onCallEnded(callId, new LeafOutcome.Failed(LeafFailure.HARMFUL)));
             return;
         }
-        ends.onSent(call.request());
+        endDetector.onSent(call.request());
         Duration remaining = Duration.ofNanos(Math.max(1, call.request().deadlineNanos() - clock.nowNanos()));
         protocol.call(call.request(), remaining)
                 .subscribe()
                 .with(
-                        outcome -> workers.run(() -> ended(callId, outcome)),
-                        failure ->
-                                workers.run(() -> ended(callId, new LeafOutcome.Failed(LeafFailure.CONNECTION_LOST))));
+                        outcome -> workers.run(() -> onCallEnded(callId, outcome)),
+                        failure -> workers.run(
+                                () -> onCallEnded(callId, new LeafOutcome.Failed(LeafFailure.CONNECTION_LOST))));
     }
 
-    private void ended(String callId, LeafOutcome outcome) {
+    private void onCallEnded(String callId, LeafOutcome outcome) {
         lock.lock();
         try {
-            noteEnd(callId, outcome);
+            recordCallEnd(callId, outcome);
             complete(callId, outcome);
-            boolean shed = outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.OVERLOADED;
+            boolean overloaded =
+                    outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.OVERLOADED;
             long nowNanos = clock.nowNanos();
-            carryOut(shed ? gate.onShed(callId, nowNanos) : gate.onFinished(callId, nowNanos));
+            execute(overloaded ? limiter.onShed(callId, nowNanos) : limiter.onFinished(callId, nowNanos));
         } finally {
             lock.unlock();
         }
     }
 
     /** A call that broke says something of its request only if the upstream has ended. */
-    private void noteEnd(String callId, LeafOutcome outcome) {
+    private void recordCallEnd(String callId, LeafOutcome outcome) {
         Call call = calls.get(callId);
         if (call == null) {
             return;
         }
-        boolean broke = outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.CONNECTION_LOST;
-        if (!broke) {
-            ends.onAnswered(call.request());
+        boolean disconnected =
+                outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.CONNECTION_LOST;
+        if (!disconnected) {
+            endDetector.onAnswered(call.request());
             if (outcome instanceof LeafOutcome.Replied) {
-                harm.survived(call.request());
+                harm.recordSurvival(call.request());
             }
             return;
         }
-        boolean alreadyAsked = ends.isEndSuspected();
+        boolean probePending = endDetector.isEndSuspected();
         long nowNanos = clock.nowNanos();
-        ends.onDisconnected(call.request(), nowNanos);
-        if (!alreadyAsked) {
-            protocol.takesConnections()
+        endDetector.onDisconnected(call.request(), nowNanos);
+        if (!probePending) {
+            protocol.acceptsConnections()
                     .subscribe()
                     .with(
-                            takes -> workers.run(() -> found(takes, nowNanos)),
+                            takes -> workers.run(() -> onProbeResult(takes, nowNanos)),
                             failure -> LOGGER.log(
                                     Logger.Level.DEBUG,
                                     "whether {0} has ended was not found out: {1}",
@@ -170,29 +172,29 @@
         }
     }
 
-    private void found(boolean takesConnections, long askedNanos) {
-        List<LeafRequest> onIt = List.of();
+    private void onProbeResult(boolean acceptsConnections, long probeStartNanos) {
+        List<LeafRequest> callsInFlight = List.of();
         lock.lock();
         try {
-            if (takesConnections) {
-                ends.onConnected(askedNanos);
+            if (acceptsConnections) {
+                endDetector.onConnected(probeStartNanos);
             } else {
-                onIt = ends.onConnectFailed(clock.nowNanos());
+                callsInFlight = endDetector.onConnectFailed(clock.nowNanos());
             }
         } finally {
             lock.unlock();
         }
-        if (!onIt.isEmpty()) {
-            harm.ended(upstream.name(), onIt);
+        if (!callsInFlight.isEmpty()) {
+            harm.recordUpstreamEnd(upstream.name(), callsInFlight);
         }
     }
 
     private void complete(String callId, LeafOutcome outcome) {
         Call call = calls.remove(callId);
         if (call != null) {
-            workers.run(() -> call.done().accept(outcome));
+            workers.run(() -> call.onOutcome().accept(outcome));
         }
     }
 
-    private record Call(LeafRequest request, Consumer<LeafOutcome> done) {}
+    private record Call(LeafRequest request, Consumer<LeafOutcome> onOutcome) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
@@ -35,8 +35,8 @@
     private static final Logger LOGGER = System.getLogger(HolderService.class.getName());
     private static final int CONNECTIONS_PER_SLOT = 2;
     private static final Duration REPORT_PERIOD = Duration.ofMillis(500);
-    private static final int FAILED_REPORTS_TO_COUNT_AS_LOST = 3;
-    private static final Duration DRAIN_CHECK = Duration.ofMillis(100);
+    private static final int MAX_FAILED_REPORTS = 3;
+    private static final Duration DRAIN_POLL_PERIOD = Duration.ofMillis(100);
 
     private final String self;
     private final ServiceDirectory directory;
@@ -44,10 +44,10 @@
     private final Workers workers;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final StatusBoard statuses;
+    private final UpstreamStatusRegistry statusRegistry;
     private final UpstreamHarm harm;
     private final long startedNanos;
-    private final Map<UpstreamName, Held> held = new ConcurrentHashMap<>();
+    private final Map<UpstreamName, Holding> held = new ConcurrentHashMap<>();
     private final Set<HostAndPort> closing = ConcurrentHashMap.newKeySet();
 
     /** Creates the service; it holds nothing before the first configuration. */
@@ -58,7 +58,7 @@
             Workers workers,
             MonotonicClock clock,
             RandomGenerator random,
-            StatusBoard statuses,
+            UpstreamStatusRegistry statuses,
             UpstreamHarm harm) {
         this.self = self;
         this.directory = directory;
@@ -66,54 +66,54 @@
         this.workers = workers;
         this.clock = clock;
         this.random = random;
-        this.statuses = statuses;
+        this.statusRegistry = statuses;
         this.harm = harm;
         this.startedNanos = clock.nowNanos();
     }
 
     /** Takes over what the configuration in force assigns to this host. */
     public synchronized void configure() {
-        Set<UpstreamName> wanted = new HashSet<>();
+        Set<UpstreamName> assigned = new HashSet<>();
         for (ServiceView view : directory.services()) {
             for (Upstream upstream : view.service().upstreams()) {
                 HolderAssignment assignment = view.assignments().get(upstream.name());
                 if (assignment != null && assignment.holders().contains(self)) {
-                    wanted.add(upstream.name());
+                    assigned.add(upstream.name());
                     hold(upstream, view.service().limits(), assignment.share());
                 }
             }
         }
         for (UpstreamName name : new HashMap<>(held).keySet()) {
-            if (!wanted.contains(name)) {
+            if (!assigned.contains(name)) {
                 release(name);
             }
         }
     }
 
     /** Takes a call for an upstream that this host holds. */
-    public void submit(LeafRequest request, Consumer<LeafOutcome> done) {
-        Held target = held.get(request.upstream());
-        if (target == null) {
-            done.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE));
-        } else if (!target.mayOpen(clock.nowNanos())) {
-            done.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_NOT_READY));
+    public void submit(LeafRequest request, Consumer<LeafOutcome> onOutcome) {
+        Holding holding = held.get(request.upstream());
+        if (holding == null) {
+            onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE));
+        } else if (!holding.mayOpen(clock.nowNanos())) {
+            onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_NOT_READY));
         } else if (!harm.maySend(request)) {
-            done.accept(new LeafOutcome.Failed(LeafFailure.HARMFUL));
+            onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HARMFUL));
         } else {
-            target.upstream().submit(request, outcome -> {
+            holding.upstream().submit(request, outcome -> {
                 if (outcome instanceof LeafOutcome.Failed failed && failed.failure() == LeafFailure.DRAINING) {
-                    statuses.markDraining(request.upstream());
+                    statusRegistry.markDraining(request.upstream());
                 }
-                done.accept(outcome);
+                onOutcome.accept(outcome);
             });
         }
     }
 
     /** Cancels a call, if it is still there. */
     public void cancel(UpstreamName name, String callId) {
-        Held target = held.get(name);
-        if (target != null) {
-            target.upstream().cancel(callId);
+        Holding holding = held.get(name);
+        if (holding != null) {
+            holding.upstream().cancel(callId);
         }
     }
 
@@ -138,36 +138,36 @@
     private void hold(Upstream upstream, UpstreamLimits limits, int share) {
         int slots = Math.min(limits.slots(), share);
         int connections = Math.min(share, CONNECTIONS_PER_SLOT * slots + 1);
-        Held known = held.get(upstream.name());
-        if (known != null && known.isFor(upstream, share)) {
-            known.upstream().setSlots(slots);
+        Holding existing = held.get(upstream.name());
+        if (existing != null && existing.matches(upstream, share)) {
+            existing.upstream().setSlots(slots);
             return;
         }
-        if (known != null) {
+        if (existing != null) {
             release(upstream.name());
         }
         if (closing.contains(upstream.address())) {
             return;
         }
-        HeldUpstream fresh =
+        HeldUpstream heldUpstream =
                 new HeldUpstream(upstream, slots, protocols.connect(upstream, connections), workers, clock, harm);
         long openAtNanos = startedNanos + HolderAssignment.startDelayNanos(limits);
-        Held added = new Held(fresh, share, openAtNanos);
-        held.put(upstream.name(), added);
-        long spreadNanos = random.nextLong(REPORT_PERIOD.toNanos());
-        workers.runAfter(Math.max(0, openAtNanos - clock.nowNanos()) + spreadNanos, () -> {
-            if (isHeld(added)) {
-                fresh.protocol().warm();
-                report(added, 0);
+        Holding holding = new Holding(heldUpstream, share, openAtNanos);
+        held.put(upstream.name(), holding);
+        long jitterNanos = random.nextLong(REPORT_PERIOD.toNanos());
+        workers.runAfter(Math.max(0, openAtNanos - clock.nowNanos()) + jitterNanos, () -> {
+            if (isHeld(holding)) {
+                heldUpstream.protocol().openConnections();
+                pollReport(holding, 0);
             }
         });
     }
 
     /** Ends holding an upstream once its calls have ended; until then its address is not connected to anew. */
     private void release(UpstreamName name) {
-        Held released = held.remove(name);
+        Holding released = held.remove(name);
         if (released != null) {
-            statuses.forget(name);
+            statusRegistry.remove(name);
             closing.add(released.upstream().upstream().address());
             closeWhenIdle(released.upstream());
         }
@@ -179,50 +179,50 @@
             closing.remove(upstream.upstream().address());
             workers.run(this::configure);
         } else {
-            workers.runAfter(DRAIN_CHECK.toNanos(), () -> closeWhenIdle(upstream));
+            workers.runAfter(DRAIN_POLL_PERIOD.toNanos(), () -> closeWhenIdle(upstream));
         }
     }
 
-    private void report(Held target, int failures) {
-        if (!isHeld(target)) {
+    private void pollReport(Holding holding, int failures) {
+        if (!isHeld(holding)) {
             return;
         }
-        UpstreamName name = target.upstream().upstream().name();
-        target.upstream()
+        UpstreamName name = holding.upstream().upstream().name();
+        holding.upstream()
                 .protocol()
                 .report()
                 .subscribe()
                 .with(
                         report -> workers.run(() -> {
-                            statuses.record(name, report, true);
-                            reportLater(target, 0);
+                            statusRegistry.record(name, report, true);
+                            schedulePoll(holding, 0);
                         }),
                         failure -> workers.run(() -> {
-                            if (failures + 1 == FAILED_REPORTS_TO_COUNT_AS_LOST) {
-                                lost(name);
+                            if (failures + 1 == MAX_FAILED_REPORTS) {
+                                markUnreachable(name);
                             }
-                            reportLater(target, failures + 1);
+                            schedulePoll(holding, failures + 1);
                         }));
     }
 
-    private void lost(UpstreamName name) {
+    private void markUnreachable(UpstreamName name) {
         LOGGER.log(Logger.Level.INFO, "{0} no longer reports to {1}", name, self);
-        Optional<UpstreamReport> last = statuses.reportOf(name);
-        statuses.record(name, last.orElse(new UpstreamReport(false, ImmutableSet.of())), false);
+        Optional<UpstreamReport> lastReport = statusRegistry.reportOf(name);
+        statusRegistry.record(name, lastReport.orElse(new UpstreamReport(false, ImmutableSet.of())), false);
     }
 
-    private void reportLater(Held target, int failures) {
+    private void schedulePoll(Holding holding, int failures) {
         long halfNanos = REPORT_PERIOD.toNanos() / 2;
-        workers.runAfter(halfNanos + random.nextLong(2 * halfNanos), () -> report(target, failures));
+        workers.runAfter(halfNanos + random.nextLong(2 * halfNanos), () -> pollReport(holding, failures));
     }
 
-    private boolean isHeld(Held target) {
-        return target.equals(held.get(target.upstream().upstream().name()));
+    private boolean isHeld(Holding holding) {
+        return holding.equals(held.get(holding.upstream().upstream().name()));
     }
 
     /** An upstream that is held, and the terms on which it is. */
-    private record Held(HeldUpstream upstream, int share, long openAtNanos) {
-        boolean isFor(Upstream declared, int declaredShare) {
+    private record Holding(HeldUpstream upstream, int share, long openAtNanos) {
+        boolean matches(Upstream declared, int declaredShare) {
             return upstream.upstream().address().equals(declared.address()) && share == declaredShare;
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HttpUpstreamProtocol.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HttpUpstreamProtocol.java
@@ -42,28 +42,28 @@
     private static final int KEEP_ALIVE_SECONDS = 20;
     private static final Logger LOGGER = System.getLogger(HttpUpstreamProtocol.class.getName());
     private static final Duration REPORT_TIMEOUT = Duration.ofMillis(400);
-    private static final Duration GRACE = Duration.ofMillis(20);
+    private static final Duration TIMEOUT_MARGIN = Duration.ofMillis(20);
     private static final int STATUS_OK = 200;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEXADECIMAL_RADIX = 16;
 
     private final Upstream upstream;
-    private final WebClient calls;
-    private final WebClient control;
+    private final WebClient callClient;
+    private final WebClient controlClient;
     private final int callConnections;
 
     /** Creates the protocol; connections are opened as they are needed. */
     public HttpUpstreamProtocol(Vertx vertx, Upstream upstream, int connections) {
         this.upstream = upstream;
         this.callConnections = Math.max(1, connections - 1);
-        this.calls = WebClient.create(vertx, options(callConnections));
-        this.control = connections > 1 ? WebClient.create(vertx, options(1)) : calls;
+        this.callClient = WebClient.create(vertx, options(callConnections));
+        this.controlClient = connections > 1 ? WebClient.create(vertx, options(1)) : callClient;
     }
 
     @Override
     public Uni<LeafOutcome> call(LeafRequest request, Duration remaining) {
-        HttpRequest<Buffer> call = calls.post(
-                        upstream.address().getPort(), upstream.address().getHost(), UpstreamHeaders.CALL_PATH)
-                .timeout(remaining.plus(GRACE).toMillis())
+        HttpRequest<Buffer> call = callClient
+                .post(upstream.address().getPort(), upstream.address().getHost(), UpstreamHeaders.CALL_PATH)
+                .timeout(remaining.plus(TIMEOUT_MARGIN).toMillis())
                 .putHeader(UpstreamHeaders.CALL_ID, request.callId())
                 .putHeader(UpstreamHeaders.REQUEST_ID, request.requestId())
                 .putHeader(UpstreamHeaders.SHARD, Integer.toString(request.shard()))
@@ -81,42 +81,45 @@
 
     @Override
     public void cancel(String callId) {
-        control.post(upstream.address().getPort(), upstream.address().getHost(), UpstreamHeaders.CANCEL_PATH + callId)
+        controlClient
+                .post(upstream.address().getPort(), upstream.address().getHost(), UpstreamHeaders.CANCEL_PATH + callId)
                 .timeout(REPORT_TIMEOUT.toMillis())
                 .send()
                 .subscribe()
-                .with(response -> {}, failure -> notSent("cancel " + callId, failure));
+                .with(response -> {}, failure -> logFailure("cancel " + callId, failure));
     }
 
     @Override
     public Uni<UpstreamReport> report() {
-        return reportOver(control);
+        return reportOver(controlClient);
     }
 
     @Override
-    public Uni<Boolean> takesConnections() {
-        return reportOver(control)
+    public Uni<Boolean> acceptsConnections() {
+        return reportOver(controlClient)
                 .map(report -> true)
                 .onFailure()
                 .recoverWithItem(failure -> !(failure instanceof ConnectException));
     }
 
     @Override
-    public void warm() {
+    public void openConnections() {
         for (int connection = 0; connection < callConnections; connection++) {
-            reportOver(calls).subscribe().with(report -> {}, failure -> notSent("open a connection ahead", failure));
+            reportOver(callClient)
+                    .subscribe()
+                    .with(report -> {}, failure -> logFailure("open a connection ahead", failure));
         }
     }
 
     /** Notes what was only a help: the call ends at its deadline, and a connection is made when it is needed. */
-    private void notSent(String help, Throwable failure) {
-        LOGGER.log(Logger.Level.DEBUG, "{0} could not {1}: {2}", upstream.name(), help, failure.getMessage());
+    private void logFailure(String action, Throwable failure) {
+        LOGGER.log(Logger.Level.DEBUG, "{0} could not {1}: {2}", upstream.name(), action, failure.getMessage());
     }
 
     @Override
     public void close() {
-        calls.close();
-        control.close();
+        callClient.close();
+        controlClient.close();
     }
 
     private Uni<UpstreamReport> reportOver(WebClient client) {
@@ -141,7 +144,7 @@
     private static LeafOutcome toOutcome(HttpResponse<Buffer> response) {
         String refusal = response.getHeader(UpstreamHeaders.REFUSAL);
         if (refusal != null) {
-            return new LeafOutcome.Failed(refusalOf(refusal));
+            return new LeafOutcome.Failed(parseRefusal(refusal));
         }
         if (response.statusCode() != STATUS_OK) {
             return new LeafOutcome.Failed(LeafFailure.UPSTREAM_ERROR);
@@ -157,18 +160,18 @@
         Buffer body = response.body();
         ByteString payload = body == null ? ByteString.EMPTY : ByteString.copyFrom(body.getBytes());
         ServedVersion served = new ServedVersion(
-                Long.parseLong(required(response, UpstreamHeaders.INDEX_VERSION)),
-                Integer.parseInt(required(response, UpstreamHeaders.SHARD)),
-                Integer.parseInt(required(response, UpstreamHeaders.SHARD_COUNT)));
+                Long.parseLong(requiredHeader(response, UpstreamHeaders.INDEX_VERSION)),
+                Integer.parseInt(requiredHeader(response, UpstreamHeaders.SHARD)),
+                Integer.parseInt(requiredHeader(response, UpstreamHeaders.SHARD_COUNT)));
         return new LeafReply(
-                required(response, UpstreamHeaders.CALL_ID),
+                requiredHeader(response, UpstreamHeaders.CALL_ID),
                 served,
-                Long.parseLong(required(response, UpstreamHeaders.LENGTH_BYTES)),
-                Integer.parseUnsignedInt(required(response, UpstreamHeaders.CHECKSUM), HEXADECIMAL),
+                Long.parseLong(requiredHeader(response, UpstreamHeaders.LENGTH_BYTES)),
+                Integer.parseUnsignedInt(requiredHeader(response, UpstreamHeaders.CHECKSUM), HEXADECIMAL_RADIX),
                 payload);
     }
 
-    private static LeafFailure refusalOf(String code) {
+    private static LeafFailure parseRefusal(String code) {
         for (LeafFailure failure : LeafFailure.values()) {
             if (failure.isCertainlyNotRun() && failure.code().equals(code)) {
                 return failure;
@@ -198,7 +201,7 @@
         }
     }
 
-    private static String required(HttpResponse<Buffer> response, String header) {
+    private static String requiredHeader(HttpResponse<Buffer> response, String header) {
         String value = response.getHeader(header);
         checkArgument(value != null, "the reply lacks the header %s", header);
         return value;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
@@ -28,14 +28,14 @@
 public final class UpstreamHarm {
     private static final Logger LOGGER = System.getLogger(UpstreamHarm.class.getName());
     /** In how many beats a report is told, so that a lost one costs little. */
-    private static final int BEATS_A_REPORT = 4;
+    private static final int HEARTBEATS_PER_REPORT = 4;
     /** Holders of one upstream that see its end within this time have seen the same one. */
-    private static final Duration ONE_END = Duration.ofSeconds(10);
+    private static final Duration SAME_END_WINDOW = Duration.ofSeconds(10);
 
-    private final HarmfulRequestFilter guard = new HarmfulRequestFilter();
+    private final HarmfulRequestFilter filter = new HarmfulRequestFilter();
     private final MonotonicClock clock;
     private final InstantSource wallClock;
-    private final Deque<Told> told = new ArrayDeque<>();
+    private final Deque<PendingReport> pendingReports = new ArrayDeque<>();
 
     /** Creates a guard that knows of no request. */
     public UpstreamHarm(MonotonicClock clock, InstantSource wallClock) {
@@ -45,27 +45,27 @@
 
     /** Returns true if a call may be sent to its upstream. */
     synchronized boolean maySend(LeafRequest request) {
-        return guard.permission(() -> fingerprints(request)) != Permission.QUARANTINED;
+        return filter.permission(() -> fingerprints(request)) != Permission.QUARANTINED;
     }
 
     /** Notes that an upstream answered a call that it has run. */
-    synchronized void survived(LeafRequest request) {
-        guard.recordSurvival(fingerprints(request), clock.nowNanos());
+    synchronized void recordSurvival(LeafRequest request) {
+        filter.recordSurvival(fingerprints(request), clock.nowNanos());
     }
 
     /** Notes that an upstream has ended with calls on it. */
-    synchronized void ended(UpstreamName upstream, List<LeafRequest> onIt) {
-        long end = wallClock.millis() / ONE_END.toMillis();
+    synchronized void recordUpstreamEnd(UpstreamName upstream, List<LeafRequest> callsInFlight) {
+        long endWindow = wallClock.millis() / SAME_END_WINDOW.toMillis();
         long upstreamStart = Hashing.sha256()
-                .hashString(upstream + "\n" + end, StandardCharsets.UTF_8)
+                .hashString(upstream + "\n" + endWindow, StandardCharsets.UTF_8)
                 .asLong();
-        List<Arrival> arrivals = onIt.stream()
+        List<Arrival> arrivals = callsInFlight.stream()
                 .map(request -> Arrival.of(fingerprints(request), request.requestId()))
                 .distinct()
                 .toList();
-        int before = guard.locallyRestrictedCount();
-        guard.recordLeafEnd(upstreamStart, arrivals, clock.nowNanos());
-        sayWhatIsHeldBack(before);
+        int previousCount = filter.locallyRestrictedCount();
+        filter.recordLeafEnd(upstreamStart, arrivals, clock.nowNanos());
+        logRestrictedCountChange(previousCount);
         LOGGER.log(
                 Logger.Level.INFO,
                 "{0} ended with {1} requests on it; one asks for {2}",
@@ -75,42 +75,43 @@
     }
 
     /** Takes what another holder tells. */
-    public synchronized void hear(HarmReport report) {
+    public synchronized void applyPeerReport(HarmReport report) {
         if (report.getEndedCount() + report.getSurvivedCount() > 0) {
-            int before = guard.locallyRestrictedCount();
-            guard.applyPeerReport(report, clock.nowNanos());
-            sayWhatIsHeldBack(before);
+            int previousCount = filter.locallyRestrictedCount();
+            filter.applyPeerReport(report, clock.nowNanos());
+            logRestrictedCountChange(previousCount);
         }
     }
 
-    private void sayWhatIsHeldBack(int before) {
-        int now = guard.locallyRestrictedCount();
-        if (now != before) {
+    private void logRestrictedCountChange(int previousCount) {
+        int count = filter.locallyRestrictedCount();
+        if (count != previousCount) {
             LOGGER.log(
                     Logger.Level.INFO,
                     "{0} requests, {1} before, may end upstreams; those that are barred are sent to no upstream from"
                             + " now on",
-                    now,
-                    before);
+                    count,
+                    previousCount);
         }
     }
 
     /** Returns what the next heartbeat tells, if anything. */
-    public synchronized Optional<HarmReport> nextBeat() {
-        guard.takeReport().ifPresent(report -> told.addLast(new Told(report, BEATS_A_REPORT)));
-        if (told.isEmpty()) {
+    public synchronized Optional<HarmReport> nextHeartbeatReport() {
+        filter.takeReport()
+                .ifPresent(report -> pendingReports.addLast(new PendingReport(report, HEARTBEATS_PER_REPORT)));
+        if (pendingReports.isEmpty()) {
             return Optional.empty();
         }
-        HarmReport.Builder beat = HarmReport.newBuilder();
-        int count = told.size();
+        HarmReport.Builder merged = HarmReport.newBuilder();
+        int count = pendingReports.size();
         for (int each = 0; each < count; each++) {
-            Told next = told.removeFirst();
-            beat.mergeFrom(next.report());
-            if (next.beatsLeft() > 1) {
-                told.addLast(new Told(next.report(), next.beatsLeft() - 1));
+            PendingReport next = pendingReports.removeFirst();
+            merged.mergeFrom(next.report());
+            if (next.heartbeatsLeft() > 1) {
+                pendingReports.addLast(new PendingReport(next.report(), next.heartbeatsLeft() - 1));
             }
         }
-        return Optional.of(beat.build());
+        return Optional.of(merged.build());
     }
 
     private static Fingerprints fingerprints(LeafRequest request) {
@@ -122,5 +123,5 @@
                 request.body().toByteArray());
     }
 
-    private record Told(HarmReport report, int beatsLeft) {}
+    private record PendingReport(HarmReport report, int heartbeatsLeft) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamProtocol.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamProtocol.java
@@ -27,10 +27,10 @@
     Uni<UpstreamReport> report();
 
     /** Returns false if the upstream refuses connections, as after its end; true if it takes them or is silent. */
-    Uni<Boolean> takesConnections();
+    Uni<Boolean> acceptsConnections();
 
     /** Opens connections before they are needed, at most as many as were given. */
-    void warm();
+    void openConnections();
 
     /** Closes every connection. */
     void close();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/StatusBoard.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamStatusRegistry.java
@@ -14,24 +14,24 @@
  * <p>A change is told in every beat for a while, so that a lost message costs little; the rest is told in turns. Safe
  * for use by many threads; its lock comes before the directory's.
  */
-public final class StatusBoard {
-    private static final int BEATS_AFTER_A_CHANGE = 4;
-    private static final int TURNS = 40;
+public final class UpstreamStatusRegistry {
+    private static final int HEARTBEATS_PER_CHANGE = 4;
+    private static final int HEARTBEATS_PER_ROTATION = 40;
 
     private final String self;
     private final ServiceDirectory directory;
     private final Map<UpstreamName, Status> statuses = new TreeMap<>();
     private Runnable onChange = () -> {};
-    private int turn;
+    private int rotation;
 
     /** Creates an empty board. */
-    public StatusBoard(String self, ServiceDirectory directory) {
+    public UpstreamStatusRegistry(String self, ServiceDirectory directory) {
         this.self = self;
         this.directory = directory;
     }
 
     /** What is told of one upstream. */
-    public record Told(UpstreamName upstream, UpstreamReport report, boolean reachable) {}
+    public record ReportedStatus(UpstreamName upstream, UpstreamReport report, boolean reachable) {}
 
     /** Sets what to run when something changed that others should hear at once. */
     public synchronized void setOnChange(Runnable listener) {
@@ -62,7 +62,7 @@
     }
 
     /** Forgets an upstream that this host no longer holds. */
-    public synchronized void forget(UpstreamName upstream) {
+    public synchronized void remove(UpstreamName upstream) {
         statuses.remove(upstream);
     }
 
@@ -72,35 +72,35 @@
     }
 
     /** Returns what to tell in the next beat. */
-    public synchronized ImmutableList<Told> nextBeat() {
-        turn = (turn + 1) % TURNS;
-        ImmutableList.Builder<Told> told = ImmutableList.builder();
+    public synchronized ImmutableList<ReportedStatus> nextHeartbeat() {
+        rotation = (rotation + 1) % HEARTBEATS_PER_ROTATION;
+        ImmutableList.Builder<ReportedStatus> reported = ImmutableList.builder();
         int position = 0;
         for (Map.Entry<UpstreamName, Status> entry : statuses.entrySet()) {
             Status status = entry.getValue();
-            boolean fresh = status.beatsLeft > 0;
-            if (fresh) {
-                status.beatsLeft--;
+            boolean recentlyChanged = status.heartbeatsLeft > 0;
+            if (recentlyChanged) {
+                status.heartbeatsLeft--;
             }
-            if (fresh || position % TURNS == turn) {
-                told.add(new Told(entry.getKey(), status.report, status.reachable));
+            if (recentlyChanged || position % HEARTBEATS_PER_ROTATION == rotation) {
+                reported.add(new ReportedStatus(entry.getKey(), status.report, status.reachable));
             }
             position++;
         }
-        return told.build();
+        return reported.build();
     }
 
     /** Returns everything, for a host that was not heard before. */
-    public synchronized ImmutableList<Told> everything() {
+    public synchronized ImmutableList<ReportedStatus> allStatuses() {
         return statuses.entrySet().stream()
-                .map(entry -> new Told(entry.getKey(), entry.getValue().report, entry.getValue().reachable))
+                .map(entry -> new ReportedStatus(entry.getKey(), entry.getValue().report, entry.getValue().reachable))
                 .collect(ImmutableList.toImmutableList());
     }
 
     private static final class Status {
         private final UpstreamReport report;
         private final boolean reachable;
-        private int beatsLeft = BEATS_AFTER_A_CHANGE;
+        private int heartbeatsLeft = HEARTBEATS_PER_CHANGE;
 
         Status(UpstreamReport report, boolean reachable) {
             this.report = report;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
@@ -38,9 +38,9 @@
  */
 public final class ConfigurationFollower {
     private static final Logger LOGGER = System.getLogger(ConfigurationFollower.class.getName());
-    private static final Duration PERIOD = Duration.ofMillis(300);
-    private static final Duration TIMEOUT = Duration.ofMillis(600);
-    private static final Duration BEFORE_ASKING_PEERS = Duration.ofSeconds(3);
+    private static final Duration PULL_PERIOD = Duration.ofMillis(300);
+    private static final Duration PULL_TIMEOUT = Duration.ofMillis(600);
+    private static final Duration PEER_PULL_DELAY = Duration.ofSeconds(3);
 
     private final Settings settings;
     private final long incarnation;
@@ -52,7 +52,7 @@
     private final HostMetrics metrics;
     private final Supplier<Boolean> leaving;
     private final Runnable onChange;
-    private final Map<String, PartnerDeclaration> texts = new TreeMap<>();
+    private final Map<String, PartnerDeclaration> declarationTexts = new TreeMap<>();
     private final Map<String, ConfigurationDelta> peerReplies = new HashMap<>();
     private final long startedNanos;
     private volatile long confirmedNanos;
@@ -86,11 +86,11 @@
 
     /** Begins to ask. */
     public void start() {
-        ask();
+        pullFromControl();
     }
 
     /** Returns for how long no control host has confirmed the configuration. */
-    public Duration unconfirmed() {
+    public Duration timeSinceConfirmation() {
         return Duration.ofNanos(clock.nowNanos() - confirmedNanos);
     }
 
@@ -100,36 +100,36 @@
     }
 
     /** Answers another host that asks for changes because it reaches no control host. */
-    public synchronized ConfigurationDelta answerPeer(ConfigurationPull pull, long heardRevision) {
-        ImmutableList<PartnerDeclaration> changed = texts.values().stream()
+    public synchronized ConfigurationDelta handlePeerPull(ConfigurationPull pull, long lastSeenRevision) {
+        ImmutableList<PartnerDeclaration> changed = declarationTexts.values().stream()
                 .filter(text -> text.getRevision() > pull.getKnownRevision())
                 .collect(ImmutableList.toImmutableList());
         return ConfigurationDelta.newBuilder()
                 .setRevision(directory.configuration().revision())
                 .addAllDeclarations(changed)
-                .setHeardRevision(heardRevision)
+                .setHeardRevision(lastSeenRevision)
                 .build();
     }
 
-    private void ask() {
-        control.pull(pull(), TIMEOUT)
+    private void pullFromControl() {
+        control.pull(pullRequest(), PULL_TIMEOUT)
                 .subscribe()
                 .with(
                         delta -> workers.run(() -> {
-                            take(delta);
-                            askLater();
+                            applyControlDelta(delta);
+                            schedulePull();
                         }),
                         failure -> workers.run(() -> {
-                            askPeersIfNeeded();
-                            askLater();
+                            pullFromPeersIfNeeded();
+                            schedulePull();
                         }));
     }
 
-    private void askLater() {
-        workers.runAfter(PERIOD.toNanos(), this::ask);
+    private void schedulePull() {
+        workers.runAfter(PULL_PERIOD.toNanos(), this::pullFromControl);
     }
 
-    private ConfigurationPull pull() {
+    private ConfigurationPull pullRequest() {
         return ConfigurationPull.newBuilder()
                 .setHost(settings.host())
                 .setZone(settings.zone())
@@ -139,57 +139,57 @@
                 .build();
     }
 
-    private void take(ConfigurationDelta delta) {
-        boolean begun = directory.configuration().revision() > 0;
+    private void applyControlDelta(ConfigurationDelta delta) {
+        boolean hasConfiguration = directory.configuration().revision() > 0;
         if (delta.getConfirmed()) {
             putInForce(delta);
             if (directory.configuration().revision() >= delta.getRevision()) {
                 everConfirmed = true;
                 confirmedNanos = clock.nowNanos();
             }
-        } else if (begun) {
+        } else if (hasConfiguration) {
             putInForce(delta);
         } else {
-            askPeersIfNeeded();
+            pullFromPeersIfNeeded();
         }
     }
 
-    private void askPeersIfNeeded() {
+    private void pullFromPeersIfNeeded() {
         metrics.count("configuration.unconfirmed-pull");
-        boolean begun = directory.configuration().revision() > 0;
-        if (begun || clock.nowNanos() - startedNanos < BEFORE_ASKING_PEERS.toNanos()) {
+        boolean hasConfiguration = directory.configuration().revision() > 0;
+        if (hasConfiguration || clock.nowNanos() - startedNanos < PEER_PULL_DELAY.toNanos()) {
             return;
         }
         for (HostEntry host : settings.hosts()) {
             if (host.zone().equals(settings.zone()) && !host.name().equals(settings.host())) {
-                network.request(host.name(), Envelope.newBuilder().setConfigurationPull(pull()), TIMEOUT)
+                network.request(host.name(), Envelope.newBuilder().setConfigurationPull(pullRequest()), PULL_TIMEOUT)
                         .map(Envelope::getConfigurationDelta)
                         .subscribe()
                         .with(
-                                delta -> workers.run(() -> takeFromPeer(host.name(), delta)),
+                                delta -> workers.run(() -> applyPeerDelta(host.name(), delta)),
                                 failure -> workers.run(() -> metrics.count("configuration.peer-silent")));
             }
         }
     }
 
-    private synchronized void takeFromPeer(String host, ConfigurationDelta delta) {
+    private synchronized void applyPeerDelta(String host, ConfigurationDelta delta) {
         if (directory.configuration().revision() > 0) {
             return;
         }
         peerReplies.put(host, delta);
-        long served = 0;
-        ConfigurationDelta best = delta;
+        long highestServedRevision = 0;
+        ConfigurationDelta newest = delta;
         for (ConfigurationDelta reply : peerReplies.values()) {
-            served = Math.max(served, reply.getHeardRevision());
-            best = reply.getRevision() > best.getRevision() ? reply : best;
+            highestServedRevision = Math.max(highestServedRevision, reply.getHeardRevision());
+            newest = reply.getRevision() > newest.getRevision() ? reply : newest;
         }
-        if (best.getRevision() > 0 && best.getRevision() >= served) {
+        if (newest.getRevision() > 0 && newest.getRevision() >= highestServedRevision) {
             LOGGER.log(
                     Logger.Level.WARNING,
                     "{0} begins with revision {1} of its zone, which no control host confirmed",
                     settings.host(),
-                    best.getRevision());
-            putInForce(best);
+                    newest.getRevision());
+            putInForce(newest);
         }
     }
 
@@ -198,7 +198,7 @@
             if (delta.getRevision() <= directory.configuration().revision()) {
                 return;
             }
-            Map<String, PartnerDeclaration> changed = new TreeMap<>(texts);
+            Map<String, PartnerDeclaration> changed = new TreeMap<>(declarationTexts);
             delta.getDeclarationsList().forEach(text -> changed.put(text.getPartner(), text));
             ImmutableMap.Builder<String, Declaration> declarations = ImmutableMap.builder();
             for (PartnerDeclaration text : changed.values()) {
@@ -213,19 +213,19 @@
             if (!directory.configure(configuration, clock.nowNanos())) {
                 return;
             }
-            texts.putAll(changed);
+            declarationTexts.putAll(changed);
         }
         LOGGER.log(Logger.Level.INFO, "{0} has revision {1} in force", settings.host(), delta.getRevision());
         onChange.run();
     }
 
-    private void reportUnreadable(PartnerDeclaration text, ImmutableList<ValidationError> faults) {
+    private void reportUnreadable(PartnerDeclaration text, ImmutableList<ValidationError> errors) {
         metrics.count("configuration.unreadable");
         LOGGER.log(
                 Logger.Level.ERROR,
                 "{0} cannot read the agreed declaration of {1}: {2}; run the program version that accepted it",
                 settings.host(),
                 text.getPartner(),
-                faults.get(0));
+                errors.get(0));
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Beats.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Heartbeats.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
-import org.bramblerack.daemon.holder.StatusBoard;
 import org.bramblerack.daemon.holder.UpstreamHarm;
+import org.bramblerack.daemon.holder.UpstreamStatusRegistry;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.daemon.peer.Workers;
 import org.bramblerack.process.MembershipTable;
@@ -26,9 +26,9 @@
  *
  * <p>A change is told at once. Safe for use by many threads.
  */
-final class Beats {
+final class Heartbeats {
     private static final Duration PERIOD = Duration.ofMillis(500);
-    private static final long AT_ONCE_SPACING_NANOS = Duration.ofMillis(50).toNanos();
+    private static final long COALESCING_DELAY_NANOS = Duration.ofMillis(50).toNanos();
 
     private final String self;
     private final String zone;
@@ -36,22 +36,22 @@
     private final PeerNetwork network;
     private final MembershipTable membership;
     private final ServiceDirectory directory;
-    private final StatusBoard statuses;
+    private final UpstreamStatusRegistry statusRegistry;
     private final UpstreamHarm harm;
     private final Workers workers;
     private final MonotonicClock clock;
     private final Supplier<Boolean> leaving;
-    private final Map<String, Life> livesHeard = new ConcurrentHashMap<>();
-    private boolean beatDue;
+    private final Map<String, PeerState> lastPeerStates = new ConcurrentHashMap<>();
+    private boolean sendScheduled;
 
-    Beats(
+    Heartbeats(
             String self,
             String zone,
             long incarnation,
             PeerNetwork network,
             MembershipTable membership,
             ServiceDirectory directory,
-            StatusBoard statuses,
+            UpstreamStatusRegistry statuses,
             UpstreamHarm harm,
             Workers workers,
             MonotonicClock clock,
@@ -62,7 +62,7 @@
         this.network = network;
         this.membership = membership;
         this.directory = directory;
-        this.statuses = statuses;
+        this.statusRegistry = statuses;
         this.harm = harm;
         this.workers = workers;
         this.clock = clock;
@@ -70,57 +70,63 @@
     }
 
     void start() {
-        statuses.setOnChange(this::beatSoon);
-        workers.runEvery(PERIOD, this::beat);
+        statusRegistry.setOnChange(this::scheduleSend);
+        workers.runEvery(PERIOD, this::sendToAll);
     }
 
     /** Sends a beat at once, together with other changes of the same moment. */
-    void beatSoon() {
+    void scheduleSend() {
         synchronized (this) {
-            if (beatDue) {
+            if (sendScheduled) {
                 return;
             }
-            beatDue = true;
+            sendScheduled = true;
         }
-        workers.runAfter(AT_ONCE_SPACING_NANOS, () -> {
+        workers.runAfter(COALESCING_DELAY_NANOS, () -> {
             synchronized (this) {
-                beatDue = false;
+                sendScheduled = false;
             }
-            beat();
+            sendToAll();
         });
     }
 
-    void receive(Heartbeat beat) {
+    void receive(Heartbeat heartbeat) {
         membership.record(
-                beat.getHost(), beat.getIncarnation(), beat.getLeaving(), beat.getRevisionServed(), clock.nowNanos());
-        harm.hear(beat.getHarm());
-        beat.getUpstreamsList().forEach(status -> take(beat.getHost(), status));
-        Life life = new Life(beat.getIncarnation(), beat.getRevisionServed());
-        if (!life.equals(livesHeard.put(beat.getHost(), life))) {
-            network.send(beat.getHost(), Envelope.newBuilder().setHeartbeat(message(statuses.everything())));
+                heartbeat.getHost(),
+                heartbeat.getIncarnation(),
+                heartbeat.getLeaving(),
+                heartbeat.getRevisionServed(),
+                clock.nowNanos());
+        harm.applyPeerReport(heartbeat.getHarm());
+        heartbeat.getUpstreamsList().forEach(status -> recordStatus(heartbeat.getHost(), status));
+        PeerState state = new PeerState(heartbeat.getIncarnation(), heartbeat.getRevisionServed());
+        if (!state.equals(lastPeerStates.put(heartbeat.getHost(), state))) {
+            network.send(
+                    heartbeat.getHost(),
+                    Envelope.newBuilder().setHeartbeat(buildMessage(statusRegistry.allStatuses())));
         }
     }
 
-    private void beat() {
-        Heartbeat.Builder news = message(statuses.nextBeat()).toBuilder();
-        harm.nextBeat().ifPresent(news::setHarm);
-        Heartbeat message = news.build();
+    private void sendToAll() {
+        Heartbeat.Builder update = buildMessage(statusRegistry.nextHeartbeat()).toBuilder();
+        harm.nextHeartbeatReport().ifPresent(update::setHarm);
+        Heartbeat message = update.build();
         network.others()
                 .forEach(host -> network.send(host, Envelope.newBuilder().setHeartbeat(message)));
     }
 
-    private Heartbeat message(ImmutableList<StatusBoard.Told> told) {
+    private Heartbeat buildMessage(ImmutableList<UpstreamStatusRegistry.ReportedStatus> statusesToReport) {
         Heartbeat.Builder message = Heartbeat.newBuilder()
                 .setHost(self)
                 .setZone(zone)
                 .setIncarnation(incarnation)
                 .setLeaving(leaving.get())
                 .setRevisionServed(directory.configuration().revision());
-        told.forEach(each -> message.addUpstreams(toMessage(each)));
+        statusesToReport.forEach(each -> message.addUpstreams(toMessage(each)));
         return message.build();
     }
 
-    private void take(String holder, UpstreamStatus status) {
+    private void recordStatus(String holder, UpstreamStatus status) {
         ImmutableSet<ServedVersion> served = status.getVersionsList().stream()
                 .filter(version -> version.getShard() >= 0 && version.getShard() < version.getShardCount())
                 .map(version ->
@@ -131,15 +137,15 @@
     }
 
     /** A host that began a life or put a revision in force may have dropped what it was told of upstreams before. */
-    private record Life(long incarnation, long revision) {}
+    private record PeerState(long incarnation, long revision) {}
 
-    private static UpstreamStatus toMessage(StatusBoard.Told told) {
+    private static UpstreamStatus toMessage(UpstreamStatusRegistry.ReportedStatus reported) {
         UpstreamStatus.Builder status = UpstreamStatus.newBuilder()
-                .setService(told.upstream().service().toString())
-                .setUpstream(told.upstream().upstream())
-                .setDraining(told.report().draining())
-                .setReachable(told.reachable());
-        told.report()
+                .setService(reported.upstream().service().toString())
+                .setUpstream(reported.upstream().upstream())
+                .setDraining(reported.report().draining())
+                .setReachable(reported.reachable());
+        reported.report()
                 .served()
                 .forEach(version -> status.addVersions(org.bramblerack.wire.ServedVersion.newBuilder()
                         .setIndexVersion(version.indexVersion())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
@@ -25,8 +25,8 @@
 import org.bramblerack.daemon.entry.StoppingState;
 import org.bramblerack.daemon.holder.HolderService;
 import org.bramblerack.daemon.holder.HttpUpstreamProtocol;
-import org.bramblerack.daemon.holder.StatusBoard;
 import org.bramblerack.daemon.holder.UpstreamHarm;
+import org.bramblerack.daemon.holder.UpstreamStatusRegistry;
 import org.bramblerack.daemon.peer.LinkPolicy;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.daemon.peer.PeerServer;
@@ -49,7 +49,7 @@
 public final class HostProcess {
     private static final Logger LOGGER = System.getLogger(HostProcess.class.getName());
     private static final int NETWORK_THREADS = 2;
-    private static final Duration IDLE_CHECK = Duration.ofMillis(20);
+    private static final Duration DRAIN_POLL_PERIOD = Duration.ofMillis(20);
 
     private final Settings settings;
     private final Vertx vertx;
@@ -60,7 +60,7 @@
     private final HolderService holders;
     private final Optional<ControlNode> control;
     private final ConfigurationFollower follower;
-    private final Beats beats;
+    private final Heartbeats heartbeats;
     private final Optional<PlatformWatcher> platform;
     private final ServiceDirectory directory;
     private final QueryRunner queries;
@@ -83,7 +83,7 @@
         this.network = new PeerNetwork(settings.host(), settings.hosts(), group, links, traffic);
         MembershipTable membership = new MembershipTable();
         this.directory = new ServiceDirectory(settings.zone(), settings::hostsInZone);
-        StatusBoard statuses = new StatusBoard(settings.host(), directory);
+        UpstreamStatusRegistry statusRegistry = new UpstreamStatusRegistry(settings.host(), directory);
         UpstreamHarm harm = new UpstreamHarm(clock, wallClock);
         this.holders = new HolderService(
                 settings.host(),
@@ -92,18 +92,18 @@
                 workers,
                 clock,
                 random,
-                statuses,
+                statusRegistry,
                 harm);
         this.control = controlNode(settings, network, clock, wallClock, random);
         this.client = new ControlClient(settings.host(), settings.voters(), control, network, clock);
-        this.beats = new Beats(
+        this.heartbeats = new Heartbeats(
                 settings.host(),
                 settings.zone(),
                 incarnation,
                 network,
                 membership,
                 directory,
-                statuses,
+                statusRegistry,
                 harm,
                 workers,
                 clock,
@@ -118,7 +118,7 @@
                 clock,
                 metrics,
                 this::isLeaving,
-                this::configured);
+                this::onConfigurationChange);
         this.platform = platformList(vertx, settings.platform())
                 .map(list -> new PlatformWatcher(list, directory, workers, metrics));
         RequestIds ids = new RequestIds(settings.host(), incarnation);
@@ -126,8 +126,8 @@
         this.queries = new QueryRunner(directory, router, workers, clock, random, metrics, ids, settings.maxQueries());
         this.operations =
                 new OnceOnlyRunner(directory, router, client, workers, clock, wallClock, random, metrics, ids);
-        OperatorApi operators =
-                new OperatorApi(settings, directory, client, wallClock, metrics, follower::unconfirmed, this::stopping);
+        OperatorApi operators = new OperatorApi(
+                settings, directory, client, wallClock, metrics, follower::timeSinceConfirmation, this::stopping);
         this.entry = new EntryServer(
                 vertx,
                 settings.callerAddress(),
@@ -138,7 +138,7 @@
                 wallClock,
                 this::stopping,
                 follower::isReady);
-        PeerRouter peerRouter = new PeerRouter(workers, clock, holders, beats, membership, control, follower);
+        PeerRouter peerRouter = new PeerRouter(workers, clock, holders, heartbeats, membership, control, follower);
         this.peers = new PeerServer(settings.peerAddress(), peerRouter, group, links, traffic);
         addGauges();
     }
@@ -154,7 +154,7 @@
             control.get().start();
         }
         peers.start();
-        beats.start();
+        heartbeats.start();
         follower.start();
         platform.ifPresent(PlatformWatcher::start);
         entry.start();
@@ -176,15 +176,15 @@
     public void stop(Duration lag, Duration limit) throws InterruptedException {
         stopping = StoppingState.LEAVING;
         LOGGER.log(Logger.Level.INFO, "{0} is leaving", settings.host());
-        beats.beatSoon();
+        heartbeats.scheduleSend();
         Thread.sleep(lag.toMillis());
         stopping = StoppingState.FINISHING;
-        long giveUpNanos = System.nanoTime() + limit.toNanos();
-        while (inFlight() > 0 && System.nanoTime() - giveUpNanos < 0) {
-            Thread.sleep(IDLE_CHECK.toMillis());
+        long deadlineNanos = System.nanoTime() + limit.toNanos();
+        while (inFlight() > 0 && System.nanoTime() - deadlineNanos < 0) {
+            Thread.sleep(DRAIN_POLL_PERIOD.toMillis());
         }
-        int left = inFlight();
-        LOGGER.log(Logger.Level.INFO, "{0} stops with {1} requests in flight", settings.host(), left);
+        int remaining = inFlight();
+        LOGGER.log(Logger.Level.INFO, "{0} stops with {1} requests in flight", settings.host(), remaining);
         kill();
     }
 
@@ -231,9 +231,9 @@
         return stopping;
     }
 
-    private void configured() {
+    private void onConfigurationChange() {
         holders.configure();
-        beats.beatSoon();
+        heartbeats.scheduleSend();
     }
 
     private boolean isLeaving() {
@@ -255,7 +255,8 @@
         metrics.gauge("peer.control-messages-sent", traffic::controlMessages);
         metrics.gauge("configuration.revision", () -> directory.configuration().revision());
         metrics.gauge(
-                "configuration.unconfirmed-ms", () -> follower.unconfirmed().toMillis());
+                "configuration.unconfirmed-ms",
+                () -> follower.timeSinceConfirmation().toMillis());
     }
 
     private static Optional<PlatformList> platformList(Vertx vertx, PlatformSource source) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PeerRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PeerRouter.java
@@ -31,7 +31,7 @@
     private final Workers workers;
     private final MonotonicClock clock;
     private final HolderService holders;
-    private final Beats beats;
+    private final Heartbeats heartbeats;
     private final MembershipTable membership;
     private final Optional<ControlNode> control;
     private final ConfigurationFollower follower;
@@ -40,14 +40,14 @@
             Workers workers,
             MonotonicClock clock,
             HolderService holders,
-            Beats beats,
+            Heartbeats heartbeats,
             MembershipTable membership,
             Optional<ControlNode> control,
             ConfigurationFollower follower) {
         this.workers = workers;
         this.clock = clock;
         this.holders = holders;
-        this.beats = beats;
+        this.heartbeats = heartbeats;
         this.membership = membership;
         this.control = control;
         this.follower = follower;
@@ -62,24 +62,24 @@
                         request,
                         outcome -> reply.accept(Envelope.newBuilder().setLeafResult(LeafCodec.toMessage(outcome)))));
             }
-            case LEAF_CANCEL -> workers.run(() -> cancel(message.getLeafCancel()));
-            case HEARTBEAT -> workers.run(() -> beats.receive(message.getHeartbeat()));
+            case LEAF_CANCEL -> workers.run(() -> handleLeafCancel(message.getLeafCancel()));
+            case HEARTBEAT -> workers.run(() -> heartbeats.receive(message.getHeartbeat()));
             case RAFT -> control.ifPresent(node -> node.receive(message.getRaft()));
-            case PROPOSE -> propose(message.getPropose().getCommand(), reply);
-            case CONTROL_READ -> read(message, reply);
-            case CONFIGURATION_PULL -> pull(message.getConfigurationPull(), reply);
+            case PROPOSE -> handlePropose(message.getPropose().getCommand(), reply);
+            case CONTROL_READ -> handleControlRead(message, reply);
+            case CONFIGURATION_PULL -> handleConfigurationPull(message.getConfigurationPull(), reply);
             default -> {
                 // A message of a newer program: not understood, so not answered.
             }
         }
     }
 
-    private void cancel(LeafCancel cancel) {
+    private void handleLeafCancel(LeafCancel cancel) {
         holders.cancel(
                 new UpstreamName(ServiceName.parse(cancel.getService()), cancel.getUpstream()), cancel.getCallId());
     }
 
-    private void propose(ByteString bytes, Consumer<Envelope.Builder> reply) {
+    private void handlePropose(ByteString bytes, Consumer<Envelope.Builder> reply) {
         if (control.isEmpty()) {
             reply.accept(Envelope.newBuilder()
                     .setProposeResult(ProposeResult.newBuilder().setStatus(ProposeResult.Status.NOT_LEADER)));
@@ -112,7 +112,7 @@
                         : ProposeResult.Status.NOT_LEADER);
     }
 
-    private void read(Envelope message, Consumer<Envelope.Builder> reply) {
+    private void handleControlRead(Envelope message, Consumer<Envelope.Builder> reply) {
         if (control.isEmpty()) {
             reply.accept(Envelope.newBuilder().setControlReadResult(ControlReadResult.getDefaultInstance()));
             return;
@@ -123,7 +123,7 @@
                 .with(result -> reply.accept(Envelope.newBuilder().setControlReadResult(result)));
     }
 
-    private void pull(ConfigurationPull pull, Consumer<Envelope.Builder> reply) {
+    private void handleConfigurationPull(ConfigurationPull pull, Consumer<Envelope.Builder> reply) {
         if (control.isPresent() && control.get().isRunning()) {
             control.get()
                     .pull(pull)
@@ -132,8 +132,8 @@
             return;
         }
         workers.run(() -> {
-            long heard = membership.revisions().getOrDefault(pull.getHost(), 0L);
-            reply.accept(Envelope.newBuilder().setConfigurationDelta(follower.answerPeer(pull, heard)));
+            long lastSeenRevision = membership.revisions().getOrDefault(pull.getHost(), 0L);
+            reply.accept(Envelope.newBuilder().setConfigurationDelta(follower.handlePeerPull(pull, lastSeenRevision)));
         });
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
@@ -32,32 +32,34 @@
     }
 
     void start() {
-        workers.runEvery(PERIOD, this::look);
+        workers.runEvery(PERIOD, this::poll);
     }
 
     void stop() {
         list.close();
     }
 
-    private void look() {
+    private void poll() {
         list.leaving()
                 .subscribe()
-                .with(leaving -> workers.run(() -> take(leaving)), failure -> workers.run(() -> unreadable(failure)));
+                .with(
+                        leaving -> workers.run(() -> recordLeaving(leaving)),
+                        failure -> workers.run(() -> onReadFailure(failure)));
     }
 
-    private void take(ImmutableSet<String> leaving) {
+    private void recordLeaving(ImmutableSet<String> leaving) {
         if (!readable) {
             readable = true;
             LOGGER.log(Logger.Level.INFO, "the platform's list can be read again");
         }
         for (Upstream upstream : directory.upstreams()) {
-            boolean named = leaving.contains(upstream.address().toString())
+            boolean isLeaving = leaving.contains(upstream.address().toString())
                     || leaving.contains(upstream.address().getHost());
-            directory.recordPlatformDrain(upstream.name(), named);
+            directory.recordPlatformDrain(upstream.name(), isLeaving);
         }
     }
 
-    private void unreadable(Throwable failure) {
+    private void onReadFailure(Throwable failure) {
         metrics.count("platform.unreadable");
         if (readable) {
             readable = false;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpConnection.java
@@ -36,14 +36,14 @@
     private final Deque<HttpExchange> waiting = new ArrayDeque<>();
     private @Nullable HttpExchange current;
     private @Nullable ChannelHandlerContext context;
-    private long quietSinceNanos;
+    private long lastActivityNanos;
     private boolean headIncomplete;
     private boolean closing;
 
     HttpConnection(HttpListener listener, MonotonicClock clock) {
         this.listener = listener;
         this.clock = clock;
-        this.quietSinceNanos = clock.nowNanos();
+        this.lastActivityNanos = clock.nowNanos();
     }
 
     static boolean isClosing(ChannelHandlerContext context) {
@@ -52,43 +52,43 @@
     }
 
     @Override
-    public void channelActive(ChannelHandlerContext active) {
-        context = active;
-        listener.opened(this);
+    public void channelActive(ChannelHandlerContext handlerContext) {
+        context = handlerContext;
+        listener.onOpened(this);
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext inactive) {
-        listener.closed(this);
-        HttpExchange gone = current;
+    public void channelInactive(ChannelHandlerContext handlerContext) {
+        listener.onClosed(this);
+        HttpExchange unanswered = current;
         current = null;
-        if (gone != null) {
-            gone.callerWent();
+        if (unanswered != null) {
+            unanswered.onCallerDisconnected();
         }
-        waiting.forEach(HttpExchange::callerWent);
+        waiting.forEach(HttpExchange::onCallerDisconnected);
         waiting.clear();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext reading, FullHttpRequest request) {
-        quietSinceNanos = clock.nowNanos();
+    protected void channelRead0(ChannelHandlerContext handlerContext, FullHttpRequest request) {
+        lastActivityNanos = clock.nowNanos();
         DecoderResult decoded = request.decoderResult();
         if (decoded.isFailure()) {
-            refuse(reading, decoded.cause());
+            rejectMalformed(handlerContext, decoded.cause());
             return;
         }
         HttpExchange exchange = new HttpExchange(
-                reading,
+                handlerContext,
                 request.method(),
                 request.uri(),
                 request.headers(),
                 ByteBufUtil.getBytes(request.content()),
                 HttpUtil.isKeepAlive(request),
-                quietSinceNanos,
-                this::answered);
+                lastActivityNanos,
+                this::onAnswered);
         if (current != null) {
             if (waiting.size() >= MAX_PIPELINED) {
-                reading.close();
+                handlerContext.close();
                 return;
             }
             waiting.addLast(exchange);
@@ -98,14 +98,14 @@
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext failed, Throwable cause) {
-        failed.close();
+    public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
+        handlerContext.close();
     }
 
     /** Notes that bytes arrived, or that a head is whole. */
-    void headProgress(boolean incomplete) {
+    void onHeadProgress(boolean incomplete) {
         if (incomplete && !headIncomplete && current == null) {
-            quietSinceNanos = clock.nowNanos();
+            lastActivityNanos = clock.nowNanos();
         }
         headIncomplete = incomplete;
     }
@@ -115,12 +115,12 @@
     }
 
     /** Closes a connection that has rested, or has been sending a head, for longer than is allowed. */
-    void closeIfOverdue(long nowNanos, long headerTimeoutNanos, long idleTimeoutNanos) {
+    void closeIfTimedOut(long nowNanos, long headerTimeoutNanos, long idleTimeoutNanos) {
         if (!isIdle() || context == null) {
             return;
         }
         long allowedNanos = headIncomplete ? headerTimeoutNanos : idleTimeoutNanos;
-        if (nowNanos - quietSinceNanos > allowedNanos) {
+        if (nowNanos - lastActivityNanos > allowedNanos) {
             context.close();
         }
     }
@@ -145,8 +145,8 @@
         listener.handler().handle(exchange);
     }
 
-    private void answered(HttpExchange exchange) {
-        quietSinceNanos = clock.nowNanos();
+    private void onAnswered(HttpExchange exchange) {
+        lastActivityNanos = clock.nowNanos();
         current = null;
         if (closing || listener.isStopping()) {
             // The answer closes the connection; what was sent ahead has not been looked at.
@@ -159,7 +159,7 @@
         }
     }
 
-    private void refuse(ChannelHandlerContext reading, Throwable cause) {
+    private void rejectMalformed(ChannelHandlerContext handlerContext, Throwable cause) {
         int status = BAD_REQUEST;
         if (cause instanceof TooLongHttpHeaderException) {
             status = HEAD_TOO_LONG;
@@ -170,6 +170,6 @@
         response.headers()
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, 0)
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        reading.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+        handlerContext.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpExchange.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpExchange.java
@@ -122,7 +122,7 @@
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
     }
 
-    void callerWent() {
+    void onCallerDisconnected() {
         if (!answered) {
             callerGone = true;
             onCallerGone.run();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
@@ -30,7 +30,7 @@
 public final class HttpListener {
     private static final int BACKLOG = 1_024;
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
-    private static final long SWEEP_MILLIS = 500;
+    private static final long TIMEOUT_CHECK_PERIOD_MILLIS = 500;
 
     private final HostAndPort address;
     private final EventLoopGroup group;
@@ -38,8 +38,8 @@
     private final Supplier<RequestLimits> limits;
     private final MonotonicClock clock;
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
-    private @Nullable Channel listening;
-    private @Nullable ScheduledFuture<?> sweeping;
+    private @Nullable Channel serverChannel;
+    private @Nullable ScheduledFuture<?> timeoutCheck;
     private volatile boolean stopping;
 
     /** Creates a listener that does not yet listen. */
@@ -62,17 +62,22 @@
      * @throws InterruptedException if the thread is interrupted while the address is bound
      */
     public synchronized void start() throws InterruptedException {
-        listening = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new Pipeline())
+                .childHandler(new PipelineInitializer())
                 .bind(new InetSocketAddress(address.getHost(), address.getPort()))
                 .sync()
                 .channel();
-        sweeping = group.next().scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        timeoutCheck = group.next()
+                .scheduleWithFixedDelay(
+                        this::closeTimedOut,
+                        TIMEOUT_CHECK_PERIOD_MILLIS,
+                        TIMEOUT_CHECK_PERIOD_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
     /** Begins to stop: every answer from now on ends its connection. */
@@ -97,13 +102,13 @@
 
     /** Stops listening; open connections stay open. */
     public synchronized void stopListening() {
-        if (listening != null) {
-            listening.close().awaitUninterruptibly();
-            listening = null;
+        if (serverChannel != null) {
+            serverChannel.close().awaitUninterruptibly();
+            serverChannel = null;
         }
-        if (sweeping != null) {
-            sweeping.cancel(false);
-            sweeping = null;
+        if (timeoutCheck != null) {
+            timeoutCheck.cancel(false);
+            timeoutCheck = null;
         }
     }
 
@@ -121,35 +126,35 @@
         return handler;
     }
 
-    void opened(HttpConnection connection) {
+    void onOpened(HttpConnection connection) {
         connections.add(connection);
     }
 
-    void closed(HttpConnection connection) {
+    void onClosed(HttpConnection connection) {
         connections.remove(connection);
     }
 
-    private void sweep() {
-        RequestLimits now = limits.get();
+    private void closeTimedOut() {
+        RequestLimits current = limits.get();
         long nowNanos = clock.nowNanos();
         ImmutableList.copyOf(connections)
-                .forEach(connection -> connection.closeIfOverdue(
+                .forEach(connection -> connection.closeIfTimedOut(
                         nowNanos,
-                        now.headerTimeout().toNanos(),
-                        now.idleTimeout().toNanos()));
+                        current.headerTimeout().toNanos(),
+                        current.idleTimeout().toNanos()));
     }
 
     /** Sets up a connection under the limits of the moment. */
-    private final class Pipeline extends ChannelInitializer<SocketChannel> {
+    private final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
-            RequestLimits now = limits.get();
+            RequestLimits current = limits.get();
             HttpConnection connection = new HttpConnection(HttpListener.this, clock);
             channel.pipeline()
-                    .addLast(new HeadWatch.Bytes(connection))
-                    .addLast(new HttpServerCodec(now.maxHeaderBytes(), now.maxHeaderBytes(), MAX_CHUNK_BYTES))
-                    .addLast(new HeadWatch.Heads(connection))
-                    .addLast(new HttpObjectAggregator(now.maxBodyBytes()))
+                    .addLast(new RequestHeadMonitor.BeforeDecoder(connection))
+                    .addLast(new HttpServerCodec(current.maxHeaderBytes(), current.maxHeaderBytes(), MAX_CHUNK_BYTES))
+                    .addLast(new RequestHeadMonitor.AfterDecoder(connection))
+                    .addLast(new HttpObjectAggregator(current.maxBodyBytes()))
                     .addLast(connection);
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/MetricsPage.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/MetricsPage.java
@@ -33,20 +33,20 @@
 
     private String render() {
         StringBuilder text = new StringBuilder(4_096);
-        registry.getCounters().forEach((name, counter) -> line(text, name, Long.toString(counter.getCount())));
-        registry.getGauges().forEach((name, gauge) -> line(text, name, String.valueOf(gauge.getValue())));
+        registry.getCounters().forEach((name, counter) -> appendLine(text, name, Long.toString(counter.getCount())));
+        registry.getGauges().forEach((name, gauge) -> appendLine(text, name, String.valueOf(gauge.getValue())));
         registry.getHistograms().forEach((name, histogram) -> {
             Snapshot snapshot = histogram.getSnapshot();
             for (double quantile : QUANTILES) {
                 String labelled = name + "{quantile=\"" + quantile + "\"}";
-                line(text, labelled, Long.toString((long) snapshot.getValue(quantile)));
+                appendLine(text, labelled, Long.toString((long) snapshot.getValue(quantile)));
             }
-            line(text, name + "_count", Long.toString(histogram.getCount()));
+            appendLine(text, name + "_count", Long.toString(histogram.getCount()));
         });
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, String value) {
+    private static void appendLine(StringBuilder text, String name, String value) {
         text.append(name).append(' ').append(value).append('\n');
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallMonitor.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallMonitor.java
@@ -22,7 +22,7 @@
         public void onFailed(LeafRequest request, LeafOutcome outcome) {}
 
         @Override
-        public void onLeafEnded(ImmutableList<LeafRequest> onIt) {}
+        public void onLeafEnded(ImmutableList<LeafRequest> callsInFlight) {}
     };
 
     /** Returns true if a call may be sent to the leaf. */
@@ -35,5 +35,5 @@
     void onFailed(LeafRequest request, LeafOutcome outcome);
 
     /** Notes that the leaf has ended with calls on it. */
-    void onLeafEnded(ImmutableList<LeafRequest> onIt);
+    void onLeafEnded(ImmutableList<LeafRequest> callsInFlight);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
@@ -11,12 +11,12 @@
 
     private static final String TIMEOUT = "timeout=";
     /** A request that leaves later than this before the end could cross the leaf's close. */
-    private static final Duration SAFETY = Duration.ofMillis(600);
+    private static final Duration SAFETY_MARGIN = Duration.ofMillis(600);
 
     private KeepAlive() {}
 
     /** Reads the seconds of a {@code Keep-Alive} field. */
-    static Optional<Long> seconds(@Nullable String field) {
+    static Optional<Long> timeoutSeconds(@Nullable String field) {
         if (field == null) {
             return Optional.empty();
         }
@@ -36,7 +36,7 @@
     static long safeIdleNanos(long seconds) {
         Duration whole = Duration.ofSeconds(seconds);
         Duration half = whole.dividedBy(2);
-        Duration safe = whole.minus(SAFETY);
+        Duration safe = whole.minus(SAFETY_MARGIN);
         return (safe.compareTo(half) > 0 ? safe : half).toNanos();
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
@@ -24,10 +24,10 @@
         Optional<String> signature,
         Optional<LeafLoad> load) {
     private static final int OK = 200;
-    private static final int LEAST_REDIRECT = 300;
+    private static final int MIN_REDIRECT = 300;
     private static final int MISDIRECTED = 421;
-    private static final int LEAST_SERVER_FAILURE = 500;
-    private static final int TIME_UP = 504;
+    private static final int MIN_SERVER_ERROR = 500;
+    private static final int GATEWAY_TIMEOUT = 504;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
     private static final String CONTENT_ENCODING = "content-encoding";
@@ -49,7 +49,7 @@
      * work on it.
      */
     public boolean showsSurvival() {
-        return status != TIME_UP && (outcome == LeafOutcome.SUCCEEDED || outcome == LeafOutcome.FAILED);
+        return status != GATEWAY_TIMEOUT && (outcome == LeafOutcome.SUCCEEDED || outcome == LeafOutcome.FAILED);
     }
 
     private static LeafOutcome outcomeOf(
@@ -61,10 +61,10 @@
         if (notRun && (status == UNAVAILABLE || status == TOO_MANY_REQUESTS)) {
             return LeafOutcome.REFUSED_BUSY;
         }
-        if (status >= LEAST_SERVER_FAILURE || notRun) {
+        if (status >= MIN_SERVER_ERROR || notRun) {
             return LeafOutcome.FAILED;
         }
-        boolean success = status >= OK && status < LEAST_REDIRECT;
+        boolean success = status >= OK && status < MIN_REDIRECT;
         if (success && (signature.isEmpty() || headers.contains(CONTENT_ENCODING))) {
             return LeafOutcome.GARBLED;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
@@ -29,48 +29,48 @@
  */
 final class LeafConnection extends ChannelInboundHandlerAdapter {
     /** How many answers to earlier requests may come before the one that is due. */
-    private static final int MAX_FOREIGN_ANSWERS = 2;
+    private static final int MAX_STALE_ANSWERS = 2;
 
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
-    private static final int INFORMATIONAL = 200;
+    private static final int MIN_FINAL_STATUS = 200;
 
     private final LeafConnections owner;
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final MonotonicClock clock;
     private @Nullable Channel channel;
-    private @Nullable LeafCallback exchange;
+    private @Nullable LeafCallback callback;
     private String requestId = "";
     private @Nullable HttpResponse response;
     private @Nullable CompositeByteBuf body;
-    private int foreignAnswers;
-    private boolean keepsOpen = true;
-    private @Nullable ConnectionEvent end;
-    private boolean reset;
+    private int staleAnswers;
+    private boolean reusable = true;
+    private @Nullable ConnectionEvent endReason;
+    private boolean failed;
     private long idleSinceNanos;
-    private long idleLimitNanos = Long.MAX_VALUE;
+    private long maxIdleNanos = Long.MAX_VALUE;
 
     LeafConnection(LeafConnections owner, CallHeaders names, MonotonicClock clock) {
         this.owner = owner;
-        this.names = names;
+        this.headerNames = names;
         this.clock = clock;
     }
 
-    void opened(Channel opened) {
-        channel = opened;
+    void onOpened(Channel openChannel) {
+        channel = openChannel;
         idleSinceNanos = clock.nowNanos();
     }
 
     /** Sends a request; the connection must be idle. */
-    void send(LeafRequest request, String leafId, long remainingMillis, LeafCallback taker) {
+    void send(LeafRequest request, String leafId, long remainingMillis, LeafCallback newCallback) {
         Channel open = channel;
         if (open == null || !open.isActive()) {
-            taker.onFailure(LeafOutcome.UNREACHABLE);
+            newCallback.onFailure(LeafOutcome.UNREACHABLE);
             return;
         }
-        exchange = taker;
+        callback = newCallback;
         requestId = request.requestId();
-        foreignAnswers = 0;
-        open.pipeline().get(LeafResponseDecoder.class).setBodiless(request.isHead());
+        staleAnswers = 0;
+        open.pipeline().get(LeafResponseDecoder.class).setWithoutBody(request.isHead());
         open.writeAndFlush(request.encode(open.alloc(), leafId, remainingMillis), open.voidPromise());
     }
 
@@ -80,8 +80,8 @@
      * @param reason why, unless it is closed already
      */
     void close(ConnectionEvent reason) {
-        keepsOpen = false;
-        end = end == null ? reason : end;
+        reusable = false;
+        endReason = endReason == null ? reason : endReason;
         Channel open = channel;
         if (open != null) {
             open.close();
@@ -91,31 +91,31 @@
     /** Returns true if it may carry a request now. */
     boolean isUsable(long nowNanos) {
         Channel open = channel;
-        return keepsOpen
-                && exchange == null
+        return reusable
+                && callback == null
                 && open != null
                 && open.isActive()
-                && nowNanos - idleSinceNanos < idleLimitNanos;
+                && nowNanos - idleSinceNanos < maxIdleNanos;
     }
 
     /** Returns true if a request with the identifier was the last that it carried. */
-    boolean lastCarried(String id) {
+    boolean lastCarriedRequest(String id) {
         return !id.isEmpty() && requestId.equals(id);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            if (exchange == null) {
+            if (callback == null) {
                 // Nothing is due: an answer too many, or bytes that belong to no request.
                 close(ConnectionEvent.ENDED_GARBLED);
                 return;
             }
             if (message instanceof HttpResponse head) {
-                begin(head);
+                onHead(head);
             }
             if (message instanceof HttpContent content) {
-                append(content);
+                onContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -124,130 +124,130 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        reset = true;
-        close(endedByLeaf());
+        failed = true;
+        close(remoteCloseReason());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        keepsOpen = false;
-        ConnectionEvent reason = end == null ? endedByLeaf() : end;
-        dropBody();
+        reusable = false;
+        ConnectionEvent reason = endReason == null ? remoteCloseReason() : endReason;
+        releaseBody();
         fail(LeafOutcome.BROKEN);
-        owner.closed(this, reason);
+        owner.onClosed(this, reason);
     }
 
-    private ConnectionEvent endedByLeaf() {
-        return exchange == null ? ConnectionEvent.ENDED_WHILE_IDLE : ConnectionEvent.ENDED_WHILE_CALLED;
+    private ConnectionEvent remoteCloseReason() {
+        return callback == null ? ConnectionEvent.ENDED_WHILE_IDLE : ConnectionEvent.ENDED_WHILE_CALLED;
     }
 
-    private void begin(HttpResponse head) {
+    private void onHead(HttpResponse head) {
         if (head.decoderResult().isFailure()) {
-            garbled();
+            failMalformed();
             return;
         }
         response = head;
         body = null;
     }
 
-    private void append(HttpContent content) {
+    private void onContent(HttpContent content) {
         HttpResponse head = response;
         if (content.decoderResult().isFailure()) {
-            garbled();
+            failMalformed();
             return;
         }
         if (head == null) {
             return;
         }
         if (content.content().isReadable()) {
-            CompositeByteBuf gathered = body == null ? Unpooled.compositeBuffer(64) : body;
-            body = gathered;
-            gathered.addComponent(true, content.content().retain());
-            if (gathered.readableBytes() > MAX_BODY_BYTES) {
-                garbled();
+            CompositeByteBuf accumulated = body == null ? Unpooled.compositeBuffer(64) : body;
+            body = accumulated;
+            accumulated.addComponent(true, content.content().retain());
+            if (accumulated.readableBytes() > MAX_BODY_BYTES) {
+                failMalformed();
                 return;
             }
         }
         if (content instanceof LastHttpContent) {
-            finish(head);
+            onComplete(head);
         }
     }
 
-    private void finish(HttpResponse head) {
+    private void onComplete(HttpResponse head) {
         ByteString whole = takeBody();
         response = null;
-        if (head.status().code() < INFORMATIONAL) {
+        if (head.status().code() < MIN_FINAL_STATUS) {
             return;
         }
         boolean framed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
-        if (!framed && reset) {
+        if (!framed && failed) {
             fail(LeafOutcome.BROKEN);
             return;
         }
-        keepsOpen &= framed && HttpUtil.isKeepAlive(head);
-        String echoed = head.headers().get(names.requestId());
+        reusable &= framed && HttpUtil.isKeepAlive(head);
+        String echoed = head.headers().get(headerNames.requestId());
         if (echoed != null && !requestId.isEmpty() && !echoed.equals(requestId)) {
-            skipForeign();
+            skipStaleAnswer();
             return;
         }
-        noteIdleLimit(head.headers());
-        complete(LeafAnswer.of(head.status().code(), head.headers(), whole, names));
+        updateIdleLimit(head.headers());
+        complete(LeafAnswer.of(head.status().code(), head.headers(), whole, headerNames));
     }
 
     /** An answer to another request came where ours is due: ours may still follow it. */
-    private void skipForeign() {
-        keepsOpen = false;
-        foreignAnswers++;
-        if (foreignAnswers > MAX_FOREIGN_ANSWERS) {
-            garbled();
+    private void skipStaleAnswer() {
+        reusable = false;
+        staleAnswers++;
+        if (staleAnswers > MAX_STALE_ANSWERS) {
+            failMalformed();
         }
     }
 
-    private void noteIdleLimit(HttpHeaders headers) {
-        Optional<Long> seconds = KeepAlive.seconds(headers.get(KeepAlive.FIELD));
-        seconds.ifPresent(value -> idleLimitNanos = KeepAlive.safeIdleNanos(value));
+    private void updateIdleLimit(HttpHeaders headers) {
+        Optional<Long> seconds = KeepAlive.timeoutSeconds(headers.get(KeepAlive.FIELD));
+        seconds.ifPresent(value -> maxIdleNanos = KeepAlive.safeIdleNanos(value));
     }
 
     private void complete(LeafAnswer answer) {
-        LeafCallback taker = exchange;
-        exchange = null;
+        LeafCallback completed = callback;
+        callback = null;
         idleSinceNanos = clock.nowNanos();
-        if (keepsOpen) {
-            owner.idle(this);
+        if (reusable) {
+            owner.onIdle(this);
         } else {
             close(ConnectionEvent.ENDED_BY_ANSWER);
         }
-        if (taker != null) {
-            taker.onAnswer(answer);
+        if (completed != null) {
+            completed.onAnswer(answer);
         }
     }
 
-    private void garbled() {
-        dropBody();
+    private void failMalformed() {
+        releaseBody();
         response = null;
         fail(LeafOutcome.GARBLED);
         close(ConnectionEvent.ENDED_GARBLED);
     }
 
     private void fail(LeafOutcome outcome) {
-        LeafCallback taker = exchange;
-        exchange = null;
-        if (taker != null) {
-            taker.onFailure(outcome);
+        LeafCallback failed = callback;
+        callback = null;
+        if (failed != null) {
+            failed.onFailure(outcome);
         }
     }
 
     private ByteString takeBody() {
-        ByteBuf gathered = body;
-        if (gathered == null) {
+        ByteBuf accumulated = body;
+        if (accumulated == null) {
             return ByteString.EMPTY;
         }
-        ByteString whole = UnsafeByteOperations.unsafeWrap(ByteBufUtil.getBytes(gathered));
-        dropBody();
+        ByteString whole = UnsafeByteOperations.unsafeWrap(ByteBufUtil.getBytes(accumulated));
+        releaseBody();
         return whole;
     }
 
-    private void dropBody() {
+    private void releaseBody() {
         if (body != null) {
             body.release();
             body = null;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -35,15 +35,15 @@
 
     private final Leaf leaf;
     private final EventLoopGroup group;
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final MonotonicClock clock;
     private final IntSupplier share;
     private final Consumer<ConnectionEvent> observer;
-    private final CallMonitor watch;
-    private final LeafEndDetector<LeafRequest> calls = new LeafEndDetector<>();
-    private final Deque<LeafConnection> idle = new ArrayDeque<>();
+    private final CallMonitor monitor;
+    private final LeafEndDetector<LeafRequest> endDetector = new LeafEndDetector<>();
+    private final Deque<LeafConnection> onIdle = new ArrayDeque<>();
     private final List<LeafConnection> open = new ArrayList<>(4);
-    private final Deque<Pending> waiting = new ArrayDeque<>();
+    private final Deque<PendingRequest> waiting = new ArrayDeque<>();
     private int connecting;
 
     /**
@@ -63,11 +63,11 @@
             CallMonitor watch) {
         this.leaf = leaf;
         this.group = group;
-        this.names = names;
+        this.headerNames = names;
         this.clock = clock;
         this.share = share;
         this.observer = observer;
-        this.watch = watch;
+        this.monitor = watch;
     }
 
     /**
@@ -78,21 +78,21 @@
      * @param deadlineNanos when the sender stops waiting
      * @return what to call to give the request up
      */
-    public CallHandle send(LeafRequest request, long deadlineNanos, LeafCallback taker) {
-        Pending pending = new Pending(request, deadlineNanos, taker);
-        if (!watch.maySend(request)) {
-            taker.onFailure(LeafOutcome.BARRED);
+    public CallHandle send(LeafRequest request, long deadlineNanos, LeafCallback callback) {
+        PendingRequest pending = new PendingRequest(request, deadlineNanos, callback);
+        if (!monitor.maySend(request)) {
+            callback.onFailure(LeafOutcome.BARRED);
             return pending;
         }
         if (!leaf.acceptsWork() || !request.mayBeSentTo(leaf)) {
-            taker.onFailure(LeafOutcome.NO_CONNECTION);
+            callback.onFailure(LeafOutcome.NO_CONNECTION);
             return pending;
         }
-        LeafConnection free = takeIdle(request.requestId());
-        if (free != null) {
-            pending.sendOn(free);
+        LeafConnection idleConnection = takeIdle(request.requestId());
+        if (idleConnection != null) {
+            pending.sendOn(idleConnection);
         } else if (waiting.size() >= MAX_WAITING) {
-            taker.onFailure(LeafOutcome.NO_CONNECTION);
+            callback.onFailure(LeafOutcome.NO_CONNECTION);
         } else {
             waiting.addLast(pending);
             connectIfAllowed();
@@ -115,7 +115,7 @@
 
     /** Closes what is idle; another connection is made when one is needed. */
     public void closeIdle() {
-        for (LeafConnection connection : List.copyOf(idle)) {
+        for (LeafConnection connection : List.copyOf(onIdle)) {
             connection.close(ConnectionEvent.ENDED_NOT_NEEDED);
         }
     }
@@ -125,46 +125,46 @@
         return open.size() + connecting;
     }
 
-    void idle(LeafConnection connection) {
+    void onIdle(LeafConnection connection) {
         if (!leaf.acceptsWork()) {
             connection.close(ConnectionEvent.ENDED_NOT_NEEDED);
             failWaiting(LeafOutcome.NO_CONNECTION);
             return;
         }
-        Pending next = nextWaiting();
+        PendingRequest next = nextWaiting();
         if (next == null) {
-            idle.addFirst(connection);
+            onIdle.addFirst(connection);
         } else {
             next.sendOn(connection);
         }
     }
 
-    void closed(LeafConnection connection, ConnectionEvent reason) {
+    void onClosed(LeafConnection connection, ConnectionEvent reason) {
         observer.accept(reason);
-        idle.remove(connection);
+        onIdle.remove(connection);
         open.remove(connection);
         if (reason == ConnectionEvent.ENDED_WHILE_IDLE) {
-            calls.onIdleConnectionClosed(clock.nowNanos());
+            endDetector.onIdleConnectionClosed(clock.nowNanos());
         }
-        confirm();
+        probeIfEndSuspected();
         if (!waiting.isEmpty()) {
             connectIfAllowed();
         }
     }
 
     /** Finds out whether the leaf has ended, if that is in doubt, unless a connection is being made anyway. */
-    private void confirm() {
-        if (calls.isEndSuspected() && connecting == 0 && leaf.acceptsWork()) {
+    private void probeIfEndSuspected() {
+        if (endDetector.isEndSuspected() && connecting == 0 && leaf.acceptsWork()) {
             connect(ConnectionEvent.MADE_TO_CONFIRM);
         }
     }
 
     private @Nullable LeafConnection takeIdle(String requestId) {
         long nowNanos = clock.nowNanos();
-        while (!idle.isEmpty()) {
-            LeafConnection candidate = idle.pollFirst();
+        while (!onIdle.isEmpty()) {
+            LeafConnection candidate = onIdle.pollFirst();
             boolean usable = candidate.isUsable(nowNanos);
-            if (usable && !candidate.lastCarried(requestId)) {
+            if (usable && !candidate.lastCarriedRequest(requestId)) {
                 return candidate;
             }
             candidate.close(usable ? ConnectionEvent.ENDED_SAME_REQUEST : ConnectionEvent.ENDED_RESTED);
@@ -172,9 +172,9 @@
         return null;
     }
 
-    private @Nullable Pending nextWaiting() {
-        Pending next = waiting.pollFirst();
-        while (next != null && next.isGivenUp()) {
+    private @Nullable PendingRequest nextWaiting() {
+        PendingRequest next = waiting.pollFirst();
+        while (next != null && next.isAbandoned()) {
             next = waiting.pollFirst();
         }
         return next;
@@ -190,8 +190,8 @@
     private void connect(ConnectionEvent reason) {
         connecting++;
         observer.accept(reason);
-        long begunNanos = clock.nowNanos();
-        LeafConnection connection = new LeafConnection(this, names, clock);
+        long startNanos = clock.nowNanos();
+        LeafConnection connection = new LeafConnection(this, headerNames, clock);
         HostAndPort address = HostAndPort.fromString(leaf.address());
         new Bootstrap()
                 .group(group)
@@ -205,32 +205,32 @@
                     }
                 })
                 .connect(new InetSocketAddress(address.getHost(), address.getPort()))
-                .addListener((ChannelFuture future) -> connected(future, connection, begunNanos));
+                .addListener((ChannelFuture future) -> onConnectCompleted(future, connection, startNanos));
     }
 
-    private void connected(ChannelFuture future, LeafConnection connection, long begunNanos) {
+    private void onConnectCompleted(ChannelFuture future, LeafConnection connection, long startNanos) {
         connecting--;
         if (future.isSuccess()) {
-            calls.onConnected(begunNanos);
-            connection.opened(future.channel());
+            endDetector.onConnected(startNanos);
+            connection.onOpened(future.channel());
             open.add(connection);
-            idle(connection);
-            confirm();
+            onIdle(connection);
+            probeIfEndSuspected();
             return;
         }
         observer.accept(ConnectionEvent.NOT_MADE);
-        ImmutableList<LeafRequest> onIt = calls.onConnectFailed(clock.nowNanos());
-        if (!onIt.isEmpty() && leaf.acceptsWork()) {
-            watch.onLeafEnded(onIt);
+        ImmutableList<LeafRequest> callsInFlight = endDetector.onConnectFailed(clock.nowNanos());
+        if (!callsInFlight.isEmpty() && leaf.acceptsWork()) {
+            monitor.onLeafEnded(callsInFlight);
         }
         failWaiting(LeafOutcome.UNREACHABLE);
     }
 
     private void failWaiting(LeafOutcome outcome) {
-        Pending next = nextWaiting();
+        PendingRequest next = nextWaiting();
         while (next != null) {
             next.done = true;
-            next.taker.onFailure(outcome);
+            next.callback.onFailure(outcome);
             next = nextWaiting();
         }
     }
@@ -245,84 +245,84 @@
         boolean abandon();
     }
 
-    private final class Pending implements CallHandle {
+    private final class PendingRequest implements CallHandle {
         private final LeafRequest request;
         private final long deadlineNanos;
-        private final LeafCallback taker;
+        private final LeafCallback callback;
         private @Nullable LeafConnection connection;
-        private boolean givenUp;
+        private boolean abandoned;
         private boolean done;
 
-        Pending(LeafRequest request, long deadlineNanos, LeafCallback taker) {
+        PendingRequest(LeafRequest request, long deadlineNanos, LeafCallback taker) {
             this.request = request;
             this.deadlineNanos = deadlineNanos;
-            this.taker = taker;
+            this.callback = taker;
         }
 
-        void sendOn(LeafConnection free) {
-            if (!watch.maySend(request)) {
+        void sendOn(LeafConnection target) {
+            if (!monitor.maySend(request)) {
                 // It waited for a connection while the others were found to end with it.
                 done = true;
-                idle(free);
-                taker.onFailure(LeafOutcome.BARRED);
+                onIdle(target);
+                callback.onFailure(LeafOutcome.BARRED);
                 return;
             }
             if (!leaf.tryAdmit(clock.nowNanos())) {
                 done = true;
-                idle(free);
-                taker.onFailure(LeafOutcome.NO_CONNECTION);
+                onIdle(target);
+                callback.onFailure(LeafOutcome.NO_CONNECTION);
                 return;
             }
-            connection = free;
-            calls.onSent(request);
+            connection = target;
+            endDetector.onSent(request);
             long remainingMillis = Math.max(1, (deadlineNanos - clock.nowNanos()) / NANOS_PER_MILLI);
-            free.send(request, leaf.id(), remainingMillis, new LeafCallback() {
+            target.send(request, leaf.id(), remainingMillis, new LeafCallback() {
                 @Override
                 public void onAnswer(LeafAnswer answer) {
                     done = true;
-                    calls.onAnswered(request);
+                    endDetector.onAnswered(request);
                     if (answer.showsSurvival()) {
-                        watch.onAnswered(request);
+                        monitor.onAnswered(request);
                     }
-                    taker.onAnswer(answer);
+                    callback.onAnswer(answer);
                 }
 
                 @Override
                 public void onFailure(LeafOutcome outcome) {
                     done = true;
-                    noteFailure(outcome);
-                    taker.onFailure(outcome);
+                    recordFailure(outcome);
+                    callback.onFailure(outcome);
                 }
             });
         }
 
-        private void noteFailure(LeafOutcome outcome) {
-            if (givenUp) {
+        private void recordFailure(LeafOutcome outcome) {
+            if (abandoned) {
                 return;
             }
-            watch.onFailed(request, outcome);
+            monitor.onFailed(request, outcome);
             if (outcome == LeafOutcome.BROKEN) {
-                calls.onDisconnected(request, clock.nowNanos());
+                endDetector.onDisconnected(request, clock.nowNanos());
             } else {
-                calls.onAnswered(request);
+                endDetector.onAnswered(request);
             }
         }
 
-        boolean isGivenUp() {
-            return givenUp;
+        boolean isAbandoned() {
+            return abandoned;
         }
 
         @Override
         public boolean abandon() {
-            if (givenUp || done) {
+            if (abandoned || done) {
                 return false;
             }
-            givenUp = true;
+            abandoned = true;
             if (connection == null) {
-                taker.onFailure(LeafOutcome.NO_CONNECTION);
+                callback.onFailure(LeafOutcome.NO_CONNECTION);
                 return true;
             }
-            calls.onAbandoned(request, clock.nowNanos());
+            endDetector.onAbandoned(request, clock.nowNanos());
             connection.close(ConnectionEvent.ENDED_CALL_GIVEN_UP);
             return false;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -24,7 +24,7 @@
  * concern one connection only and those that the system sets itself. Immutable and safe for use by many threads.
  */
 public final class LeafRequest {
-    private static final Set<String> OF_ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -34,18 +34,18 @@
             "upgrade",
             "expect",
             "content-length");
-    private static final String AUTHORITY = "host";
-    private static final String CREDENTIALS = "authorization";
+    private static final String HOST_HEADER = "host";
+    private static final String AUTHORIZATION_HEADER = "authorization";
     private static final String LINE_END = "\r\n";
-    private static final int HEAD_RESERVE_BYTES = 96;
+    private static final int LEAF_HEADERS_RESERVE_BYTES = 96;
 
-    private final CallHeaders names;
+    private final CallHeaders headerNames;
     private final String requestId;
     private final boolean head;
     private final byte[] commonHead;
     private final byte[] body;
-    private final HomeRegions homes;
-    private final Supplier<Fingerprints> fingerprintsSource;
+    private final HomeRegions homeRegions;
+    private final Supplier<Fingerprints> fingerprintSupplier;
     private volatile @Nullable Fingerprints fingerprints;
 
     private LeafRequest(
@@ -55,20 +55,20 @@
             byte[] commonHead,
             byte[] body,
             HomeRegions homes,
-            Supplier<Fingerprints> fingerprintsSource) {
-        this.names = names;
+            Supplier<Fingerprints> fingerprintSupplier) {
+        this.headerNames = names;
         this.requestId = requestId;
         this.head = head;
         this.commonHead = commonHead;
         this.body = body;
-        this.homes = homes;
-        this.fingerprintsSource = fingerprintsSource;
+        this.homeRegions = homes;
+        this.fingerprintSupplier = fingerprintSupplier;
     }
 
     /**
      * Creates the request that leafs get from that of a caller.
      *
-     * @param homes the regions whose leafs may get it
+     * @param homeRegions the regions whose leafs may get it
      * @param team the team in whose name it is made, empty if there is none; what the caller says of it is left out
      */
     public static LeafRequest create(
@@ -76,24 +76,24 @@
             String uri,
             Iterable<Map.Entry<String, String>> headers,
             byte[] body,
-            HomeRegions homes,
+            HomeRegions homeRegions,
             String team,
-            CallHeaders names) {
+            CallHeaders headerNames) {
         StringBuilder text = new StringBuilder(256);
         text.append(method).append(' ').append(uri).append(" HTTP/1.1").append(LINE_END);
         String requestId = "";
         String authority = "";
         String credentials = "";
-        Set<String> nominated = nominated(headers);
+        Set<String> connectionHeaders = connectionHeaders(headers);
         for (Map.Entry<String, String> header : headers) {
-            if (header.getKey().equalsIgnoreCase(names.requestId())) {
+            if (header.getKey().equalsIgnoreCase(headerNames.requestId())) {
                 requestId = header.getValue();
-            } else if (header.getKey().equalsIgnoreCase(AUTHORITY)) {
+            } else if (header.getKey().equalsIgnoreCase(HOST_HEADER)) {
                 authority = header.getValue();
-            } else if (header.getKey().equalsIgnoreCase(CREDENTIALS)) {
+            } else if (header.getKey().equalsIgnoreCase(AUTHORIZATION_HEADER)) {
                 credentials = header.getValue();
             }
-            if (isForwardedToLeaf(header.getKey(), nominated, names)) {
+            if (isForwardedToLeaf(header.getKey(), connectionHeaders, headerNames)) {
                 text.append(header.getKey())
                         .append(": ")
                         .append(header.getValue())
@@ -101,7 +101,7 @@
             }
         }
         if (!team.isEmpty()) {
-            text.append(names.team()).append(": ").append(team).append(LINE_END);
+            text.append(headerNames.team()).append(": ").append(team).append(LINE_END);
         }
         boolean mayHaveBody = !method.equals("GET") && !method.equals("HEAD") && !method.equals("DELETE");
         if (body.length > 0 || mayHaveBody) {
@@ -110,12 +110,12 @@
         String host = authority;
         String caller = team.isEmpty() ? credentials : team;
         return new LeafRequest(
-                names,
+                headerNames,
                 requestId,
                 method.equals("HEAD"),
                 text.toString().getBytes(StandardCharsets.ISO_8859_1),
                 body,
-                homes,
+                homeRegions,
                 () -> Fingerprints.of(method, host, uri, caller, body));
     }
 
@@ -129,7 +129,7 @@
         // Worked out once it is asked for: two digests a request that most requests never need.
         Fingerprints known = fingerprints;
         if (known == null) {
-            known = fingerprintsSource.get();
+            known = fingerprintSupplier.get();
             fingerprints = known;
         }
         return known;
@@ -142,7 +142,7 @@
 
     /** Returns true if the leaf may get it. */
     boolean mayBeSentTo(Leaf leaf) {
-        return homes.allows(leaf.location().region());
+        return homeRegions.allows(leaf.location().region());
     }
 
     /** Returns true if answers to it have no body whatever their head says. */
@@ -152,13 +152,13 @@
 
     /** Writes it for one leaf. */
     ByteBuf encode(ByteBufAllocator allocator, String leafId, long remainingMillis) {
-        ByteBuf bytes = allocator.buffer(commonHead.length + HEAD_RESERVE_BYTES + body.length);
+        ByteBuf bytes = allocator.buffer(commonHead.length + LEAF_HEADERS_RESERVE_BYTES + body.length);
         bytes.writeBytes(commonHead);
-        ByteBufUtil.writeAscii(bytes, names.deadlineMillis());
+        ByteBufUtil.writeAscii(bytes, headerNames.deadlineMillis());
         ByteBufUtil.writeAscii(bytes, ": ");
         ByteBufUtil.writeAscii(bytes, Long.toString(remainingMillis));
         ByteBufUtil.writeAscii(bytes, LINE_END);
-        ByteBufUtil.writeAscii(bytes, names.expectedLeaf());
+        ByteBufUtil.writeAscii(bytes, headerNames.expectedLeaf());
         ByteBufUtil.writeAscii(bytes, ": ");
         ByteBufUtil.writeAscii(bytes, leafId);
         ByteBufUtil.writeAscii(bytes, LINE_END);
@@ -169,25 +169,25 @@
 
     /** Returns true if a header field of an answer concerns one connection only. */
     public static boolean isHopByHop(String name) {
-        return OF_ONE_CONNECTION.contains(name.toLowerCase(Locale.ROOT));
+        return HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
     }
 
     /** Returns true if another host that asks leafs on behalf of this one is told a header field of the caller. */
-    public static boolean isForwardedToHosts(String name, CallHeaders names) {
-        return !isHopByHop(name) && !name.equalsIgnoreCase(names.team());
+    public static boolean isForwardedToHosts(String name, CallHeaders headerNames) {
+        return !isHopByHop(name) && !name.equalsIgnoreCase(headerNames.team());
     }
 
-    private static boolean isForwardedToLeaf(String name, Set<String> nominated, CallHeaders names) {
+    private static boolean isForwardedToLeaf(String name, Set<String> connectionHeaders, CallHeaders headerNames) {
         String lower = name.toLowerCase(Locale.ROOT);
-        return !OF_ONE_CONNECTION.contains(lower)
-                && !nominated.contains(lower)
-                && !name.equalsIgnoreCase(names.deadlineMillis())
-                && !name.equalsIgnoreCase(names.team())
-                && !name.equalsIgnoreCase(names.expectedLeaf());
+        return !HOP_BY_HOP_HEADERS.contains(lower)
+                && !connectionHeaders.contains(lower)
+                && !name.equalsIgnoreCase(headerNames.deadlineMillis())
+                && !name.equalsIgnoreCase(headerNames.team())
+                && !name.equalsIgnoreCase(headerNames.expectedLeaf());
     }
 
     /** Returns the fields that the caller says concern its connection only. */
-    private static Set<String> nominated(Iterable<Map.Entry<String, String>> headers) {
+    private static Set<String> connectionHeaders(Iterable<Map.Entry<String, String>> headers) {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equalsIgnoreCase(HttpHeaderNames.CONNECTION.toString())) {
                 return ImmutableSet.copyOf(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
@@ -9,19 +9,19 @@
     private static final int MAX_HEAD_BYTES = 32 * 1024;
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
-    private boolean bodiless;
+    private boolean withoutBody;
 
     LeafResponseDecoder() {
         super(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
     }
 
     /** States whether answers have no body whatever their head says. */
-    void setBodiless(boolean answersAreBodiless) {
-        bodiless = answersAreBodiless;
+    void setWithoutBody(boolean value) {
+        withoutBody = value;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return bodiless || super.isContentAlwaysEmpty(message);
+        return withoutBody || super.isContentAlwaysEmpty(message);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
@@ -52,7 +52,7 @@
         context.reset();
         BoundedAppender bounded = new BoundedAppender();
         bounded.setContext(context);
-        bounded.addAppender(console(context, new JsonLineEncoder(), "System.out"));
+        bounded.addAppender(createConsoleAppender(context, new JsonLineEncoder(), "System.out"));
         bounded.start();
         setLevels(context, bounded);
         return bounded;
@@ -61,10 +61,10 @@
     private static void configure(Encoder<ILoggingEvent> encoder) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        setLevels(context, console(context, encoder, "System.err"));
+        setLevels(context, createConsoleAppender(context, encoder, "System.err"));
     }
 
-    private static ConsoleAppender<ILoggingEvent> console(
+    private static ConsoleAppender<ILoggingEvent> createConsoleAppender(
             LoggerContext context, Encoder<ILoggingEvent> encoder, String target) {
         encoder.setContext(context);
         encoder.start();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
@@ -49,7 +49,9 @@
         Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
         Object signal = signalType.getConstructor(String.class).newInstance(name);
         Object proxy = Proxy.newProxyInstance(
-                TerminationSignal.class.getClassLoader(), new Class<?>[] {handlerType}, (self, method, arguments) -> {
+                TerminationSignal.class.getClassLoader(),
+                new Class<?>[] {handlerType},
+                (proxyInstance, method, arguments) -> {
                     if (method.getName().equals("handle")) {
                         handler.run();
                     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
@@ -32,7 +32,7 @@
     private static final int DEFAULT_WORKERS = 4;
     private static final int MAX_QUERIES = 100_000;
     private static final int DEFAULT_QUERIES = 256;
-    private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
 
     private SettingsReader() {}
 
@@ -116,7 +116,7 @@
     private static Credential readCredential(Fields fields) {
         String partner = fields.name("partner");
         String digest = fields.text("sha256");
-        if (!DIGEST.matcher(digest).matches()) {
+        if (!SHA256_HEX.matcher(digest).matches()) {
             fields.addError(
                     "sha256",
                     "this is not the SHA-256 of a credential",
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aLineIsReadBackWithAllItsFields() {
+    void parsesAWrittenLineWithAllItsFields() {
         ConcurrentLinkedQueue<String> lines = new ConcurrentLinkedQueue<>();
         BoundedAppender appender = appender(event -> lines.add(encode(event)));
         Logger logger = context.getLogger("org.bramblerack.Some");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aBlockedOutputLosesLinesAndHoldsNobodyUp() {
+    void aBlockedOutputDropsLinesWithoutBlockingCallers() {
         CountDownLatch unblocked = new CountDownLatch(1);
         AtomicLong written = new AtomicLong();
         BoundedAppender appender = appender(event -> {
@@ -83,26 +83,26 @@
     }
 
     @Test
-    void aBoundLetsSoManyThroughInASecondAndCountsTheRest() {
+    void theRateLimiterSuppressesAndCountsExcessLines() {
         AtomicLong nowNanos = new AtomicLong();
-        LogRateLimiter bound = new LogRateLimiter(nowNanos::get, 3);
-        int admitted = 0;
+        LogRateLimiter limiter = new LogRateLimiter(nowNanos::get, 3);
+        int admittedLines = 0;
         for (int line = 0; line < 10; line++) {
-            admitted += bound.tryAcquire() ? 1 : 0;
+            admittedLines += limiter.tryAcquire() ? 1 : 0;
         }
-        assertThat(admitted).isEqualTo(3);
-        assertThat(bound.takeSuppressedCount()).isEqualTo(7);
-        assertThat(bound.takeSuppressedCount()).isEqualTo(0);
+        assertThat(admittedLines).isEqualTo(3);
+        assertThat(limiter.takeSuppressedCount()).isEqualTo(7);
+        assertThat(limiter.takeSuppressedCount()).isEqualTo(0);
         nowNanos.set(Duration.ofSeconds(1).toNanos());
-        assertThat(bound.tryAcquire()).isTrue();
+        assertThat(limiter.tryAcquire()).isTrue();
     }
 
-    private BoundedAppender appender(Taker taker) {
+    private BoundedAppender appender(EventSink eventSink) {
         AppenderBase<ILoggingEvent> sink = new AppenderBase<>() {
             @Override
             protected void append(ILoggingEvent event) {
                 try {
-                    taker.take(event);
+                    eventSink.accept(event);
                 } catch (InterruptedException stopped) {
                     Thread.currentThread().interrupt();
                 }
@@ -121,7 +121,7 @@
         return new String(new JsonLineEncoder().encode(event), StandardCharsets.UTF_8);
     }
 
-    private interface Taker {
-        void take(ILoggingEvent event) throws InterruptedException;
+    private interface EventSink {
+        void accept(ILoggingEvent event) throws InterruptedException;
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
@@ -48,21 +48,21 @@
     }
 
     @Test
-    void aRequestUnderWhichThreeUpstreamsEndedIsSentNoMore() throws Exception {
-        endThree(true);
+    void aRequestThatEndedThreeUpstreamsIsNoLongerSent() throws Exception {
+        disconnectThreeUpstreams(true);
         int sent = calls.get();
-        assertThat(ask(held("u9", false), "again", "harm")).isEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
+        assertThat(call(held("u9", false), "again", "harm")).isEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
         assertThat(calls.get()).isEqualTo(sent);
-        assertThat(ask(held("u9", false), "other", "fine")).isNotEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
+        assertThat(call(held("u9", false), "other", "fine")).isNotEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
     }
 
     @Test
-    void otherHoldersHearOfIt() throws Exception {
-        List<HarmReport> told = endThree(true);
+    void otherHoldersLearnOfHarmfulRequests() throws Exception {
+        List<HarmReport> reports = disconnectThreeUpstreams(true);
         UpstreamHarm elsewhere = new UpstreamHarm(clock, InstantSource.system());
         assertThat(elsewhere.maySend(request("u1", "again", "harm"))).isTrue();
-        for (HarmReport report : told) {
-            elsewhere.hear(report);
+        for (HarmReport report : reports) {
+            elsewhere.applyPeerReport(report);
             passedNanos.addAndGet(BETWEEN_ARRIVALS.toNanos());
         }
         assertThat(elsewhere.maySend(request("u1", "again", "harm"))).isFalse();
@@ -70,37 +70,37 @@
     }
 
     @Test
-    void connectionsThatBreakToUpstreamsThatAreUpSayNothing() throws Exception {
-        endThree(false);
+    void disconnectsFromRunningUpstreamsAreNoEvidence() throws Exception {
+        disconnectThreeUpstreams(false);
         assertThat(harm.maySend(request("u1", "again", "harm"))).isTrue();
-        assertThat(harm.nextBeat().isEmpty()).isTrue();
+        assertThat(harm.nextHeartbeatReport().isEmpty()).isTrue();
     }
 
     /** Has a request come twice, at three upstreams in all that break its calls, and returns what is told of it. */
-    private List<HarmReport> endThree(boolean ended) throws Exception {
-        List<HarmReport> told = new ArrayList<>();
+    private List<HarmReport> disconnectThreeUpstreams(boolean ended) throws Exception {
+        List<HarmReport> reports = new ArrayList<>();
         for (int upstream = 0; upstream < 3; upstream++) {
             boolean comesAgain = upstream == 2;
             if (comesAgain) {
                 passedNanos.addAndGet(BETWEEN_ARRIVALS.toNanos());
             }
             String arrival = comesAgain ? "second" : "first";
-            assertThat(ask(held("u" + upstream, ended), arrival, "harm"))
+            assertThat(call(held("u" + upstream, ended), arrival, "harm"))
                     .isEqualTo(new LeafOutcome.Failed(LeafFailure.CONNECTION_LOST));
-            listen(told);
+            collectReports(reports);
         }
-        return told;
+        return reports;
     }
 
     /** Adds what heartbeats tell in the next moments. */
-    private void listen(List<HarmReport> told) throws InterruptedException {
-        for (int look = 0; look < 20; look++) {
-            harm.nextBeat().ifPresent(told::add);
+    private void collectReports(List<HarmReport> reports) throws InterruptedException {
+        for (int attempt = 0; attempt < 20; attempt++) {
+            harm.nextHeartbeatReport().ifPresent(reports::add);
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    private LeafOutcome ask(HeldUpstream held, String arrival, String body) throws Exception {
+    private LeafOutcome call(HeldUpstream held, String arrival, String body) throws Exception {
         BlockingQueue<LeafOutcome> outcomes = new LinkedBlockingQueue<>();
         held.submit(request(held.upstream().name().upstream(), arrival, body), outcomes::add);
         LeafOutcome outcome = outcomes.poll(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
@@ -124,14 +124,14 @@
     private HeldUpstream held(String name, boolean ended) {
         Upstream upstream =
                 new Upstream(new UpstreamName(SERVICE, name), 0, "z", HostAndPort.fromParts("127.0.0.1", 1), false);
-        return new HeldUpstream(upstream, 2, new BreakingProtocol(ended), workers, clock, harm);
+        return new HeldUpstream(upstream, 2, new DisconnectingProtocol(ended), workers, clock, harm);
     }
 
     /** Breaks every call. */
-    private final class BreakingProtocol implements UpstreamProtocol {
+    private final class DisconnectingProtocol implements UpstreamProtocol {
         private final boolean ended;
 
-        BreakingProtocol(boolean ended) {
+        DisconnectingProtocol(boolean ended) {
             this.ended = ended;
         }
 
@@ -150,12 +150,12 @@
         }
 
         @Override
-        public Uni<Boolean> takesConnections() {
+        public Uni<Boolean> acceptsConnections() {
             return Uni.createFrom().item(!ended);
         }
 
         @Override
-        public void warm() {}
+        public void openConnections() {}
 
         @Override
         public void close() {}
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/host/HostProcessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/host/HostProcessTest.java
@@ -75,7 +75,8 @@
                 "GET|/v1/operation/spinifex/reservation/%20||400|bad-request",
                 "PUT|/v1/declaration/spinifex|{}|401|unauthorized",
             })
-    void badInputGetsATypedRefusal(String method, String path, String body, int status, String code) throws Exception {
+    void invalidInputGetsATypedRefusal(String method, String path, String body, int status, String code)
+            throws Exception {
         HttpResponse<String> response = send(method, path, body == null ? "" : body);
         assertThat(response.body()).contains("\"code\":\"" + code + "\"");
         assertThat(response.statusCode()).isEqualTo(status);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void whatIsTooLargeOrTooDeepIsRefusedAndEndsNothing() throws Exception {
+    void tooLargeOrTooDeepInputIsRefusedAndTheHostStaysUp() throws Exception {
         HttpResponse<String> large = send("POST", QUERY, "x".repeat(2 * 1024 * 1024));
         assertThat(large.body()).contains("too-large");
         HttpResponse<String> deep =
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
@@ -31,7 +31,7 @@
 
 /** What a leaf may send, byte for byte, and what the request is told. */
 final class LeafConnectionsTest {
-    private static final CallHeaders NAMES = new CallHeaders(
+    private static final CallHeaders HEADER_NAMES = new CallHeaders(
             "Request-Id",
             "Deadline",
             "Expected",
@@ -43,9 +43,9 @@
             "P",
             "M",
             "Team");
-    private static final String WHOLE =
+    private static final String COMPLETE_ANSWER =
             "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nSignature: sig\r\nContent-Length: 4\r\n\r\nbody";
-    private static final String OTHERS =
+    private static final String STALE_ANSWER =
             "HTTP/1.1 200 OK\r\nRequest-Id: r-0\r\nSignature: old\r\nContent-Length: 3\r\n\r\nold";
 
     private final EventLoopGroup group = new NioEventLoopGroup(1);
@@ -56,12 +56,12 @@
     private ServerSocket server;
     private Thread listener;
     private LeafConnections connections;
-    private volatile HomeRegions homes = HomeRegions.ANY;
-    private volatile String answer = WHOLE;
-    private volatile End end = End.STAY;
+    private volatile HomeRegions homeRegions = HomeRegions.ANY;
+    private volatile String answer = COMPLETE_ANSWER;
+    private volatile AfterAnswer afterAnswer = AfterAnswer.STAY;
 
     /** What the leaf does after its answer. */
-    enum End {
+    enum AfterAnswer {
         STAY,
         CLOSE,
         RESET
@@ -75,7 +75,7 @@
         listener.start();
         Leaf leaf = new Leaf("i-1", "s", "127.0.0.1:" + server.getLocalPort(), Distance.SAME_ZONE, 2, Duration.ZERO, 0);
         connections = new LeafConnections(
-                leaf, group, NAMES, MonotonicClock.system(), () -> 1, events::add, CallMonitor.NONE);
+                leaf, group, HEADER_NAMES, MonotonicClock.system(), () -> 1, events::add, CallMonitor.NONE);
     }
 
     @AfterEach
@@ -85,9 +85,9 @@
     }
 
     @Test
-    void aWholeAnswerCountsAndTheConnectionIsUsedAgain() throws Exception {
+    void aCompleteAnswerSucceedsAndTheConnectionIsReused() throws Exception {
         assertThat(success(send("r-1")).body().toStringUtf8()).isEqualTo("body");
-        answer = WHOLE.replace("r-1", "r-2");
+        answer = COMPLETE_ANSWER.replace("r-1", "r-2");
         success(send("r-2"));
         assertThat(accepted.get()).isEqualTo(1);
     }
@@ -95,30 +95,30 @@
     /** The last check before a leaf: whoever chose it, a request with homes does not leave them. */
     @Test
     void aRequestIsNotSentToALeafOutsideItsHomes() throws Exception {
-        homes = HomeRegions.of(ImmutableList.of("elsewhere"));
+        homeRegions = HomeRegions.of(ImmutableList.of("elsewhere"));
         assertThat(send("r-1")).isEqualTo(LeafOutcome.NO_CONNECTION);
         assertThat(accepted.get()).isEqualTo(0);
     }
 
     @Test
-    void theEndOfAConnectionIsToldWithItsCause() throws Exception {
-        answer = WHOLE.replace("Content-Length", "Connection: close\r\nContent-Length");
+    void theEndOfAConnectionIsReportedWithItsCause() throws Exception {
+        answer = COMPLETE_ANSWER.replace("Content-Length", "Connection: close\r\nContent-Length");
         success(send("r-1"));
         assertThat(events.poll(2, TimeUnit.SECONDS)).isEqualTo(ConnectionEvent.MADE_FOR_CALL);
         assertThat(events.poll(2, TimeUnit.SECONDS)).isEqualTo(ConnectionEvent.ENDED_BY_ANSWER);
     }
 
     @Test
-    void aConnectionThatTheLeafResetsUnderACallIsToldApart() throws Exception {
+    void aConnectionResetDuringACallIsReportedAsSuch() throws Exception {
         answer = "";
-        end = End.RESET;
+        afterAnswer = AfterAnswer.RESET;
         send("r-1");
         assertThat(events.poll(2, TimeUnit.SECONDS)).isEqualTo(ConnectionEvent.MADE_FOR_CALL);
         assertThat(events.poll(2, TimeUnit.SECONDS)).isEqualTo(ConnectionEvent.ENDED_WHILE_CALLED);
     }
 
     @Test
-    void theLeafIsToldWhatIsMeantAndHowLongItHas() throws Exception {
+    void theLeafReceivesItsExpectedIdAndTheDeadline() throws Exception {
         send("r-1");
         String request = requests.poll(2, TimeUnit.SECONDS);
         assertThat(request).startsWith("GET /path?q=1 HTTP/1.1");
@@ -143,41 +143,41 @@
         "'', CLOSE",
         "'', RESET"
     })
-    void anAnswerThatIsNotWholeIsAFailureThatMayHaveRun(String lines, End ending) throws Exception {
+    void anIncompleteAnswerIsAFailureThatMayHaveRun(String lines, AfterAnswer ending) throws Exception {
         answer = lines.replace("|", "\r\n");
-        end = ending;
+        afterAnswer = ending;
         Object result = send("r-1");
         assertThat(result).isAnyOf(LeafOutcome.BROKEN, LeafOutcome.GARBLED);
     }
 
     @Test
-    void anAnswerWithoutALengthIsWholeIfItsConnectionEndsInOrder() throws Exception {
+    void anAnswerWithoutALengthIsCompleteIfTheConnectionClosesCleanly() throws Exception {
         answer = "HTTP/1.1 200 OK\r\nSignature: sig\r\n\r\nbody";
-        end = End.CLOSE;
+        afterAnswer = AfterAnswer.CLOSE;
         assertThat(success(send("r-1")).body().toStringUtf8()).isEqualTo("body");
     }
 
     @Test
-    void anAnswerToAnEarlierRequestIsSkippedAndTheConnectionIsNotUsedAgain() throws Exception {
-        answer = OTHERS + WHOLE;
+    void anAnswerToAnEarlierRequestIsSkippedAndTheConnectionIsNotReused() throws Exception {
+        answer = STALE_ANSWER + COMPLETE_ANSWER;
         assertThat(success(send("r-1")).signature().orElse("")).isEqualTo("sig");
-        answer = WHOLE.replace("r-1", "r-2");
+        answer = COMPLETE_ANSWER.replace("r-1", "r-2");
         success(send("r-2"));
         assertThat(accepted.get()).isEqualTo(2);
     }
 
     @Test
-    void bytesAfterAnAnswerReachNobody() throws Exception {
-        answer = WHOLE + OTHERS;
+    void bytesAfterAnAnswerAreDiscarded() throws Exception {
+        answer = COMPLETE_ANSWER + STALE_ANSWER;
         success(send("r-1"));
         Thread.sleep(100);
-        answer = WHOLE.replace("r-1", "r-2");
+        answer = COMPLETE_ANSWER.replace("r-1", "r-2");
         assertThat(success(send("r-2")).signature().orElse("")).isEqualTo("sig");
         assertThat(accepted.get()).isEqualTo(2);
     }
 
     @Test
-    void aSuccessWithoutASignatureOrWithAnEncodingIsNoAnswerOfTheLeaf() throws Exception {
+    void aSuccessWithoutASignatureOrWithAnEncodingIsRejected() throws Exception {
         answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assertThat(((LeafAnswer) send("r-1")).outcome()).isEqualTo(LeafOutcome.GARBLED);
         answer = "HTTP/1.1 200 OK\r\nSignature: sig\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n";
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void nobodyThereMeansThatNothingWasSent() throws Exception {
+    void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
         server.close();
         // Until its thread has left it, the socket still takes connections, and resets them.
         listener.join();
@@ -207,20 +207,20 @@
     }
 
     @Test
-    void noMoreConnectionsThanTheShare() throws Exception {
+    void opensNoMoreConnectionsThanTheShare() throws Exception {
         answer = "";
         for (int request = 0; request < 5; request++) {
-            begin("r-" + request);
+            sendAsync("r-" + request);
         }
         Thread.sleep(300);
         assertThat(accepted.get()).isEqualTo(1);
     }
 
     @Test
-    void aRequestThatIsGivenUpClosesItsConnection() throws Exception {
+    void abandoningARequestClosesItsConnection() throws Exception {
         answer = "";
         BlockingQueue<LeafConnections.CallHandle> tickets = new LinkedBlockingQueue<>();
-        group.next().execute(() -> tickets.add(connections.send(request("r-1"), deadline(), new Taker())));
+        group.next().execute(() -> tickets.add(connections.send(request("r-1"), deadline(), new RecordingCallback())));
         assertThat(requests.poll(2, TimeUnit.SECONDS)).isNotNull();
         LeafConnections.CallHandle ticket = tickets.poll(2, TimeUnit.SECONDS);
         group.next().execute(() -> {
@@ -232,14 +232,14 @@
     }
 
     private Object send(String id) throws InterruptedException {
-        begin(id);
+        sendAsync(id);
         Object result = results.poll(5, TimeUnit.SECONDS);
         assertThat(result).isNotNull();
         return result;
     }
 
-    private void begin(String id) {
-        group.next().execute(() -> connections.send(request(id), deadline(), new Taker()));
+    private void sendAsync(String id) {
+        group.next().execute(() -> connections.send(request(id), deadline(), new RecordingCallback()));
     }
 
     private static long deadline() {
@@ -252,9 +252,9 @@
                 "/path?q=1",
                 new DefaultHttpHeaders().set("Host", "h").set("Request-Id", id).set("Connection", "keep-alive"),
                 new byte[0],
-                homes,
+                homeRegions,
                 "",
-                NAMES);
+                HEADER_NAMES);
     }
 
     private static LeafAnswer success(Object result) {
@@ -289,9 +289,9 @@
                     requests.add(head.toString());
                     head.setLength(0);
                     socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                    if (end != End.STAY) {
+                    if (afterAnswer != AfterAnswer.STAY) {
                         Thread.sleep(50);
-                        socket.setSoLinger(end == End.RESET, 0);
+                        socket.setSoLinger(afterAnswer == AfterAnswer.RESET, 0);
                         return;
                     }
                 } else {
@@ -305,7 +305,7 @@
     }
 
     /** Notes what came. */
-    private final class Taker implements LeafCallback {
+    private final class RecordingCallback implements LeafCallback {
         @Override
         public void onAnswer(LeafAnswer whole) {
             results.add(whole);
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
@@ -32,7 +32,7 @@
     private static final int MAX_BODY_BYTES = 1_000;
 
     @Property(tries = 2_000)
-    void theLeafIsToldOneTeam(@ForAll("heads") List<String> fields) {
+    void theLeafReceivesExactlyOneTeam(@ForAll("heads") List<String> fields) {
         Optional<String> head = headAtLeaf(fields);
         Statistics.label("accepted").collect(head.isPresent());
         if (head.isEmpty()) {
@@ -48,19 +48,20 @@
 
     /** The fields that are the caller's own keep their order and their values. */
     @Property(tries = 300)
-    void theFieldsOfTheCallerAreKept(@ForAll("heads") List<String> fields) {
+    void theCallersOwnFieldsAreKept(@ForAll("heads") List<String> fields) {
         Optional<String> head = headAtLeaf(fields);
         if (head.isPresent() && fields.stream().noneMatch(TeamFieldTest::isUnusual)) {
             List<String> own = fields.stream()
                     .filter(field -> field.startsWith("X-Own:"))
                     .map(field -> "X-Own: " + field.substring("X-Own:".length()).strip())
                     .toList();
-            List<String> told = Splitter.on("\r\n")
+            List<String> received = Splitter.on("\r\n")
                     .splitToStream(head.get())
                     .filter(line -> line.startsWith("X-Own: "))
                     .map(String::stripTrailing)
                     .toList();
-            assertThat(told).isEqualTo(own.stream().map(String::stripTrailing).toList());
+            assertThat(received)
+                    .isEqualTo(own.stream().map(String::stripTrailing).toList());
         }
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
@@ -14,19 +14,19 @@
 
     /** Also one whose key was taken away meanwhile, and on the host that is told the team instead of the key. */
     @Test
-    void theCallersOfATeamAreOneWhicheverKeyTheyShow() {
+    void callersOfOneTeamHaveOneFingerprintWhateverTheirKey() {
         Fingerprints first = fingerprints("Token key-1", "ours");
         assertThat(fingerprints("Token key-2", "ours")).isEqualTo(first);
         assertThat(fingerprints("", "ours")).isEqualTo(first);
     }
 
     @Test
-    void theCallersOfAnotherTeamAreOthers() {
+    void callersOfDifferentTeamsHaveDifferentFingerprints() {
         assertThat(fingerprints("Token key-1", "theirs")).isNotEqualTo(fingerprints("Token key-1", "ours"));
     }
 
     @Test
-    void withoutTeamsCallersAreToldApartByTheirCredentials() {
+    void withoutATeamCallersAreDistinguishedByTheirCredentials() {
         assertThat(fingerprints("Basic a", "")).isNotEqualTo(fingerprints("Basic b", ""));
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
@@ -10,7 +10,7 @@
 /** The logging library comes without a configuration of its own, and takes ours. */
 final class LogProviderTest {
     @Test
-    void nothingIsConfiguredThatWasNotAskedFor() {
+    void hasNoAppendersBeforeLogSetup() {
         LogProvider provider = new LogProvider();
         provider.initialize();
         assertThat(provider.getLoggerFactory()).isInstanceOf(LoggerContext.class);
