--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
@@ -18,10 +18,10 @@
 import org.bramblerack.version.Upstream;
 
 /**
- * An upstream whose connections this host holds: its queue and the calls in flight.
+ * An upstream whose connections this host holds: its queue and its calls in flight.
  *
- * <p>Invariant: every submitted call is completed exactly once. Safe for use by many threads; the lock of the gate
- * comes after the query's, and completions run on a worker without it.
+ * <p>Invariant: every submitted call is completed exactly once. Safe for use by many threads. Lock order: this object's
+ * lock is acquired after the query's; completions run on a worker without it.
  */
 final class HeldUpstream {
     private static final Logger LOGGER = System.getLogger(HeldUpstream.class.getName());
@@ -141,7 +141,10 @@
         }
     }
 
-    /** A call that broke says something of its request only if the upstream has ended. */
+    /**
+     * Records the end of a call. A lost connection counts as evidence against the request only if the upstream process
+     * has ended, so the first one starts a connection probe.
+     */
     private void recordCallEnd(String callId, LeafOutcome outcome) {
         Call call = calls.get(callId);
         if (call == null) {
@@ -166,7 +169,7 @@
                             takes -> workers.run(() -> onProbeResult(takes, nowNanos)),
                             failure -> LOGGER.log(
                                     Logger.Level.DEBUG,
-                                    "whether {0} has ended was not found out: {1}",
+                                    "connection probe of upstream {0} failed: {1}",
                                     upstream.name(),
                                     failure.getMessage()));
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
@@ -28,8 +28,8 @@
 /**
  * The upstreams whose connections this host holds.
  *
- * <p>Invariant: to each upstream at most the host's share of connections is open, and none before the start delay of
- * the share has passed in this process's life. Safe for use by many threads.
+ * <p>Invariant: at most the host's share of connections is open to each upstream, and none before the share's start
+ * delay has passed since this process started. Safe for use by many threads.
  */
 public final class HolderService {
     private static final Logger LOGGER = System.getLogger(HolderService.class.getName());
@@ -50,7 +50,7 @@
     private final Map<UpstreamName, Holding> held = new ConcurrentHashMap<>();
     private final Set<HostAndPort> closing = ConcurrentHashMap.newKeySet();
 
-    /** Creates the service; it holds nothing before the first configuration. */
+    /** Creates a service that holds no upstreams until {@link #configure} is called. */
     public HolderService(
             String self,
             ServiceDirectory directory,
@@ -71,7 +71,7 @@
         this.startedNanos = clock.nowNanos();
     }
 
-    /** Takes over what the configuration in force assigns to this host. */
+    /** Holds the upstreams that the configuration in force assigns to this host, and releases all others. */
     public synchronized void configure() {
         Set<UpstreamName> assigned = new HashSet<>();
         for (ServiceView view : directory.services()) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Takes a call for an upstream that this host holds. */
+    /** Submits a call, which fails if this host does not hold its upstream or may not connect to it yet. */
     public void submit(LeafRequest request, Consumer<LeafOutcome> onOutcome) {
         Holding holding = held.get(request.upstream());
         if (holding == null) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Cancels a call, if it is still there. */
+    /** Cancels a call; has no effect if the call has ended. */
     public void cancel(UpstreamName name, String callId) {
         Holding holding = held.get(name);
         if (holding != null) {
@@ -117,19 +117,19 @@
         }
     }
 
-    /** Returns how many calls wait or are in flight. */
+    /** Returns the number of calls that are queued or in flight. */
     public int inFlight() {
         return held.values().stream()
                 .mapToInt(each -> each.upstream().inFlight())
                 .sum();
     }
 
-    /** Returns how many upstreams this host holds. */
+    /** Returns the number of upstreams that this host holds. */
     public int size() {
         return held.size();
     }
 
-    /** Closes every connection. */
+    /** Closes all connections without waiting for calls in flight. */
     public synchronized void stop() {
         held.values().forEach(each -> each.upstream().protocol().close());
         held.clear();
@@ -163,7 +163,7 @@
         });
     }
 
-    /** Ends holding an upstream once its calls have ended; until then its address is not connected to anew. */
+    /** Closes an upstream's connections once its calls have ended; until then no new ones are opened to its address. */
     private void release(UpstreamName name) {
         Holding released = held.remove(name);
         if (released != null) {
@@ -206,7 +206,11 @@
     }
 
     private void markUnreachable(UpstreamName name) {
-        LOGGER.log(Logger.Level.INFO, "{0} no longer reports to {1}", name, self);
+        LOGGER.log(
+                Logger.Level.INFO,
+                "upstream {0} no longer answers report requests of {1}; marking it unreachable",
+                name,
+                self);
         Optional<UpstreamReport> lastReport = statusRegistry.reportOf(name);
         statusRegistry.record(name, lastReport.orElse(new UpstreamReport(false, ImmutableSet.of())), false);
     }
@@ -220,7 +224,7 @@
         return holding.equals(held.get(holding.upstream().upstream().name()));
     }
 
-    /** An upstream that is held, and the terms on which it is. */
+    /** A held upstream with this host's share of its connections and the time from which they may be opened. */
     private record Holding(HeldUpstream upstream, int share, long openAtNanos) {
         boolean matches(Upstream declared, int declaredShare) {
             return upstream.upstream().address().equals(declared.address()) && share == declaredShare;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HttpUpstreamProtocol.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HttpUpstreamProtocol.java
@@ -32,7 +32,7 @@
 import org.bramblerack.version.UpstreamReport;
 
 /**
- * Speaks to an upstream over HTTP as {@code docs/UPSTREAMS.md} describes.
+ * Implements the upstream protocol over HTTP, as described in {@code docs/UPSTREAMS.md}.
  *
  * <p>One connection of the share carries reports and cancellations, the others carry calls. Safe for use by many
  * threads.
@@ -51,7 +51,7 @@
     private final WebClient controlClient;
     private final int callConnections;
 
-    /** Creates the protocol; connections are opened as they are needed. */
+    /** Creates the protocol; connections are opened on demand. */
     public HttpUpstreamProtocol(Vertx vertx, Upstream upstream, int connections) {
         this.upstream = upstream;
         this.callConnections = Math.max(1, connections - 1);
@@ -107,13 +107,14 @@
         for (int connection = 0; connection < callConnections; connection++) {
             reportOver(callClient)
                     .subscribe()
-                    .with(report -> {}, failure -> logFailure("open a connection ahead", failure));
+                    .with(report -> {}, failure -> logFailure("open a connection in advance", failure));
         }
     }
 
-    /** Notes what was only a help: the call ends at its deadline, and a connection is made when it is needed. */
+    /** Logs the failure of an optional action. Calls still end at their deadlines, and connections open on demand. */
     private void logFailure(String action, Throwable failure) {
-        LOGGER.log(Logger.Level.DEBUG, "{0} could not {1}: {2}", upstream.name(), action, failure.getMessage());
+        LOGGER.log(
+                Logger.Level.DEBUG, "upstream {0}: could not {1}: {2}", upstream.name(), action, failure.getMessage());
     }
 
     @Override
@@ -182,7 +183,7 @@
 
     private static UpstreamReport toReport(HttpResponse<Buffer> response) {
         if (response.statusCode() != STATUS_OK) {
-            throw new DecodeException("the report has status " + response.statusCode());
+            throw new DecodeException("the upstream's report has status " + response.statusCode());
         }
         try {
             JsonObject report = response.bodyAsJsonObject();
@@ -197,7 +198,7 @@
             }
             return new UpstreamReport(report.getBoolean("draining", false), served.build());
         } catch (RuntimeException malformed) {
-            throw new DecodeException("the report is malformed: " + malformed.getMessage(), malformed);
+            throw new DecodeException("the upstream's report is malformed: " + malformed.getMessage(), malformed);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/LeafCodec.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/LeafCodec.java
@@ -13,7 +13,7 @@
 import org.bramblerack.wire.LeafResult;
 
 /**
- * Turns leaf calls and their outcomes into messages between hosts and back. Deadlines travel as the time that is left.
+ * Converts leaf calls and their outcomes to and from messages between hosts. Deadlines are sent as the remaining time.
  *
  * <p>Stateless and safe for use by many threads.
  */
@@ -22,7 +22,7 @@
 
     private LeafCodec() {}
 
-    /** Returns the message for a call. */
+    /** Encodes a call. */
     public static LeafCall toMessage(LeafRequest request, long nowNanos) {
         return LeafCall.newBuilder()
                 .setCallId(request.callId())
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Returns the call of a message.
+     * Decodes a call.
      *
-     * @throws IllegalArgumentException if the message names no service and upstream
+     * @throws IllegalArgumentException if the message does not name a service and an upstream
      */
     public static LeafRequest toRequest(LeafCall call, long nowNanos) {
         return new LeafRequest(
@@ -57,7 +57,7 @@
                 call.getBody());
     }
 
-    /** Returns the message for an outcome. */
+    /** Encodes an outcome. */
     public static LeafResult toMessage(LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
             LeafReply reply = replied.reply();
@@ -82,7 +82,7 @@
                 .build();
     }
 
-    /** Returns the outcome of a message; one that cannot be understood is a call that may have run. */
+    /** Decodes an outcome; a malformed message is decoded as a failure of a call that may have run. */
     public static LeafOutcome toOutcome(LeafResult result) {
         try {
             if (result.getStatus() == LeafResult.Status.REPLY) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamHarm.java
@@ -19,17 +19,17 @@
 import org.bramblerack.wire.HarmReport;
 
 /**
- * Keeps requests that end upstreams from those whose connections this host holds, by what it saw and what other holders
- * tell in their heartbeats.
+ * Blocks requests that crash upstreams from those that this host holds, based on local evidence and on the evidence
+ * that other holders report in their heartbeats.
  *
- * <p>There is no agreed order of trials here: a request that may have been a bystander is let through, one that is
- * barred is not. Safe for use by many threads; its lock is the innermost.
+ * <p>Trials of suspect requests are not coordinated between holders: only quarantined requests are blocked, suspect
+ * ones are sent. Safe for use by many threads. Lock order: this object's lock is acquired last.
  */
 public final class UpstreamHarm {
     private static final Logger LOGGER = System.getLogger(UpstreamHarm.class.getName());
-    /** In how many beats a report is told, so that a lost one costs little. */
+    /** Each report is repeated in several heartbeats, to tolerate lost messages. */
     private static final int HEARTBEATS_PER_REPORT = 4;
-    /** Holders of one upstream that see its end within this time have seen the same one. */
+    /** Ends of an upstream that its holders detect within the same window are counted as one. */
     private static final Duration SAME_END_WINDOW = Duration.ofSeconds(10);
 
     private final HarmfulRequestFilter filter = new HarmfulRequestFilter();
@@ -37,23 +37,23 @@
     private final InstantSource wallClock;
     private final Deque<PendingReport> pendingReports = new ArrayDeque<>();
 
-    /** Creates a guard that knows of no request. */
+    /** Creates a filter without evidence, which permits all requests. */
     public UpstreamHarm(MonotonicClock clock, InstantSource wallClock) {
         this.clock = clock;
         this.wallClock = wallClock;
     }
 
-    /** Returns true if a call may be sent to its upstream. */
+    /** Returns true unless the request is quarantined. */
     synchronized boolean maySend(LeafRequest request) {
         return filter.permission(() -> fingerprints(request)) != Permission.QUARANTINED;
     }
 
-    /** Notes that an upstream answered a call that it has run. */
+    /** Records that an upstream ran a request and answered it. */
     synchronized void recordSurvival(LeafRequest request) {
         filter.recordSurvival(fingerprints(request), clock.nowNanos());
     }
 
-    /** Notes that an upstream has ended with calls on it. */
+    /** Records that an upstream process ended while the given calls were in flight. */
     synchronized void recordUpstreamEnd(UpstreamName upstream, List<LeafRequest> callsInFlight) {
         long endWindow = wallClock.millis() / SAME_END_WINDOW.toMillis();
         long upstreamStart = Hashing.sha256()
@@ -68,13 +68,13 @@
         logRestrictedCountChange(previousCount);
         LOGGER.log(
                 Logger.Level.INFO,
-                "{0} ended with {1} requests on it; one asks for {2}",
+                "upstream {0} ended with {1} requests in flight, one of them for {2}",
                 upstream,
                 arrivals.size(),
                 arrivals.get(0).fingerprints().path());
     }
 
-    /** Takes what another holder tells. */
+    /** Applies the evidence that another holder reported. */
     public synchronized void applyPeerReport(HarmReport report) {
         if (report.getEndedCount() + report.getSurvivedCount() > 0) {
             int previousCount = filter.locallyRestrictedCount();
@@ -88,14 +88,14 @@
         if (count != previousCount) {
             LOGGER.log(
                     Logger.Level.INFO,
-                    "{0} requests, {1} before, may end upstreams; those that are barred are sent to no upstream from"
-                            + " now on",
+                    "{0} requests (previously {1}) are suspected of ending upstreams; quarantined ones are no longer"
+                            + " sent",
                     count,
                     previousCount);
         }
     }
 
-    /** Returns what the next heartbeat tells, if anything. */
+    /** Returns the evidence to include in the next heartbeat, if any. */
     public synchronized Optional<HarmReport> nextHeartbeatReport() {
         filter.takeReport()
                 .ifPresent(report -> pendingReports.addLast(new PendingReport(report, HEARTBEATS_PER_REPORT)));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamProtocol.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamProtocol.java
@@ -8,37 +8,40 @@
 import org.bramblerack.version.UpstreamReport;
 
 /**
- * How the tier speaks to one upstream. Implementations must be safe for use by many threads and must never have more
- * connections open than they were given.
+ * A client of one upstream. Implementations must be safe for use by many threads and must never open more connections
+ * than the limit that they are created with.
  */
 public interface UpstreamProtocol {
     /**
      * Sends a call.
      *
-     * @param remaining the time that is left
-     * @return what came of it; never a failure
+     * @param remaining the time until the deadline
+     * @return the outcome; the {@code Uni} itself never fails
      */
     Uni<LeafOutcome> call(LeafRequest request, Duration remaining);
 
-    /** Asks the upstream to stop working on a call. The call still ends by itself. */
+    /** Requests that the upstream stop working on a call. The call still completes with its own outcome. */
     void cancel(String callId);
 
-    /** Asks the upstream for its report; fails if none comes. */
+    /** Requests the upstream's report; fails if none is received. */
     Uni<UpstreamReport> report();
 
-    /** Returns false if the upstream refuses connections, as after its end; true if it takes them or is silent. */
+    /**
+     * Returns false if the upstream refuses connections, as after its process has ended; true if it accepts or times
+     * out.
+     */
     Uni<Boolean> acceptsConnections();
 
-    /** Opens connections before they are needed, at most as many as were given. */
+    /** Opens connections in advance, up to the limit. */
     void openConnections();
 
-    /** Closes every connection. */
+    /** Closes all connections. */
     void close();
 
-    /** Makes the protocol for an upstream. */
+    /** Creates the clients of upstreams. */
     @FunctionalInterface
     interface Factory {
-        /** Makes the protocol for an upstream with at most the given number of connections. */
+        /** Creates a client that opens at most the given number of connections. */
         UpstreamProtocol connect(Upstream upstream, int connections);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamStatusRegistry.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamStatusRegistry.java
@@ -9,10 +9,11 @@
 import org.bramblerack.version.UpstreamReport;
 
 /**
- * What this host, as a holder, last learned of each upstream, and what of it the other hosts should hear next.
+ * The last known status of each upstream that this host holds, and the selection of statuses for each heartbeat.
  *
- * <p>A change is told in every beat for a while, so that a lost message costs little; the rest is told in turns. Safe
- * for use by many threads; its lock comes before the directory's.
+ * <p>A changed status is included in several consecutive heartbeats, to tolerate lost messages; unchanged statuses are
+ * included in rotation. Safe for use by many threads. Lock order: this object's lock is acquired before the
+ * directory's.
  */
 public final class UpstreamStatusRegistry {
     private static final int HEARTBEATS_PER_CHANGE = 4;
@@ -24,21 +25,21 @@
     private Runnable onChange = () -> {};
     private int rotation;
 
-    /** Creates an empty board. */
+    /** Creates an empty registry. */
     public UpstreamStatusRegistry(String self, ServiceDirectory directory) {
         this.self = self;
         this.directory = directory;
     }
 
-    /** What is told of one upstream. */
+    /** The status of an upstream, as sent to other hosts. */
     public record ReportedStatus(UpstreamName upstream, UpstreamReport report, boolean reachable) {}
 
-    /** Sets what to run when something changed that others should hear at once. */
+    /** Sets a listener that runs after each change of a status. */
     public synchronized void setOnChange(Runnable listener) {
         onChange = listener;
     }
 
-    /** Records a report of an upstream. */
+    /** Records an upstream's report and whether the upstream is reachable. */
     public void record(UpstreamName upstream, UpstreamReport report, boolean reachable) {
         Runnable listener = () -> {};
         synchronized (this) {
@@ -53,7 +54,7 @@
         listener.run();
     }
 
-    /** Records that an upstream refused a call because it is leaving. */
+    /** Marks an upstream as draining after it refused a call for that reason. */
     public void markDraining(UpstreamName upstream) {
         Optional<UpstreamReport> known = reportOf(upstream);
         if (known.isPresent() && !known.get().draining()) {
@@ -61,17 +62,17 @@
         }
     }
 
-    /** Forgets an upstream that this host no longer holds. */
+    /** Removes an upstream that this host no longer holds. */
     public synchronized void remove(UpstreamName upstream) {
         statuses.remove(upstream);
     }
 
-    /** Returns the last report of an upstream. */
+    /** Returns the last report of an upstream, if there is one. */
     public synchronized Optional<UpstreamReport> reportOf(UpstreamName upstream) {
         return Optional.ofNullable(statuses.get(upstream)).map(status -> status.report);
     }
 
-    /** Returns what to tell in the next beat. */
+    /** Returns the statuses to include in the next heartbeat. */
     public synchronized ImmutableList<ReportedStatus> nextHeartbeat() {
         rotation = (rotation + 1) % HEARTBEATS_PER_ROTATION;
         ImmutableList.Builder<ReportedStatus> reported = ImmutableList.builder();
@@ -90,7 +91,7 @@
         return reported.build();
     }
 
-    /** Returns everything, for a host that was not heard before. */
+    /** Returns all statuses, for a host that may not have received any yet. */
     public synchronized ImmutableList<ReportedStatus> allStatuses() {
         return statuses.entrySet().stream()
                 .map(entry -> new ReportedStatus(entry.getKey(), entry.getValue().report, entry.getValue().reachable))
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/package-info.java
@@ -1,4 +1,4 @@
-/** The holder role: connections to upstreams, their queues and their status. */
+/** The connections of this host to upstreams, with the upstreams' queues and status. */
 @NullMarked
 package org.bramblerack.daemon.holder;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallHeaders.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallHeaders.java
@@ -3,21 +3,21 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * The names of the header fields by which callers, hosts and leafs tell one another what the product needs to know.
+ * The names of the header fields that callers, hosts and leaves exchange.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param requestId identifies one attempt of a caller
- * @param deadlineMillis how many milliseconds the sender waits
- * @param expectedLeaf the identifier of the leaf that is meant
- * @param leafId the identifier of the leaf that answers
- * @param signature what a leaf signs an answer with
- * @param load how many requests a leaf works on, how many wait, and its slots
- * @param notRun present if a leaf did not run the request
- * @param retryAfterSeconds when to come back
+ * @param deadlineMillis how many milliseconds the sender waits for an answer
+ * @param expectedLeaf the identifier of the leaf that the request is addressed to
+ * @param leafId the identifier of the answering leaf
+ * @param signature the leaf's signature of its answer
+ * @param load the leaf's running requests, queued requests and slots
+ * @param notRun present if the leaf did not run the request
+ * @param retryAfterSeconds the delay before a retry
  * @param partSignatures the signatures of the parts of a merged answer
- * @param missingParts how many shards a merged answer lacks
- * @param team the team in whose name a request is made, as leafs are told
+ * @param missingParts the number of shards that a merged answer lacks
+ * @param team the team on whose behalf the request is sent to a leaf
  */
 public record CallHeaders(
         String requestId,
@@ -31,7 +31,7 @@
         String partSignatures,
         String missingParts,
         String team) {
-    /** Refuses missing names. */
+    /** Rejects missing names. */
     public CallHeaders {
         requireNonNull(requestId);
         requireNonNull(deadlineMillis);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallMonitor.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/CallMonitor.java
@@ -3,12 +3,9 @@
 import com.google.common.collect.ImmutableList;
 import org.bramblerack.process.leaf.LeafOutcome;
 
-/**
- * Stands between this host and one leaf: says which calls may be sent, and is told what becomes of them.
- * Implementations are owned by the event loop.
- */
+/** Permits or blocks calls to one leaf, and receives their outcomes. Implementations are owned by the event loop. */
 public interface CallMonitor {
-    /** Lets everything be sent and looks away. */
+    /** Permits all calls and ignores their outcomes. */
     CallMonitor NONE = new CallMonitor() {
         @Override
         public boolean maySend(LeafRequest request) {
@@ -25,15 +22,15 @@
         public void onLeafEnded(ImmutableList<LeafRequest> callsInFlight) {}
     };
 
-    /** Returns true if a call may be sent to the leaf. */
+    /** Returns true if the call may be sent to the leaf. */
     boolean maySend(LeafRequest request);
 
-    /** Notes that the leaf answered a call as one that it has run. */
+    /** Called when the leaf answered a call that it ran. */
     void onAnswered(LeafRequest request);
 
-    /** Notes that a call was sent and got no whole answer. */
+    /** Called when a call that was sent ended without a complete answer. */
     void onFailed(LeafRequest request, LeafOutcome outcome);
 
-    /** Notes that the leaf has ended with calls on it. */
+    /** Called when the leaf process is detected to have ended while the given calls were in flight. */
     void onLeafEnded(ImmutableList<LeafRequest> callsInFlight);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/ConnectionEvent.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/ConnectionEvent.java
@@ -1,29 +1,29 @@
 package org.bramblerack.daemon.leaf;
 
-/** What becomes of a connection to a leaf: why one is made, and why it ends. */
+/** Why a connection to a leaf was opened, failed to open, or was closed. */
 public enum ConnectionEvent {
-    /** It was made because a call waited for one. */
+    /** Opened for a waiting call. */
     MADE_FOR_CALL,
-    /** It was made to find out whether the leaf has ended, after another had with a call on it. */
+    /** Opened to check whether the leaf has ended, after another connection was lost during a call. */
     MADE_TO_CONFIRM,
-    /** It was made ahead of its use. */
+    /** Opened in advance. */
     MADE_AHEAD,
-    /** It could not be made. */
+    /** Could not be opened. */
     NOT_MADE,
-    /** It was closed because the call on it was given up: so the leaf drops the call. */
+    /** Closed because its call was abandoned; closing makes the leaf cancel the call. */
     ENDED_CALL_GIVEN_UP,
-    /** It had rested for nearly as long as the leaf keeps idle connections. */
+    /** Closed because it was idle for nearly as long as the leaf keeps idle connections. */
     ENDED_RESTED,
-    /** The only idle one had carried an earlier attempt of the same request, whose answer could still come on it. */
+    /** Closed because it carried an earlier attempt of the same request, whose answer could still arrive on it. */
     ENDED_SAME_REQUEST,
-    /** The leaf's answer said that it closes, or came in a form after which no other can follow. */
+    /** Closed because the leaf's answer announced it, or because no other answer can follow one of that form. */
     ENDED_BY_ANSWER,
-    /** Bytes came that belong to no request, or no answer. */
+    /** Closed because bytes arrived that belong to no request or are not a valid answer. */
     ENDED_GARBLED,
-    /** This host no longer needs it: the leaf leaves, or others hold the connections to it. */
+    /** Closed because the leaf is leaving or other hosts hold the connections to it. */
     ENDED_NOT_NEEDED,
-    /** The leaf or the network ended it while it rested. */
+    /** Closed by the leaf or the network while idle. */
     ENDED_WHILE_IDLE,
-    /** The leaf or the network ended it with a call on it. */
+    /** Closed by the leaf or the network during a call. */
     ENDED_WHILE_CALLED
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
@@ -4,18 +4,17 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** How long a leaf keeps an idle connection, as its answers say. */
+/** The idle timeout that a leaf announces in the {@code Keep-Alive} field of its answers. */
 final class KeepAlive {
-    /** The name of the field. */
     static final String FIELD = "Keep-Alive";
 
     private static final String TIMEOUT = "timeout=";
-    /** A request that leaves later than this before the end could cross the leaf's close. */
+    /** A request sent within this time before the timeout could cross with the leaf's close. */
     private static final Duration SAFETY_MARGIN = Duration.ofMillis(600);
 
     private KeepAlive() {}
 
-    /** Reads the seconds of a {@code Keep-Alive} field. */
+    /** Parses the timeout of a {@code Keep-Alive} field. */
     static Optional<Long> timeoutSeconds(@Nullable String field) {
         if (field == null) {
             return Optional.empty();
@@ -32,7 +31,7 @@
         return digits.isEmpty() || digits.length() > 9 ? Optional.empty() : Optional.of(Long.parseLong(digits));
     }
 
-    /** Returns how long a connection may rest and still be used. */
+    /** Returns how long a connection may be idle and still be reused, given the leaf's timeout in seconds. */
     static long safeIdleNanos(long seconds) {
         Duration whole = Duration.ofSeconds(seconds);
         Duration half = whole.dividedBy(2);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
@@ -7,14 +7,14 @@
 import org.bramblerack.process.leaf.LeafOutcome;
 
 /**
- * A whole answer of a leaf.
+ * A complete answer of a leaf.
  *
- * @param status its status
- * @param headers its header fields
- * @param body its body
- * @param outcome what it means for the request
- * @param signature what the leaf signed it with, if it did
- * @param load the load that the leaf told, if it did
+ * @param status the HTTP status code
+ * @param headers the header fields
+ * @param body the body
+ * @param outcome the outcome of the request that follows from status and headers
+ * @param signature the leaf's signature, if present
+ * @param load the leaf's reported load, if present
  */
 public record LeafAnswer(
         int status,
@@ -32,21 +32,21 @@
     private static final int UNAVAILABLE = 503;
     private static final String CONTENT_ENCODING = "content-encoding";
 
-    /** Creates an answer and decides what it means. */
+    /** Creates an answer and derives its outcome from the status and headers. */
     public static LeafAnswer of(int status, HttpHeaders headers, ByteString body, CallHeaders names) {
         Optional<String> signature = Optional.ofNullable(headers.get(names.signature()));
         Optional<LeafLoad> load = Optional.ofNullable(headers.get(names.load())).flatMap(LeafLoad::parse);
         return new LeafAnswer(status, headers, body, outcomeOf(status, headers, signature, names), signature, load);
     }
 
-    /** Returns true if a caller may be given it as it is. */
+    /** Returns true if the answer may be forwarded to the caller unchanged. */
     public boolean mayBeForwarded() {
         return signature.isPresent() && (outcome == LeafOutcome.SUCCEEDED || outcome == LeafOutcome.FAILED);
     }
 
     /**
-     * Returns true if the leaf has run the request and outlived it. One that says that its time was up may still be at
-     * work on it.
+     * Returns true if the leaf ran the request to its end and survived. After a gateway timeout it may still be running
+     * the request.
      */
     public boolean showsSurvival() {
         return status != GATEWAY_TIMEOUT && (outcome == LeafOutcome.SUCCEEDED || outcome == LeafOutcome.FAILED);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafCallback.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafCallback.java
@@ -2,11 +2,11 @@
 
 import org.bramblerack.process.leaf.LeafOutcome;
 
-/** Takes what comes of one request to one leaf: exactly one of the two is called, on the event loop. */
+/** Receives the result of one request to one leaf. Exactly one method is called, once, on the event loop. */
 public interface LeafCallback {
-    /** Takes a whole answer. */
+    /** Called with a complete answer. */
     void onAnswer(LeafAnswer answer);
 
-    /** Takes the failure of a request that got no whole answer. */
+    /** Called if the request ended without a complete answer. */
     void onFailure(LeafOutcome outcome);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
@@ -21,14 +21,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a leaf. It carries one request at a time.
+ * A connection to a leaf, which carries one request at a time.
  *
- * <p>Invariants: bytes that do not belong to the answer of the present request end the connection and reach nobody. An
- * answer to another request is skipped, and the connection is not used again. An answer without a length is whole only
- * if its connection ended in order. Owned by its event loop.
+ * <p>Invariants: bytes that do not belong to the answer of the current request are discarded and close the connection.
+ * An answer to another request is skipped, and the connection is not reused. An answer without a length is complete
+ * only if the connection was closed cleanly. Owned by its event loop.
  */
 final class LeafConnection extends ChannelInboundHandlerAdapter {
-    /** How many answers to earlier requests may come before the one that is due. */
+    /** The maximum number of answers to earlier requests that are skipped before the expected one. */
     private static final int MAX_STALE_ANSWERS = 2;
 
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
@@ -60,7 +60,7 @@
         idleSinceNanos = clock.nowNanos();
     }
 
-    /** Sends a request; the connection must be idle. */
+    /** Sends a request. The connection must be idle. */
     void send(LeafRequest request, String leafId, long remainingMillis, LeafCallback newCallback) {
         Channel open = channel;
         if (open == null || !open.isActive()) {
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Ends the connection, as to make the leaf drop the present request.
+     * Closes the connection, which makes the leaf cancel the current request.
      *
-     * @param reason why, unless it is closed already
+     * @param reason the reported reason, unless the connection is being closed for another one already
      */
     void close(ConnectionEvent reason) {
         reusable = false;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Returns true if it may carry a request now. */
+    /** Returns true if the connection is open, idle and reusable. */
     boolean isUsable(long nowNanos) {
         Channel open = channel;
         return reusable
@@ -98,7 +98,7 @@
                 && nowNanos - idleSinceNanos < maxIdleNanos;
     }
 
-    /** Returns true if a request with the identifier was the last that it carried. */
+    /** Returns true if the last request on this connection had the given identifier. */
     boolean lastCarriedRequest(String id) {
         return !id.isEmpty() && requestId.equals(id);
     }
@@ -107,7 +107,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
             if (callback == null) {
-                // Nothing is due: an answer too many, or bytes that belong to no request.
+                // No request is in flight: a duplicate answer or stray bytes.
                 close(ConnectionEvent.ENDED_GARBLED);
                 return;
             }
@@ -194,7 +194,7 @@
         complete(LeafAnswer.of(head.status().code(), head.headers(), whole, headerNames));
     }
 
-    /** An answer to another request came where ours is due: ours may still follow it. */
+    /** Skips an answer to another request; the expected answer may still follow. */
     private void skipStaleAnswer() {
         reusable = false;
         staleAnswers++;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -25,8 +25,8 @@
 /**
  * The connections of this host to one leaf.
  *
- * <p>Invariant: open connections and those being made are never more than this host's share of what the leaf accepts.
- * Requests beyond that wait, first come first served. Owned by the event loop.
+ * <p>Invariant: the open and connecting connections never exceed this host's share of the leaf's connection limit.
+ * Further requests wait in FIFO order. Owned by the event loop.
  */
 public final class LeafConnections {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_500;
@@ -49,9 +49,9 @@
     /**
      * Creates a set without connections.
      *
-     * @param share how many connections this host may have to the leaf, at least 1
-     * @param observer is told what becomes of each connection
-     * @param watch is told what becomes of each call
+     * @param share the maximum number of connections of this host to the leaf, at least 1
+     * @param observer receives an event for each connection that is opened or closed
+     * @param watch permits calls and receives their outcomes
      */
     public LeafConnections(
             Leaf leaf,
@@ -71,12 +71,12 @@
     }
 
     /**
-     * Sends a request on an idle connection, or on a new one if this host may open another.
+     * Sends a request on an idle connection, or on a new one if the share allows it.
      *
-     * <p>Every request to a leaf goes this way, so here is the last check that it may go there at all.
+     * <p>All requests to the leaf pass through here, so this is the final check that the leaf may receive them.
      *
      * @param deadlineNanos when the sender stops waiting
-     * @return what to call to give the request up
+     * @return a handle to abandon the request
      */
     public CallHandle send(LeafRequest request, long deadlineNanos, LeafCallback callback) {
         PendingRequest pending = new PendingRequest(request, deadlineNanos, callback);
@@ -100,27 +100,27 @@
         return pending;
     }
 
-    /** Opens a connection ahead of its use, if there is none. */
+    /** Opens a connection in advance, if there is none. */
     public void warm() {
         if (open.isEmpty() && connecting == 0 && waiting.isEmpty()) {
             connect(ConnectionEvent.MADE_AHEAD);
         }
     }
 
-    /** Closes what is idle; requests under way are finished first. */
+    /** Fails waiting requests and closes idle connections; requests in flight are completed. */
     public void retire() {
         failWaiting(LeafOutcome.NO_CONNECTION);
         closeIdle();
     }
 
-    /** Closes what is idle; another connection is made when one is needed. */
+    /** Closes idle connections; new ones are opened on demand. */
     public void closeIdle() {
         for (LeafConnection connection : List.copyOf(onIdle)) {
             connection.close(ConnectionEvent.ENDED_NOT_NEEDED);
         }
     }
 
-    /** Returns how many connections are open or being made. */
+    /** Returns the number of connections that are open or connecting. */
     public int count() {
         return open.size() + connecting;
     }
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Finds out whether the leaf has ended, if that is in doubt, unless a connection is being made anyway. */
+    /** Opens a connection to check whether the leaf has ended, if that is suspected and none is connecting already. */
     private void probeIfEndSuspected() {
         if (endDetector.isEndSuspected() && connecting == 0 && leaf.acceptsWork()) {
             connect(ConnectionEvent.MADE_TO_CONFIRM);
@@ -235,12 +235,12 @@
         }
     }
 
-    /** A way to give up a request that was handed over for sending. */
+    /** A handle to abandon a request that was submitted for sending. */
     public interface CallHandle {
         /**
-         * Gives the request up. If it was sent, its connection is closed, so that the leaf drops it.
+         * Abandons the request. If it was sent, its connection is closed, which makes the leaf cancel it.
          *
-         * @return true if it was never sent
+         * @return true if it was not sent
          */
         boolean abandon();
     }
@@ -261,7 +261,7 @@
 
         void sendOn(LeafConnection target) {
             if (!monitor.maySend(request)) {
-                // It waited for a connection while the others were found to end with it.
+                // The request was quarantined while it waited for a connection.
                 done = true;
                 onIdle(target);
                 callback.onFailure(LeafOutcome.BARRED);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -18,10 +18,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A caller's request in the form in which leafs get it: everything but what differs from leaf to leaf is written once.
+ * A caller's request as it is sent to leaves. The part of the head that is the same for all leaves is encoded once.
  *
- * <p>Method, target, body and the header fields of the caller are passed on unchanged, except for the fields that
- * concern one connection only and those that the system sets itself. Immutable and safe for use by many threads.
+ * <p>Method, target, body and the caller's header fields are forwarded unchanged, except for hop-by-hop fields and
+ * those that this host sets itself. Immutable and safe for use by many threads.
  */
 public final class LeafRequest {
     private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Creates the request that leafs get from that of a caller.
+     * Creates the request to leaves from a caller's request.
      *
-     * @param homeRegions the regions whose leafs may get it
-     * @param team the team in whose name it is made, empty if there is none; what the caller says of it is left out
+     * @param homeRegions the regions whose leaves may receive the request
+     * @param team the caller's team, or empty; replaces the team field that the caller sent
      */
     public static LeafRequest create(
             String method,
@@ -119,14 +119,14 @@
                 () -> Fingerprints.of(method, host, uri, caller, body));
     }
 
-    /** Returns the identifier that the caller gave it, empty if it gave none. */
+    /** Returns the request identifier that the caller set, or empty text. */
     public String requestId() {
         return requestId;
     }
 
-    /** Returns what tells it apart from requests that ask for something else, the same on every host. */
+    /** Returns the fingerprints of the request, which are the same on every host. */
     public Fingerprints fingerprints() {
-        // Worked out once it is asked for: two digests a request that most requests never need.
+        // Computed lazily: most requests never need these digests.
         Fingerprints known = fingerprints;
         if (known == null) {
             known = fingerprintSupplier.get();
@@ -135,22 +135,22 @@
         return known;
     }
 
-    /** Returns what tells this attempt of its caller from others, the same on every host. */
+    /** Returns the fingerprints together with the request identifier, which identify this attempt on every host. */
     public Arrival arrival() {
         return Arrival.of(fingerprints(), requestId);
     }
 
-    /** Returns true if the leaf may get it. */
+    /** Returns true if the leaf is in a region that may receive the request. */
     boolean mayBeSentTo(Leaf leaf) {
         return homeRegions.allows(leaf.location().region());
     }
 
-    /** Returns true if answers to it have no body whatever their head says. */
+    /** Returns true for a HEAD request, whose answers have no body. */
     boolean isHead() {
         return head;
     }
 
-    /** Writes it for one leaf. */
+    /** Encodes the request for one leaf. */
     ByteBuf encode(ByteBufAllocator allocator, String leafId, long remainingMillis) {
         ByteBuf bytes = allocator.buffer(commonHead.length + LEAF_HEADERS_RESERVE_BYTES + body.length);
         bytes.writeBytes(commonHead);
@@ -167,12 +167,12 @@
         return bytes;
     }
 
-    /** Returns true if a header field of an answer concerns one connection only. */
+    /** Returns true if a header field is hop-by-hop, that is, applies to a single connection only. */
     public static boolean isHopByHop(String name) {
         return HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Returns true if another host that asks leafs on behalf of this one is told a header field of the caller. */
+    /** Returns true if a caller's header field is forwarded to another host that calls leaves on behalf of this one. */
     public static boolean isForwardedToHosts(String name, CallHeaders headerNames) {
         return !isHopByHop(name) && !name.equalsIgnoreCase(headerNames.team());
     }
@@ -186,7 +186,7 @@
                 && !name.equalsIgnoreCase(headerNames.expectedLeaf());
     }
 
-    /** Returns the fields that the caller says concern its connection only. */
+    /** Returns the field names listed in the caller's {@code Connection} field, which are hop-by-hop too. */
     private static Set<String> connectionHeaders(Iterable<Map.Entry<String, String>> headers) {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equalsIgnoreCase(HttpHeaderNames.CONNECTION.toString())) {
@@ -197,7 +197,7 @@
         return Set.of();
     }
 
-    /** Returns the header fields of an answer that a caller gets as well. */
+    /** Copies all header fields except the hop-by-hop ones. */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> header : from) {
             if (!isHopByHop(header.getKey())) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Decodes the answers of a leaf, knowing whether the present request allows a body. Owned by its event loop. */
+/** Decodes answers of a leaf, with or without a body depending on the current request. Owned by its event loop. */
 final class LeafResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int MAX_HEAD_BYTES = 32 * 1024;
@@ -15,7 +15,7 @@
         super(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
     }
 
-    /** States whether answers have no body whatever their head says. */
+    /** Sets whether answers have no body regardless of their headers, as for a HEAD request. */
     void setWithoutBody(boolean value) {
         withoutBody = value;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/package-info.java
@@ -1,4 +1,4 @@
-/** The connections to leafs and what is spoken on them. */
+/** The connections to leaves and the HTTP protocol on them. */
 @NullMarked
 package org.bramblerack.daemon.leaf;
 
