--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands lines to a thread of its own through a bounded queue, and drops and counts them while the queue is full.
+ * Writes log lines from a separate thread, fed by a bounded queue. Drops and counts lines while the queue is full.
  *
- * <p>Invariant: a caller never waits for the output, however slow its reader is. Safe for use by many threads.
+ * <p>Invariant: callers never block on the output. Safe for use by many threads.
  */
 public final class BoundedAppender extends AsyncAppender {
-    /** Some seconds of lines at the most that a process writes; at about 300 bytes each well below a megabyte. */
+    /** At about 300 bytes per line, a full queue takes less than half a megabyte. */
     private static final int QUEUE_LINES = 1_024;
-    /** How long the end of a process waits for its last lines to be written. */
+    /** The maximum time to write the remaining lines when the appender stops. */
     private static final int FLUSH_TIMEOUT_MILLIS = 300;
 
     private final AtomicLong dropped = new AtomicLong();
@@ -25,7 +25,7 @@
         setMaxFlushTime(FLUSH_TIMEOUT_MILLIS);
     }
 
-    /** Returns how many lines were dropped so far. */
+    /** Returns the number of lines dropped so far. */
     public long droppedLineCount() {
         return dropped.get();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/CounterSummary.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/CounterSummary.java
@@ -2,7 +2,7 @@
 
 import com.codahale.metrics.MetricRegistry;
 
-/** Writes counters into one log line. Stateless and safe for use by many threads. */
+/** Formats counters for a log line. Stateless and safe for use by many threads. */
 public final class CounterSummary {
     private CounterSummary() {}
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/EventLog.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/EventLog.java
@@ -8,10 +8,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Writes the events of one part of the program, each as a line with named fields.
+ * Writes structured events, each as a log line with named fields.
  *
- * <p>The names of events and fields are for people and programs that read the lines later; {@code docs/OPERATIONS.md}
- * lists them. Safe for use by many threads.
+ * <p>Operators and tools read the names of events and fields, which {@code docs/OPERATIONS.md} lists. Safe for use by
+ * many threads.
  */
 public final class EventLog {
     private final Logger logger;
@@ -20,22 +20,22 @@
         this.logger = logger;
     }
 
-    /** Returns the log of the part that a class belongs to. */
+    /** Returns the event log of a class, whose simple name is the source of its events. */
     public static EventLog of(Class<?> source) {
         return new EventLog(LoggerFactory.getLogger(requireNonNull(source)));
     }
 
-    /** Begins a line about something that is part of normal work. */
+    /** Starts a line for an event of normal operation. */
     public Line info(String event) {
         return new Line(logger.atLevel(Level.INFO).setMessage(requireNonNull(event)));
     }
 
-    /** Begins a line about something that an operator should look at. */
+    /** Starts a line for an event that needs an operator's attention. */
     public Line warning(String event) {
         return new Line(logger.atLevel(Level.WARN).setMessage(requireNonNull(event)));
     }
 
-    /** A line that is not written yet. Not safe for use by several threads. */
+    /** A builder of one line. Not safe for use by several threads. */
     public static final class Line {
         private LoggingEventBuilder builder;
 
@@ -43,25 +43,25 @@
             this.builder = builder;
         }
 
-        /** Adds a field that holds text. */
+        /** Adds a text field. */
         public Line with(String name, String value) {
             builder = builder.addKeyValue(name, requireNonNull(value));
             return this;
         }
 
-        /** Adds a field that holds a number. */
+        /** Adds a numeric field. */
         public Line with(String name, long value) {
             builder = builder.addKeyValue(name, value);
             return this;
         }
 
-        /** Adds a field that holds true or false. */
+        /** Adds a boolean field. */
         public Line with(String name, boolean value) {
             builder = builder.addKeyValue(name, value);
             return this;
         }
 
-        /** Writes the line, or counts it as lost if the reader of the output is too slow. */
+        /** Writes the line, or drops and counts it if the output is too slow. */
         public void write() {
             builder.log();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/JsonLineEncoder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/JsonLineEncoder.java
@@ -13,9 +13,9 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Encodes a line as one JSON object: when, how grave, by which class, what happened, and the fields of the event.
+ * Encodes a log line as one JSON object with its time, level, source class, event name and the fields of the event.
  *
- * <p>A line without fields carries a {@code message} in place of an {@code event}. Safe for use by many threads.
+ * <p>A line without fields has a {@code message} instead of an {@code event}. Safe for use by many threads.
  */
 public final class JsonLineEncoder extends EncoderBase<ILoggingEvent> {
     private static final byte[] LINE_END = "\n".getBytes(StandardCharsets.US_ASCII);
@@ -40,7 +40,7 @@
             writeContent(event, json);
             json.writeEndObject();
         } catch (IOException failure) {
-            throw new UncheckedIOException("a line for memory could not be written", failure);
+            throw new UncheckedIOException("cannot encode a log line in memory", failure);
         }
         bytes.writeBytes(LINE_END);
         return bytes.toByteArray();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
@@ -6,7 +6,7 @@
 import org.bramblerack.process.MonotonicClock;
 
 /**
- * Bounds how many lines of one kind are written in a second, and counts what is left out.
+ * Limits the number of log lines of one kind per second, and counts the suppressed ones.
  *
  * <p>Not safe for use by several threads.
  */
@@ -19,15 +19,15 @@
     private int lines;
     private long suppressed;
 
-    /** Creates a bound that lets the given number of lines through in each second. */
+    /** Creates a limiter that permits the given number of lines in each second. */
     public LogRateLimiter(MonotonicClock clock, int linesPerSecond) {
-        checkArgument(linesPerSecond > 0, "%s lines a second", linesPerSecond);
+        checkArgument(linesPerSecond > 0, "linesPerSecond must be positive: %s", linesPerSecond);
         this.clock = clock;
         this.linesPerSecond = linesPerSecond;
         this.periodStartNanos = clock.nowNanos();
     }
 
-    /** Returns true if a line may be written now; otherwise counts it as left out. */
+    /** Returns true if a line may be written now; otherwise counts it as suppressed. */
     public boolean tryAcquire() {
         long nowNanos = clock.nowNanos();
         if (nowNanos - periodStartNanos >= PERIOD_NANOS) {
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /** Returns how many lines were left out since the last call of this method. */
+    /** Returns the number of lines suppressed since the last call of this method. */
     public long takeSuppressedCount() {
         long count = suppressed;
         suppressed = 0;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
@@ -9,22 +9,22 @@
 import java.util.Optional;
 
 /**
- * A line that a process wrote, read back.
+ * An event parsed from a log line of a process.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param file the name of the file that it was read from, which says whose it is
- * @param at when it was written, by that host's time of day
- * @param event what happened
+ * @param file the name of the log file, which identifies the host
+ * @param at the time of the event by that host's wall clock
+ * @param event the event name
  * @param fields the fields of the event, as text
  */
 public record LoggedEvent(String file, Instant at, String event, ImmutableMap<String, String> fields) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /**
-     * Reads a line.
+     * Parses a line.
      *
-     * @return the event, or nothing if the line is not one: other programs may write to the same output
+     * @return the event, or empty if the line is none: other programs may write to the same output
      */
     public static Optional<LoggedEvent> parse(String file, String line) {
         int begin = line.indexOf('{');
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Returns a field, or empty text if the line has none of that name. */
+    /** Returns the value of a field, or empty text if the event does not have it. */
     public String field(String name) {
         return fields.getOrDefault(name, "");
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/RequestExplanation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/RequestExplanation.java
@@ -11,20 +11,20 @@
 import java.util.List;
 
 /**
- * Explains a request from the lines of the hosts: how it ended, and what changed on those hosts shortly before.
+ * Explains a request from the events that the hosts logged: its outcome, and what changed shortly before.
  *
  * <p>Immutable and safe for use by many threads.
  */
 public final class RequestExplanation {
-    /** A change that a request meets is seldom older: hosts forget what is silent within some seconds. */
+    /** Hosts detect unresponsive hosts and leaves within a few seconds, so older events are rarely relevant. */
     private static final Duration RELATED_EVENT_WINDOW = Duration.ofSeconds(10);
 
-    /** The latest of what happened before; more would bury it. */
+    /** Older related events are omitted, to keep the output readable. */
     private static final int MAX_RELATED_EVENTS = 20;
 
     private static final String REQUEST_ENDED = "request_ended";
 
-    /** What an outcome means and where to look next. */
+    /** The meaning of each outcome and where to look next. */
     private static final ImmutableMap<String, String> OUTCOME_MEANINGS = ImmutableMap.<String, String>builder()
             .put("WHOLE", "whole and in time; nothing went wrong on this host")
             .put("PASSED_ON", "a leaf's answer was passed on in time")
@@ -65,8 +65,8 @@
     /**
      * Explains a request.
      *
-     * @param requestId the identifier that the caller gave it
-     * @param events what all hosts wrote, in any order
+     * @param requestId the identifier that the caller set
+     * @param events the events of all hosts, in any order
      */
     public static RequestExplanation of(String requestId, List<LoggedEvent> events) {
         requireNonNull(requestId);
@@ -81,7 +81,7 @@
         return new RequestExplanation(lines.build());
     }
 
-    /** Returns true if any host wrote a line about the request. */
+    /** Returns true if any host logged the end of the request. */
     public boolean isFound() {
         return !lines.isEmpty();
     }
@@ -122,7 +122,9 @@
         return lines.build();
     }
 
-    /** What changed on the same host, and what leafs that the request was sent to reported anywhere. */
+    /**
+     * Returns true for events of the same host, and for events of any host about leaves that the request was sent to.
+     */
     private static boolean isRelated(LoggedEvent event, LoggedEvent ended) {
         if (event.event().equals(REQUEST_ENDED) || event.event().equals("counters")) {
             return false;
@@ -138,7 +140,7 @@
         return !name.isEmpty() && tried.contains(name);
     }
 
-    /** A change of the tables by which no host came or went and no leaf left. */
+    /** Returns true for a change of the tables that affects neither the set of entry hosts nor leaving leaves. */
     private static boolean isRoutine(LoggedEvent event) {
         return event.event().equals("tables_changed")
                 && event.field("leaving").isEmpty()
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/package-info.java
@@ -1,4 +1,4 @@
-/** Structured log lines: one JSON object a line, written by a thread of its own, so that no request waits for them. */
+/** Structured logging: one JSON object per line, written by a separate thread so that requests never wait for it. */
 @NullMarked
 package org.bramblerack.daemon.event;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/ConfigurationFollower.java
@@ -27,14 +27,15 @@
 import org.bramblerack.wire.PartnerDeclaration;
 
 /**
- * Keeps the agreed configuration in force on this host.
+ * Keeps the replicated configuration in force on this host.
  *
- * <p>The host asks the control hosts for what changed after its own revision, again and again. Invariants: the revision
- * never goes back within a life. A life begins only with a configuration that the leader confirmed or, if no control
- * host can be reached, with the highest one of the hosts of its own zone, provided it is not older than any revision
- * that they heard this host serve before.
+ * <p>The host periodically pulls the changes after its own revision from the control hosts. Invariants: the revision
+ * never decreases within an incarnation. The first configuration of an incarnation is one that the leader confirmed or,
+ * if no control host can be reached, the newest one in force on the hosts of this zone, provided it is not older than
+ * any revision that this host has reported to them before.
  *
- * <p>Safe for use by many threads: changes are made under this object's lock, which comes before the directory's.
+ * <p>Safe for use by many threads. Lock order: this object's lock, which guards changes, is acquired before the
+ * directory's.
  */
 public final class ConfigurationFollower {
     private static final Logger LOGGER = System.getLogger(ConfigurationFollower.class.getName());
@@ -58,7 +59,7 @@
     private volatile long confirmedNanos;
     private volatile boolean everConfirmed;
 
-    /** Creates a follower; it asks nothing before {@link #start}. */
+    /** Creates a follower that pulls nothing until {@link #start} is called. */
     public ConfigurationFollower(
             Settings settings,
             long incarnation,
@@ -84,22 +85,22 @@
         this.confirmedNanos = startedNanos;
     }
 
-    /** Begins to ask. */
+    /** Starts the periodic pulls. */
     public void start() {
         pullFromControl();
     }
 
-    /** Returns for how long no control host has confirmed the configuration. */
+    /** Returns the time since a control host last confirmed the configuration. */
     public Duration timeSinceConfirmation() {
         return Duration.ofNanos(clock.nowNanos() - confirmedNanos);
     }
 
-    /** Returns true once a configuration is in force, or the leader confirmed that there is none. */
+    /** Returns true once a configuration is in force or the leader has confirmed that none exists. */
     public boolean isReady() {
         return everConfirmed || directory.configuration().revision() > 0;
     }
 
-    /** Answers another host that asks for changes because it reaches no control host. */
+    /** Answers a pull of another host that cannot reach a control host. */
     public synchronized ConfigurationDelta handlePeerPull(ConfigurationPull pull, long lastSeenRevision) {
         ImmutableList<PartnerDeclaration> changed = declarationTexts.values().stream()
                 .filter(text -> text.getRevision() > pull.getKnownRevision())
@@ -186,7 +187,8 @@
         if (newest.getRevision() > 0 && newest.getRevision() >= highestServedRevision) {
             LOGGER.log(
                     Logger.Level.WARNING,
-                    "{0} begins with revision {1} of its zone, which no control host confirmed",
+                    "{0} starts with revision {1} of a host in its zone, unconfirmed by any control host; check that the"
+                            + " control hosts are reachable",
                     settings.host(),
                     newest.getRevision());
             putInForce(newest);
@@ -215,7 +217,8 @@
             }
             declarationTexts.putAll(changed);
         }
-        LOGGER.log(Logger.Level.INFO, "{0} has revision {1} in force", settings.host(), delta.getRevision());
+        LOGGER.log(
+                Logger.Level.INFO, "{0} put configuration revision {1} in force", settings.host(), delta.getRevision());
         onChange.run();
     }
 
@@ -223,7 +226,7 @@
         metrics.count("configuration.unreadable");
         LOGGER.log(
                 Logger.Level.ERROR,
-                "{0} cannot read the agreed declaration of {1}: {2}; run the program version that accepted it",
+                "{0} cannot read the replicated declaration of {1}: {2}; run the program version that accepted it",
                 settings.host(),
                 text.getPartner(),
                 errors.get(0));
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/FilePlatformList.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/FilePlatformList.java
@@ -4,7 +4,7 @@
 import io.smallrye.mutiny.Uni;
 import io.vertx.mutiny.core.Vertx;
 
-/** The platform's list in a file. Immutable and safe for use by many threads. */
+/** Reads the platform's host list from a file. Immutable and safe for use by many threads. */
 final class FilePlatformList implements PlatformList {
     private final Vertx vertx;
     private final String file;
@@ -21,6 +21,6 @@
 
     @Override
     public void close() {
-        // Nothing is held open.
+        // There are no open resources.
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Heartbeats.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Heartbeats.java
@@ -22,9 +22,10 @@
 import org.bramblerack.wire.UpstreamStatus;
 
 /**
- * Heartbeats between hosts: that this host lives or leaves, its revision, and news of the upstreams that it holds.
+ * Sends and receives heartbeats, which carry a host's state, its configuration revision and the status of its
+ * upstreams.
  *
- * <p>A change is told at once. Safe for use by many threads.
+ * <p>Heartbeats are sent periodically and shortly after each change. Safe for use by many threads.
  */
 final class Heartbeats {
     private static final Duration PERIOD = Duration.ofMillis(500);
@@ -74,7 +75,7 @@
         workers.runEvery(PERIOD, this::sendToAll);
     }
 
-    /** Sends a beat at once, together with other changes of the same moment. */
+    /** Schedules a heartbeat after a short delay, within which further changes are combined into it. */
     void scheduleSend() {
         synchronized (this) {
             if (sendScheduled) {
@@ -136,7 +137,7 @@
         directory.recordReport(holder, name, new UpstreamReport(status.getDraining(), served), status.getReachable());
     }
 
-    /** A host that began a life or put a revision in force may have dropped what it was told of upstreams before. */
+    /** A host that restarted or changed its revision may have discarded the upstream statuses that it had received. */
     private record PeerState(long incarnation, long revision) {}
 
     private static UpstreamStatus toMessage(UpstreamStatusRegistry.ReportedStatus reported) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
@@ -41,9 +41,9 @@
 import org.bramblerack.process.directory.ServiceDirectory;
 
 /**
- * One process of the system, wired from its settings.
+ * A host process, assembled from its settings.
  *
- * <p>Started once and stopped once. The parts are started from the inside out and stopped from the outside in. Public
+ * <p>Started once and stopped once. Components start before those that depend on them and stop after them. Public
  * methods are safe for use by many threads.
  */
 public final class HostProcess {
@@ -71,7 +71,7 @@
     private final HostMetrics metrics = new HostMetrics();
     private volatile StoppingState stopping = StoppingState.RUNNING;
 
-    /** Creates a process; nothing runs before {@link #start}. */
+    /** Creates a process that serves nothing until {@link #start} is called. */
     public HostProcess(Settings settings, LinkPolicy links) {
         MonotonicClock clock = MonotonicClock.system();
         InstantSource wallClock = InstantSource.system();
@@ -144,10 +144,10 @@
     }
 
     /**
-     * Starts every part.
+     * Starts all components.
      *
-     * @throws IOException if the files of the control role cannot be trusted
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws IOException if the files of the control role cannot be read or are invalid
+     * @throws InterruptedException if the thread is interrupted while starting
      */
     public void start() throws IOException, InterruptedException {
         if (control.isPresent()) {
@@ -160,18 +160,18 @@
         entry.start();
         LOGGER.log(
                 Logger.Level.INFO,
-                "{0} serves callers at {1} and hosts at {2}",
+                "{0} listens for callers at {1} and for hosts at {2}",
                 settings.host(),
                 settings.callerAddress(),
                 settings.peerAddress());
     }
 
     /**
-     * Stops in the planned way: says that it is leaving, goes on serving while the balancer lags, then finishes what is
-     * in flight, then ends.
+     * Stops gracefully: announces that the host is leaving, serves until the load balancer has noticed, waits for
+     * requests in flight, then stops all components.
      *
-     * @param lag how long the balancer may go on sending requests
-     * @param limit how long to wait for what is in flight after that
+     * @param lag how long the load balancer may continue to send requests
+     * @param limit the maximum time to wait for requests in flight after that
      */
     public void stop(Duration lag, Duration limit) throws InterruptedException {
         stopping = StoppingState.LEAVING;
@@ -188,7 +188,7 @@
         kill();
     }
 
-    /** Ends every part at once, without waiting for anything. */
+    /** Stops all components immediately, without waiting for requests in flight. */
     public void kill() {
         entry.stop();
         platform.ifPresent(PlatformWatcher::stop);
@@ -201,32 +201,32 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** Returns the revision of the configuration that is in force. */
+    /** Returns the revision of the configuration in force. */
     public long revision() {
         return directory.configuration().revision();
     }
 
-    /** Returns the counters, timers and gauges. */
+    /** Returns the metrics of this host. */
     public HostMetrics metrics() {
         return metrics;
     }
 
-    /** Returns what this host sent to others. */
+    /** Returns the counters of traffic to other hosts. */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /** Returns how this host reaches the control hosts. */
+    /** Returns the client of the control hosts. */
     public ControlClient controlClient() {
         return client;
     }
 
-    /** Returns the port on which callers are served. */
+    /** Returns the port for callers. */
     public int callerPort() {
         return entry.port();
     }
 
-    /** Returns how far the process has come with a planned stop. */
+    /** Returns the progress of a graceful stop. */
     public StoppingState stopping() {
         return stopping;
     }
@@ -286,7 +286,7 @@
                 random));
     }
 
-    /** Randomness of the present thread. */
+    /** Delegates to the random generator of the current thread. */
     private static final class ThreadRandom implements RandomGenerator {
         @Override
         public long nextLong() {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HttpPlatformList.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HttpPlatformList.java
@@ -6,7 +6,7 @@
 import io.vertx.mutiny.ext.web.client.WebClient;
 import java.time.Duration;
 
-/** The platform's list served over HTTP. Safe for use by many threads. */
+/** Reads the platform's host list over HTTP. Safe for use by many threads. */
 final class HttpPlatformList implements PlatformList {
     private static final Duration TIMEOUT = Duration.ofMillis(400);
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PeerRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PeerRouter.java
@@ -23,7 +23,7 @@
 import org.bramblerack.wire.ProposeResult;
 
 /**
- * Hands each message of another host to the part that it concerns.
+ * Dispatches each message of another host to the component that handles it.
  *
  * <p>Safe for use by many threads.
  */
@@ -69,7 +69,7 @@
             case CONTROL_READ -> handleControlRead(message, reply);
             case CONFIGURATION_PULL -> handleConfigurationPull(message.getConfigurationPull(), reply);
             default -> {
-                // A message of a newer program: not understood, so not answered.
+                // An unknown message type, as from a newer program version: left unanswered.
             }
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformList.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformList.java
@@ -5,15 +5,15 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** The platform's list of live and leaving hosts. Implementations must be safe for use by many threads. */
+/** A source of the platform's host list. Implementations must be safe for use by many threads. */
 interface PlatformList {
-    /** Returns the addresses, of the form IP or IP:port, that are leaving; fails if the list cannot be read. */
+    /** Returns the addresses of leaving hosts, as IP or IP:port; fails if the list cannot be read. */
     Uni<ImmutableSet<String>> leaving();
 
-    /** Gives back what the list holds open. */
+    /** Releases the resources of the source. */
     void close();
 
-    /** Returns the leaving addresses of a list written as JSON. */
+    /** Returns the addresses of leaving hosts in a JSON host list. */
     static ImmutableSet<String> parse(String text) {
         JsonArray hosts = new JsonObject(text).getJsonArray("hosts", new JsonArray());
         ImmutableSet.Builder<String> leaving = ImmutableSet.builder();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
@@ -9,10 +9,10 @@
 import org.bramblerack.version.Upstream;
 
 /**
- * Reads the platform's list of live and leaving hosts again and again.
+ * Polls the platform's host list and records which upstreams are leaving.
  *
- * <p>The list only says what is leaving; that something is missing from it means nothing, as it lags. If it cannot be
- * read, what it said last stays. Safe for use by many threads.
+ * <p>The list lags, so a host's absence from it has no meaning. If the list cannot be read, its last content remains in
+ * force. Safe for use by many threads.
  */
 final class PlatformWatcher {
     private static final Logger LOGGER = System.getLogger(PlatformWatcher.class.getName());
@@ -50,7 +50,7 @@
     private void recordLeaving(ImmutableSet<String> leaving) {
         if (!readable) {
             readable = true;
-            LOGGER.log(Logger.Level.INFO, "the platform's list can be read again");
+            LOGGER.log(Logger.Level.INFO, "the platform's host list is readable again");
         }
         for (Upstream upstream : directory.upstreams()) {
             boolean isLeaving = leaving.contains(upstream.address().toString())
@@ -65,7 +65,7 @@
             readable = false;
             LOGGER.log(
                     Logger.Level.WARNING,
-                    "the platform''s list cannot be read ({0}); what it said last stays, check its source",
+                    "cannot read the platform''s host list ({0}); keeping its last content, check the configured file or URL",
                     failure.toString());
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpConnection.java
@@ -19,12 +19,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a caller: its requests are handled one at a time, in the order in which they came.
+ * A connection of a caller, whose requests are handled one at a time in the order of arrival.
  *
  * <p>Owned by its event loop.
  */
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    /** How many requests may be sent ahead of the answers before the connection is closed. */
+    /** The connection is closed if more pipelined requests than this wait for their turn. */
     private static final int MAX_PIPELINED = 32;
 
     private static final int BAD_REQUEST = 400;
@@ -102,7 +102,7 @@
         handlerContext.close();
     }
 
-    /** Notes that bytes arrived, or that a head is whole. */
+    /** Called with true when bytes arrive, and with false when a request head is complete. */
     void onHeadProgress(boolean incomplete) {
         if (incomplete && !headIncomplete && current == null) {
             lastActivityNanos = clock.nowNanos();
@@ -114,7 +114,7 @@
         return current == null && waiting.isEmpty();
     }
 
-    /** Closes a connection that has rested, or has been sending a head, for longer than is allowed. */
+    /** Closes the connection if it has been idle, or its request head incomplete, for longer than the timeout. */
     void closeIfTimedOut(long nowNanos, long headerTimeoutNanos, long idleTimeoutNanos) {
         if (!isIdle() || context == null) {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Closes the connection, once what is under way has been answered. */
+    /** Closes the connection once the current request has been answered. */
     void closeWhenIdle() {
         closing = true;
         if (isIdle() && context != null) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Closes the connection whatever is under way. */
+    /** Closes the connection immediately, even if a request is unanswered. */
     void closeNow() {
         if (context != null) {
             context.close();
@@ -149,7 +149,7 @@
         lastActivityNanos = clock.nowNanos();
         current = null;
         if (closing || listener.isStopping()) {
-            // The answer closes the connection; what was sent ahead has not been looked at.
+            // The answer closes the connection, so pipelined requests are dropped without having been handled.
             waiting.clear();
             return;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpExchange.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpExchange.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 
 /**
- * One request of a caller and its answer.
+ * A caller's request and its answer.
  *
- * <p>Invariant: at most one answer is written, and none after the caller has gone. The head and the body stay valid
- * after the answer. {@link #respond} may be called from any thread; the rest belongs to the event loop.
+ * <p>Invariant: at most one answer is written, and none after the caller has disconnected. Head and body remain valid
+ * after the answer. {@link #respond} may be called from any thread; all other methods from the event loop only.
  */
 public final class HttpExchange {
     private final ChannelHandlerContext context;
@@ -53,17 +53,17 @@
         this.onAnswered = onAnswered;
     }
 
-    /** Returns the method, as it was sent. */
+    /** Returns the HTTP method as sent. */
     public String method() {
         return method.name();
     }
 
-    /** Returns the target of the request, as it was sent. */
+    /** Returns the request target as sent. */
     public String uri() {
         return uri;
     }
 
-    /** Returns the path: the target up to a query. */
+    /** Returns the path, that is, the target without the query. */
     public String path() {
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
@@ -74,32 +74,32 @@
         return headers;
     }
 
-    /** Returns the body; it must not be changed. */
+    /** Returns the body, which must not be modified. */
     public byte[] body() {
         return body;
     }
 
-    /** Returns the body as text. */
+    /** Returns the body decoded as UTF-8. */
     public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 
-    /** Returns when the whole request had arrived. */
+    /** Returns the time at which the request was complete. */
     public long receivedNanos() {
         return receivedNanos;
     }
 
-    /** Sets what to do if the caller goes away before it was answered. */
+    /** Sets a task to run if the caller disconnects before the answer. */
     public void onCallerGone(Runnable task) {
         onCallerGone = task;
     }
 
-    /** Returns true if the caller went away before it was answered. */
+    /** Returns true if the caller disconnected before the answer. */
     public boolean isCallerGone() {
         return callerGone;
     }
 
-    /** Answers with a text of the given type. */
+    /** Answers with text of the given content type, encoded as UTF-8. */
     public void respond(int status, String contentType, String text) {
         FullHttpResponse response = response(status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         if (!text.isEmpty()) {
@@ -108,7 +108,7 @@
         respond(response);
     }
 
-    /** Answers; the length is set here, and whether the connection stays open. */
+    /** Writes the answer, after setting its content length and, if the connection is to be closed, that too. */
     public void respond(FullHttpResponse response) {
         if (context.executor().inEventLoop()) {
             write(response);
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Creates an answer that holds the given bytes. */
+    /** Creates an answer with the given body. */
     public static FullHttpResponse response(int status, ByteBuf content) {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpHandler.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpHandler.java
@@ -1,8 +1,8 @@
 package org.bramblerack.daemon.http;
 
-/** Takes the requests of an {@link HttpListener}. Called on its event loop, so it must not block. */
+/** Handles the requests of an {@link HttpListener}. Called on its event loop, so it must not block. */
 @FunctionalInterface
 public interface HttpHandler {
-    /** Takes a whole request; the exchange must be answered once, now or later. */
+    /** Handles a complete request. The exchange must be answered once, possibly after this method returns. */
     void handle(HttpExchange exchange);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
@@ -22,10 +22,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Listens at one address and hands whole requests to a handler.
+ * Listens at one address and passes complete requests to a handler.
  *
- * <p>Once it is stopping, it goes on accepting and answering, but every answer ends its connection. Started once,
- * stopped once; safe for use by many threads.
+ * <p>While stopping, it continues to accept and answer requests, but every answer closes its connection. Started once,
+ * stopped once. Safe for use by many threads.
  */
 public final class HttpListener {
     private static final int BACKLOG = 1_024;
@@ -42,7 +42,7 @@
     private @Nullable ScheduledFuture<?> timeoutCheck;
     private volatile boolean stopping;
 
-    /** Creates a listener that does not yet listen. */
+    /** Creates a listener that is not bound until {@link #start} is called. */
     public HttpListener(
             HostAndPort address,
             EventLoopGroup group,
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Begins to listen.
+     * Binds the address and starts accepting connections.
      *
-     * @throws InterruptedException if the thread is interrupted while the address is bound
+     * @throws InterruptedException if the thread is interrupted while binding the address
      */
     public synchronized void start() throws InterruptedException {
         serverChannel = new ServerBootstrap()
@@ -80,27 +80,27 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Begins to stop: every answer from now on ends its connection. */
+    /** Begins to stop: from now on, every answer closes its connection. */
     public void beginStop() {
         stopping = true;
     }
 
-    /** Closes the connections that wait for nothing, and the others once they are answered. */
+    /** Closes idle connections, and the others once their requests have been answered. */
     public void closeIdle() {
         connections.forEach(connection -> group.next().execute(connection::closeWhenIdle));
     }
 
-    /** Returns true if no request is under way. */
+    /** Returns true if no request is in flight. */
     public boolean isIdle() {
         return connections.stream().allMatch(HttpConnection::isIdle);
     }
 
-    /** Returns how many connections are open. */
+    /** Returns the number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Stops listening; open connections stay open. */
+    /** Stops listening. Open connections remain open. */
     public synchronized void stopListening() {
         if (serverChannel != null) {
             serverChannel.close().awaitUninterruptibly();
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Stops listening and closes every connection, answered or not. */
+    /** Stops listening and closes all connections, including those with unanswered requests. */
     public void stopNow() {
         stopListening();
         connections.forEach(connection -> group.next().execute(connection::closeNow));
@@ -144,7 +144,7 @@
                         current.idleTimeout().toNanos()));
     }
 
-    /** Sets up a connection under the limits of the moment. */
+    /** Sets up the pipeline of a new connection with the current limits. */
     private final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/MetricsPage.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/MetricsPage.java
@@ -4,7 +4,7 @@
 import com.codahale.metrics.Snapshot;
 
 /**
- * Shows the metrics of a process as text, one value a line, in the format that Prometheus reads.
+ * Serves the metrics of a process in the Prometheus text format.
  *
  * <p>Safe for use by many threads.
  */
@@ -16,7 +16,7 @@
     private final String path;
     private final MetricRegistry registry;
 
-    /** Creates a page at a path. */
+    /** Creates a page that serves the registry's metrics at the given path. */
     public MetricsPage(String path, MetricRegistry registry) {
         this.path = path;
         this.registry = registry;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/RequestHeadMonitor.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/RequestHeadMonitor.java
@@ -4,11 +4,11 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.http.HttpRequest;
 
-/** Tells a connection when a head begins to arrive and when it is whole. Owned by its event loop. */
+/** Notifies a connection when bytes arrive and when a request head is complete. Owned by its event loop. */
 final class RequestHeadMonitor {
     private RequestHeadMonitor() {}
 
-    /** Stands before the decoder and sees bytes arrive. */
+    /** Placed before the decoder in the pipeline, to detect incoming bytes. */
     static final class BeforeDecoder extends ChannelInboundHandlerAdapter {
         private final HttpConnection connection;
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Stands behind the decoder and sees whole heads. */
+    /** Placed after the decoder in the pipeline, to detect complete request heads. */
     static final class AfterDecoder extends ChannelInboundHandlerAdapter {
         private final HttpConnection connection;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/package-info.java
@@ -1,4 +1,4 @@
-/** A lean HTTP server on Netty for the processes that run on a fraction of a core. */
+/** A minimal HTTP server on Netty, for processes that run on a fraction of a core. */
 @NullMarked
 package org.bramblerack.daemon.http;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogProvider.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogProvider.java
@@ -11,15 +11,15 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Gives a process the logging library without a search for configuration files, since {@link LogSetup} configures it.
+ * An SLF4J provider that starts Logback without searching for configuration files, since {@link LogSetup} configures
+ * it.
  *
- * <p>The library's own provider looks through every file of the class path, twice, and loads a parser: a third of the
- * processor time that a start takes until the settings are read. A process names this provider by the property
- * {@value #PROPERTY}; without it the library's own serves. Safe for use by many threads once {@link #initialize} is
- * done.
+ * <p>Skipping the search through the class path shortens the start of a process. A process selects this provider by the
+ * system property {@value #PROPERTY}; otherwise Logback's own provider is used. Safe for use by many threads after
+ * {@link #initialize} has returned.
  */
 public final class LogProvider implements SLF4JServiceProvider {
-    /** The system property by which a process chooses its provider. */
+    /** The system property that selects the SLF4J provider. */
     public static final String PROPERTY = "slf4j.provider";
 
     private static final String API_VERSION = "2.0.99";
@@ -28,7 +28,7 @@
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final LogbackMDCAdapter diagnosticContext = new LogbackMDCAdapter();
 
-    /** Creates a provider; the logging interface does. */
+    /** Called by SLF4J. */
     public LogProvider() {}
 
     @Override
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends log lines to standard error as text or JSON, or to standard output as structured events.
+ * Configures logging to standard error as text or JSON, or to standard output as structured events.
  *
  * <p>Call one of the methods before other threads log.
  */
@@ -23,14 +23,14 @@
 
     private LogSetup() {}
 
-    /** Writes text for people. */
+    /** Logs human-readable text to standard error. */
     public static void useText() {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setPattern(PATTERN);
         configure(encoder);
     }
 
-    /** Writes one JSON object a line. */
+    /** Logs one JSON object per line to standard error. */
     public static void useJson() {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setWithFormattedMessage(true);
@@ -43,9 +43,10 @@
     }
 
     /**
-     * Writes one JSON object a line to standard output, by a thread of its own; callers never wait for the output.
+     * Logs one JSON object per line to standard output from a separate thread, so that callers never block on the
+     * output.
      *
-     * @return what tells how many lines were lost because the reader of the output was too slow
+     * @return the appender, which counts the lines that were dropped because the output was too slow
      */
     public static BoundedAppender useEvents() {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Tells a first signal to end from a second one, and takes the signal to read the settings again.
+ * Handles the first and the second termination signal separately, and the signal to reload the settings.
  *
- * <p>The class of the platform that does this is not part of its public interface and is reached by name; where it is
- * missing, a shutdown hook takes the first signal and there is no second. Safe for use by many threads.
+ * <p>The JDK's signal class is not part of its public API and is accessed by reflection. If it is missing, a shutdown
+ * hook handles the first signal and a second one has no effect. Safe for use by many threads.
  */
 public final class TerminationSignal {
     private static final Logger LOGGER = System.getLogger(TerminationSignal.class.getName());
 
     private TerminationSignal() {}
 
-    /** Sets what to run on the first and on the second SIGTERM or SIGINT, each on a thread of its own. */
+    /** Sets the tasks to run on the first and the second SIGTERM or SIGINT, each on a new thread. */
     public static void onSignals(Runnable first, Runnable second) {
         AtomicInteger received = new AtomicInteger();
         Runnable handler = () -> {
@@ -30,17 +30,23 @@
             install("TERM", handler);
             install("INT", handler);
         } catch (ReflectiveOperationException missing) {
-            LOGGER.log(Logger.Level.DEBUG, "no signal handlers here", missing);
+            LOGGER.log(
+                    Logger.Level.DEBUG,
+                    "signal handlers are unavailable; using a shutdown hook for the first signal",
+                    missing);
             Runtime.getRuntime().addShutdownHook(new Thread(first, "signal-1"));
         }
     }
 
-    /** Sets what to run whenever the settings are said to have changed, by SIGHUP. */
+    /** Sets the task to run, on a new thread, on each SIGHUP. */
     public static void onReload(Runnable reload) {
         try {
             install("HUP", () -> new Thread(reload, "reload").start());
         } catch (ReflectiveOperationException missing) {
-            LOGGER.log(Logger.Level.WARNING, "SIGHUP cannot be handled here and would end the process", missing);
+            LOGGER.log(
+                    Logger.Level.WARNING,
+                    "cannot handle SIGHUP, which would end the process; restart it to reload the settings",
+                    missing);
         }
     }
 
@@ -61,7 +67,7 @@
         try {
             handle.invoke(null, signal, proxy);
         } catch (InvocationTargetException refused) {
-            throw new ReflectiveOperationException("the signal " + name + " cannot be handled", refused);
+            throw new ReflectiveOperationException("cannot install a handler for SIG" + name, refused);
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/package-info.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/package-info.java
@@ -1,4 +1,4 @@
-/** What every process needs at its start and at its end: logs and signals. */
+/** The logging setup and signal handling that all processes share. */
 @NullMarked
 package org.bramblerack.daemon.lifecycle;
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Role.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Role.java
@@ -1,9 +1,9 @@
 package org.bramblerack.daemon.settings;
 
-/** What a process does. Every process also holds connections to upstreams of its own availability zone. */
+/** A role of a process. Every process also holds connections to upstreams of its own availability zone. */
 public enum Role {
-    /** Takes requests from callers. */
+    /** Serves callers. */
     ENTRY,
-    /** Takes part in the agreement; needs a disk. */
+    /** Votes in the agreement protocol; requires persistent storage. */
     CONTROL
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Settings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Settings.java
@@ -15,17 +15,17 @@
  * <p>Immutable and safe for use by many threads.
  *
  * @param host this host's name
- * @param region the region it stands in
- * @param zone its availability zone
- * @param roles what it does
- * @param callerAddress where it listens for callers and operators
- * @param peerAddress where it listens for other hosts
- * @param dataFolder where it keeps its files; present if it has the control role
- * @param hosts every host of the system, this one included
- * @param credentialDigests the SHA-256 of each partner's credential, in hexadecimal, by partner
- * @param platform where the platform's list is read
- * @param workers how many threads decide
- * @param maxQueries how many queries may be in flight at once
+ * @param region this host's region
+ * @param zone this host's availability zone
+ * @param roles the roles of the process
+ * @param callerAddress the address on which it listens for callers and operators
+ * @param peerAddress the address on which it listens for other hosts
+ * @param dataFolder the folder of its persistent files; present if it has the control role
+ * @param hosts all hosts of the system, including this one
+ * @param credentialDigests the SHA-256 digest of each partner's credential, in hexadecimal, keyed by partner
+ * @param platform the source of the platform's host list
+ * @param workers the number of worker threads
+ * @param maxQueries the maximum number of queries in flight
  */
 public record Settings(
         String host,
@@ -41,23 +41,24 @@
         int workers,
         int maxQueries) {
 
-    /** Returns true if the process has a role. */
+    /** Returns true if the process has the given role. */
     public boolean hasRole(Role role) {
         return roles.contains(role);
     }
 
     /**
-     * Returns the folder of the control role's files.
+     * Returns the folder for the files of the control role.
      *
      * @throws IllegalStateException if the process has no data folder
      */
     public Path controlFolder() {
         return dataFolder()
-                .orElseThrow(() -> new IllegalStateException(host + " has no data folder"))
+                .orElseThrow(
+                        () -> new IllegalStateException(host + " has no data folder; set dataFolder in its settings"))
                 .resolve("control");
     }
 
-    /** Returns the names of the hosts that take part in the agreement. */
+    /** Returns the names of the voters of the agreement protocol. */
     public ImmutableSortedSet<String> voters() {
         return hosts.stream()
                 .filter(HostEntry::control)
@@ -65,7 +66,7 @@
                 .collect(ImmutableSortedSet.toImmutableSortedSet(Comparator.naturalOrder()));
     }
 
-    /** Returns the names of all hosts of an availability zone, live or not. */
+    /** Returns the names of all configured hosts of an availability zone, whether or not they are live. */
     public ImmutableList<String> hostsInZone(String hostZone) {
         return hosts.stream()
                 .filter(entry -> entry.zone().equals(hostZone))
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
@@ -18,12 +18,12 @@
 import org.bramblerack.process.document.ValidationError;
 
 /**
- * Reads a settings file strictly: whole, or with all its faults.
+ * Reads and validates a settings file. Any error rejects the whole file.
  *
  * <p>The format is described in {@code docs/SETTINGS.md}. Stateless and safe for use by many threads.
  */
 public final class SettingsReader {
-    /** The one version of the format that this reader knows. */
+    /** The only format version that this reader supports. */
     public static final int FORMAT_VERSION = 1;
 
     private static final int MAX_HOSTS = 5_000;
@@ -40,7 +40,7 @@
      * Reads settings.
      *
      * @param text the file's text
-     * @return the settings, or every fault found with its line, never empty
+     * @return the settings, or a non-empty list of all validation errors with their lines
      */
     public static Either<ImmutableList<ValidationError>, Settings> read(String text) {
         return DocumentReader.read(text, SettingsReader::readSettings);
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Lines can be read back, are bounded, and never hold up whoever writes them. */
+/** Guards against events that cannot be parsed back, unbounded log output, and logging that blocks its callers. */
 final class EventLogTest {
     private static final int FLOOD_LINES = 20_000;
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What holders do with a request under which their upstreams end, and what they learn of it from one another. */
+/** Guards against requests that crash upstreams being sent again, by the same holder or by its peers. */
 final class UpstreamHarmTest {
     private static final ServiceName SERVICE = ServiceName.parse("partner/service");
     private static final Duration LIMIT = Duration.ofSeconds(5);
-    /** What happens in one moment may be one failure of all upstreams. */
+    /** Simultaneous ends may have a common cause other than the request, so ends are spaced by this time. */
     private static final Duration BETWEEN_ARRIVALS = Duration.ofSeconds(2);
 
     private final Workers workers = new Workers("test", 2);
@@ -76,7 +76,7 @@
         assertThat(harm.nextHeartbeatReport().isEmpty()).isTrue();
     }
 
-    /** Has a request come twice, at three upstreams in all that break its calls, and returns what is told of it. */
+    /** Sends two arrivals of a request to three upstreams that drop its calls, and returns the resulting reports. */
     private List<HarmReport> disconnectThreeUpstreams(boolean ended) throws Exception {
         List<HarmReport> reports = new ArrayList<>();
         for (int upstream = 0; upstream < 3; upstream++) {
@@ -92,7 +92,7 @@
         return reports;
     }
 
-    /** Adds what heartbeats tell in the next moments. */
+    /** Collects the reports of the next heartbeats. */
     private void collectReports(List<HarmReport> reports) throws InterruptedException {
         for (int attempt = 0; attempt < 20; attempt++) {
             harm.nextHeartbeatReport().ifPresent(reports::add);
@@ -127,7 +127,7 @@
         return new HeldUpstream(upstream, 2, new DisconnectingProtocol(ended), workers, clock, harm);
     }
 
-    /** Breaks every call. */
+    /** Loses the connection of every call. */
     private final class DisconnectingProtocol implements UpstreamProtocol {
         private final boolean ended;
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/host/HostProcessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/host/HostProcessTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One whole process on loopback, asked well and badly over HTTP. */
+/** Sends valid and invalid requests over HTTP to a complete host process on loopback. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 final class HostProcessTest {
     private static final String QUERY = "/v1/query/spinifex/catalogue";
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a leaf may send, byte for byte, and what the request is told. */
+/** Guards against malformed, incomplete or unrelated bytes of a leaf being taken for an answer. */
 final class LeafConnectionsTest {
     private static final CallHeaders HEADER_NAMES = new CallHeaders(
             "Request-Id",
@@ -60,7 +60,7 @@
     private volatile String answer = COMPLETE_ANSWER;
     private volatile AfterAnswer afterAnswer = AfterAnswer.STAY;
 
-    /** What the leaf does after its answer. */
+    /** What the leaf does with the connection after its answer. */
     enum AfterAnswer {
         STAY,
         CLOSE,
@@ -92,7 +92,7 @@
         assertThat(accepted.get()).isEqualTo(1);
     }
 
-    /** The last check before a leaf: whoever chose it, a request with homes does not leave them. */
+    /** Guards against a request leaving its home regions, whichever component chose the leaf. */
     @Test
     void aRequestIsNotSentToALeafOutsideItsHomes() throws Exception {
         homeRegions = HomeRegions.of(ImmutableList.of("elsewhere"));
@@ -130,15 +130,15 @@
 
     @ParameterizedTest
     @CsvSource({
-        // Cut off within the head, within the body, within a chunk.
+        // Truncated within the head, the body or a chunk.
         "HTTP/1.1 200 OK|Signature: sig|Conte, CLOSE",
         "HTTP/1.1 200 OK|Signature: sig|Content-Length: 9||body, CLOSE",
         "HTTP/1.1 200 OK|Signature: sig|Content-Length: 9||body, RESET",
         "HTTP/1.1 200 OK|Signature: sig|Transfer-Encoding: chunked||9|body, CLOSE",
         "HTTP/1.1 200 OK|Signature: sig|Transfer-Encoding: chunked||4|body|, CLOSE",
-        // Without a length, and the connection is reset.
+        // No length, and the connection is reset.
         "HTTP/1.1 200 OK|Signature: sig||body, RESET",
-        // No answer in the protocol, and none at all.
+        // Not HTTP, or no bytes at all.
         "garbage and nothing else||, CLOSE",
         "'', CLOSE",
         "'', RESET"
@@ -201,7 +201,7 @@
     @Test
     void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
         server.close();
-        // Until its thread has left it, the socket still takes connections, and resets them.
+        // The socket accepts and resets connections until its accepting thread has ended.
         listener.join();
         assertThat(send("r-1")).isEqualTo(LeafOutcome.UNREACHABLE);
     }
@@ -274,7 +274,7 @@
                 thread.start();
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has closed the server.
         }
     }
 
@@ -304,7 +304,7 @@
         }
     }
 
-    /** Notes what came. */
+    /** Adds each result to the queue. */
     private final class RecordingCallback implements LeafCallback {
         @Override
         public void onAnswer(LeafAnswer whole) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
@@ -25,7 +25,7 @@
 import net.jqwik.api.statistics.Statistics;
 import org.bramblerack.version.routing.HomeRegions;
 
-/** Whatever bytes a caller sends as header fields, a leaf is told one team, and it is ours. */
+/** Guards against callers smuggling a team field to a leaf through malformed header fields. */
 final class TeamFieldTest {
     private static final CallHeaders NAMES =
             new CallHeaders("request-id", "deadline", "leaf", "id", "sig", "load", "not", "retry", "p", "m", "team");
@@ -38,7 +38,7 @@
         if (head.isEmpty()) {
             return;
         }
-        // Some parsers end a line at either character alone.
+        // Some HTTP parsers accept CR or LF alone as the end of a line.
         List<String> teams = Splitter.on(CharMatcher.anyOf("\r\n"))
                 .splitToStream(head.get())
                 .filter(TeamFieldTest::namesTeam)
@@ -46,7 +46,7 @@
         assertWithMessage(head.get()).that(teams).containsExactly("team: ours");
     }
 
-    /** The fields that are the caller's own keep their order and their values. */
+    /** The caller's own fields keep their order and values. */
     @Property(tries = 300)
     void theCallersOwnFieldsAreKept(@ForAll("heads") List<String> fields) {
         Optional<String> head = headAtLeaf(fields);
@@ -79,7 +79,7 @@
                 .ofMaxSize(6);
     }
 
-    /** Returns the head that a leaf gets, or nothing if the request is refused as malformed. */
+    /** Returns the head that a leaf receives, or empty if the request is rejected as malformed. */
     private static Optional<String> headAtLeaf(List<String> fields) {
         EmbeddedChannel channel = new EmbeddedChannel(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES));
         StringBuilder text = new StringBuilder("GET /x HTTP/1.1\r\nHost: h\r\nrequest-id: r\r\n");
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
@@ -7,12 +7,12 @@
 import org.bramblerack.version.routing.HomeRegions;
 import org.junit.jupiter.api.Test;
 
-/** Who counts as the same caller where requests are told apart that end leafs. */
+/** Guards against fingerprints of harmful requests that differ between callers of one team. */
 final class TeamFingerprintTest {
     private static final CallHeaders NAMES =
             new CallHeaders("request-id", "deadline", "leaf", "id", "sig", "load", "not", "retry", "p", "m", "team");
 
-    /** Also one whose key was taken away meanwhile, and on the host that is told the team instead of the key. */
+    /** Includes a forwarded request, which carries the team but no key. */
     @Test
     void callersOfOneTeamHaveOneFingerprintWhateverTheirKey() {
         Fingerprints first = fingerprints("Token key-1", "ours");
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** The logging library comes without a configuration of its own, and takes ours. */
+/** Guards against Logback configuring itself before {@link LogSetup} does. */
 final class LogProviderTest {
     @Test
     void hasNoAppendersBeforeLogSetup() {
