--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -41,7 +41,7 @@
     private final Consumer<ConnectionEvent> observer;
     private final CallMonitor monitor;
     private final LeafEndDetector<LeafRequest> endDetector = new LeafEndDetector<>();
-    private final Deque<LeafConnection> onIdle = new ArrayDeque<>();
+    private final Deque<LeafConnection> idle = new ArrayDeque<>();
     private final List<LeafConnection> open = new ArrayList<>(4);
     private final Deque<PendingRequest> waiting = new ArrayDeque<>();
     private int connecting;
@@ -115,7 +115,7 @@
 
     /** Closes idle connections; new ones are opened on demand. */
     public void closeIdle() {
-        for (LeafConnection connection : List.copyOf(onIdle)) {
+        for (LeafConnection connection : List.copyOf(idle)) {
             connection.close(ConnectionEvent.ENDED_NOT_NEEDED);
         }
     }
@@ -133,7 +133,7 @@
         }
         PendingRequest next = nextWaiting();
         if (next == null) {
-            onIdle.addFirst(connection);
+            idle.addFirst(connection);
         } else {
             next.sendOn(connection);
         }
@@ -141,7 +141,7 @@
 
     void onClosed(LeafConnection connection, ConnectionEvent reason) {
         observer.accept(reason);
-        onIdle.remove(connection);
+        idle.remove(connection);
         open.remove(connection);
         if (reason == ConnectionEvent.ENDED_WHILE_IDLE) {
             endDetector.onIdleConnectionClosed(clock.nowNanos());
@@ -161,8 +161,8 @@
 
     private @Nullable LeafConnection takeIdle(String requestId) {
         long nowNanos = clock.nowNanos();
-        while (!onIdle.isEmpty()) {
-            LeafConnection candidate = onIdle.pollFirst();
+        while (!idle.isEmpty()) {
+            LeafConnection candidate = idle.pollFirst();
             boolean usable = candidate.isUsable(nowNanos);
             if (usable && !candidate.lastCarriedRequest(requestId)) {
                 return candidate;
