--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
@@ -44,7 +44,7 @@
             });
             Instant at = Instant.parse(node.get("at").asText());
             return Optional.of(new LoggedEvent(file, at, node.get("event").asText(), fields.buildOrThrow()));
-        } catch (JsonProcessingException | DateTimeParseException | IllegalArgumentException other) {
+        } catch (JsonProcessingException | DateTimeParseException | IllegalArgumentException notAnEvent) {
             return Optional.empty();
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HeldUpstream.java
@@ -166,7 +166,7 @@
             protocol.acceptsConnections()
                     .subscribe()
                     .with(
-                            takes -> workers.run(() -> onProbeResult(takes, nowNanos)),
+                            accepts -> workers.run(() -> onProbeResult(accepts, nowNanos)),
                             failure -> LOGGER.log(
                                     Logger.Level.DEBUG,
                                     "connection probe of upstream {0} failed: {1}",
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/HolderService.java
@@ -47,8 +47,8 @@
     private final UpstreamStatusRegistry statusRegistry;
     private final UpstreamHarm harm;
     private final long startedNanos;
-    private final Map<UpstreamName, Holding> held = new ConcurrentHashMap<>();
-    private final Set<HostAndPort> closing = ConcurrentHashMap.newKeySet();
+    private final Map<UpstreamName, Holding> holdings = new ConcurrentHashMap<>();
+    private final Set<HostAndPort> closingAddresses = ConcurrentHashMap.newKeySet();
 
     /** Creates a service that holds no upstreams until {@link #configure} is called. */
     public HolderService(
@@ -58,7 +58,7 @@
             Workers workers,
             MonotonicClock clock,
             RandomGenerator random,
-            UpstreamStatusRegistry statuses,
+            UpstreamStatusRegistry statusRegistry,
             UpstreamHarm harm) {
         this.self = self;
         this.directory = directory;
@@ -66,7 +66,7 @@
         this.workers = workers;
         this.clock = clock;
         this.random = random;
-        this.statusRegistry = statuses;
+        this.statusRegistry = statusRegistry;
         this.harm = harm;
         this.startedNanos = clock.nowNanos();
     }
@@ -79,11 +79,11 @@
                 HolderAssignment assignment = view.assignments().get(upstream.name());
                 if (assignment != null && assignment.holders().contains(self)) {
                     assigned.add(upstream.name());
-                    hold(upstream, view.service().limits(), assignment.share());
+                    acquire(upstream, view.service().limits(), assignment.share());
                 }
             }
         }
-        for (UpstreamName name : new HashMap<>(held).keySet()) {
+        for (UpstreamName name : new HashMap<>(holdings).keySet()) {
             if (!assigned.contains(name)) {
                 release(name);
             }
@@ -92,10 +92,10 @@
 
     /** Submits a call, which fails if this host does not hold its upstream or may not connect to it yet. */
     public void submit(LeafRequest request, Consumer<LeafOutcome> onOutcome) {
-        Holding holding = held.get(request.upstream());
+        Holding holding = holdings.get(request.upstream());
         if (holding == null) {
             onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE));
-        } else if (!holding.mayOpen(clock.nowNanos())) {
+        } else if (!holding.mayConnect(clock.nowNanos())) {
             onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_NOT_READY));
         } else if (!harm.maySend(request)) {
             onOutcome.accept(new LeafOutcome.Failed(LeafFailure.HARMFUL));
@@ -111,7 +111,7 @@
 
     /** Cancels a call; has no effect if the call has ended. */
     public void cancel(UpstreamName name, String callId) {
-        Holding holding = held.get(name);
+        Holding holding = holdings.get(name);
         if (holding != null) {
             holding.upstream().cancel(callId);
         }
@@ -119,26 +119,26 @@
 
     /** Returns the number of calls that are queued or in flight. */
     public int inFlight() {
-        return held.values().stream()
+        return holdings.values().stream()
                 .mapToInt(each -> each.upstream().inFlight())
                 .sum();
     }
 
     /** Returns the number of upstreams that this host holds. */
     public int size() {
-        return held.size();
+        return holdings.size();
     }
 
     /** Closes all connections without waiting for calls in flight. */
     public synchronized void stop() {
-        held.values().forEach(each -> each.upstream().protocol().close());
-        held.clear();
+        holdings.values().forEach(each -> each.upstream().protocol().close());
+        holdings.clear();
     }
 
-    private void hold(Upstream upstream, UpstreamLimits limits, int share) {
+    private void acquire(Upstream upstream, UpstreamLimits limits, int share) {
         int slots = Math.min(limits.slots(), share);
         int connections = Math.min(share, CONNECTIONS_PER_SLOT * slots + 1);
-        Holding existing = held.get(upstream.name());
+        Holding existing = holdings.get(upstream.name());
         if (existing != null && existing.matches(upstream, share)) {
             existing.upstream().setSlots(slots);
             return;
@@ -146,16 +146,16 @@
         if (existing != null) {
             release(upstream.name());
         }
-        if (closing.contains(upstream.address())) {
+        if (closingAddresses.contains(upstream.address())) {
             return;
         }
         HeldUpstream heldUpstream =
                 new HeldUpstream(upstream, slots, protocols.connect(upstream, connections), workers, clock, harm);
-        long openAtNanos = startedNanos + HolderAssignment.startDelayNanos(limits);
-        Holding holding = new Holding(heldUpstream, share, openAtNanos);
-        held.put(upstream.name(), holding);
+        long openTimeNanos = startedNanos + HolderAssignment.startDelayNanos(limits);
+        Holding holding = new Holding(heldUpstream, share, openTimeNanos);
+        holdings.put(upstream.name(), holding);
         long jitterNanos = random.nextLong(REPORT_PERIOD.toNanos());
-        workers.runAfter(Math.max(0, openAtNanos - clock.nowNanos()) + jitterNanos, () -> {
+        workers.runAfter(Math.max(0, openTimeNanos - clock.nowNanos()) + jitterNanos, () -> {
             if (isHeld(holding)) {
                 heldUpstream.protocol().openConnections();
                 pollReport(holding, 0);
@@ -165,10 +165,10 @@
 
     /** Closes an upstream's connections once its calls have ended; until then no new ones are opened to its address. */
     private void release(UpstreamName name) {
-        Holding released = held.remove(name);
+        Holding released = holdings.remove(name);
         if (released != null) {
             statusRegistry.remove(name);
-            closing.add(released.upstream().upstream().address());
+            closingAddresses.add(released.upstream().upstream().address());
             closeWhenIdle(released.upstream());
         }
     }
@@ -176,7 +176,7 @@
     private void closeWhenIdle(HeldUpstream upstream) {
         if (upstream.inFlight() == 0) {
             upstream.protocol().close();
-            closing.remove(upstream.upstream().address());
+            closingAddresses.remove(upstream.upstream().address());
             workers.run(this::configure);
         } else {
             workers.runAfter(DRAIN_POLL_PERIOD.toNanos(), () -> closeWhenIdle(upstream));
@@ -221,17 +221,17 @@
     }
 
     private boolean isHeld(Holding holding) {
-        return holding.equals(held.get(holding.upstream().upstream().name()));
+        return holding.equals(holdings.get(holding.upstream().upstream().name()));
     }
 
     /** A held upstream with this host's share of its connections and the time from which they may be opened. */
-    private record Holding(HeldUpstream upstream, int share, long openAtNanos) {
+    private record Holding(HeldUpstream upstream, int share, long openTimeNanos) {
         boolean matches(Upstream declared, int declaredShare) {
             return upstream.upstream().address().equals(declared.address()) && share == declaredShare;
         }
 
-        boolean mayOpen(long nowNanos) {
-            return nowNanos - openAtNanos >= 0;
+        boolean mayConnect(long nowNanos) {
+            return nowNanos - openTimeNanos >= 0;
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamStatusRegistry.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/holder/UpstreamStatusRegistry.java
@@ -43,8 +43,8 @@
     public void record(UpstreamName upstream, UpstreamReport report, boolean reachable) {
         Runnable listener = () -> {};
         synchronized (this) {
-            Status known = statuses.get(upstream);
-            boolean changed = known == null || !known.report.equals(report) || known.reachable != reachable;
+            Status previous = statuses.get(upstream);
+            boolean changed = previous == null || !previous.report.equals(report) || previous.reachable != reachable;
             if (changed) {
                 statuses.put(upstream, new Status(report, reachable));
                 listener = onChange;
@@ -56,9 +56,9 @@
 
     /** Marks an upstream as draining after it refused a call for that reason. */
     public void markDraining(UpstreamName upstream) {
-        Optional<UpstreamReport> known = reportOf(upstream);
-        if (known.isPresent() && !known.get().draining()) {
-            record(upstream, new UpstreamReport(true, known.get().served()), true);
+        Optional<UpstreamReport> lastReport = reportOf(upstream);
+        if (lastReport.isPresent() && !lastReport.get().draining()) {
+            record(upstream, new UpstreamReport(true, lastReport.get().served()), true);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Heartbeats.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/Heartbeats.java
@@ -52,7 +52,7 @@
             PeerNetwork network,
             MembershipTable membership,
             ServiceDirectory directory,
-            UpstreamStatusRegistry statuses,
+            UpstreamStatusRegistry statusRegistry,
             UpstreamHarm harm,
             Workers workers,
             MonotonicClock clock,
@@ -63,7 +63,7 @@
         this.network = network;
         this.membership = membership;
         this.directory = directory;
-        this.statusRegistry = statuses;
+        this.statusRegistry = statusRegistry;
         this.harm = harm;
         this.workers = workers;
         this.clock = clock;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/KeepAlive.java
@@ -33,9 +33,9 @@
 
     /** Returns how long a connection may be idle and still be reused, given the leaf's timeout in seconds. */
     static long safeIdleNanos(long seconds) {
-        Duration whole = Duration.ofSeconds(seconds);
-        Duration half = whole.dividedBy(2);
-        Duration safe = whole.minus(SAFETY_MARGIN);
+        Duration timeout = Duration.ofSeconds(seconds);
+        Duration half = timeout.dividedBy(2);
+        Duration safe = timeout.minus(SAFETY_MARGIN);
         return (safe.compareTo(half) > 0 ? safe : half).toNanos();
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
@@ -33,10 +33,12 @@
     private static final String CONTENT_ENCODING = "content-encoding";
 
     /** Creates an answer and derives its outcome from the status and headers. */
-    public static LeafAnswer of(int status, HttpHeaders headers, ByteString body, CallHeaders names) {
-        Optional<String> signature = Optional.ofNullable(headers.get(names.signature()));
-        Optional<LeafLoad> load = Optional.ofNullable(headers.get(names.load())).flatMap(LeafLoad::parse);
-        return new LeafAnswer(status, headers, body, outcomeOf(status, headers, signature, names), signature, load);
+    public static LeafAnswer of(int status, HttpHeaders headers, ByteString body, CallHeaders headerNames) {
+        Optional<String> signature = Optional.ofNullable(headers.get(headerNames.signature()));
+        Optional<LeafLoad> load =
+                Optional.ofNullable(headers.get(headerNames.load())).flatMap(LeafLoad::parse);
+        return new LeafAnswer(
+                status, headers, body, outcomeOf(status, headers, signature, headerNames), signature, load);
     }
 
     /** Returns true if the answer may be forwarded to the caller unchanged. */
@@ -53,11 +55,11 @@
     }
 
     private static LeafOutcome outcomeOf(
-            int status, HttpHeaders headers, Optional<String> signature, CallHeaders names) {
+            int status, HttpHeaders headers, Optional<String> signature, CallHeaders headerNames) {
         if (status == MISDIRECTED) {
             return LeafOutcome.REFUSED_GONE;
         }
-        boolean notRun = headers.contains(names.notRun());
+        boolean notRun = headers.contains(headerNames.notRun());
         if (notRun && (status == UNAVAILABLE || status == TOO_MANY_REQUESTS)) {
             return LeafOutcome.REFUSED_BUSY;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
@@ -45,13 +45,13 @@
     private int staleAnswers;
     private boolean reusable = true;
     private @Nullable ConnectionEvent endReason;
-    private boolean failed;
+    private boolean connectionFailed;
     private long idleSinceNanos;
     private long maxIdleNanos = Long.MAX_VALUE;
 
-    LeafConnection(LeafConnections owner, CallHeaders names, MonotonicClock clock) {
+    LeafConnection(LeafConnections owner, CallHeaders headerNames, MonotonicClock clock) {
         this.owner = owner;
-        this.headerNames = names;
+        this.headerNames = headerNames;
         this.clock = clock;
     }
 
@@ -70,7 +70,7 @@
         callback = newCallback;
         requestId = request.requestId();
         staleAnswers = 0;
-        open.pipeline().get(LeafResponseDecoder.class).setWithoutBody(request.isHead());
+        open.pipeline().get(LeafResponseDecoder.class).setWithoutBody(request.isHeadRequest());
         open.writeAndFlush(request.encode(open.alloc(), leafId, remainingMillis), open.voidPromise());
     }
 
@@ -124,7 +124,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failed = true;
+        connectionFailed = true;
         close(remoteCloseReason());
     }
 
@@ -174,24 +174,24 @@
     }
 
     private void onComplete(HttpResponse head) {
-        ByteString whole = takeBody();
+        ByteString completeBody = takeBody();
         response = null;
         if (head.status().code() < MIN_FINAL_STATUS) {
             return;
         }
-        boolean framed = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
-        if (!framed && failed) {
+        boolean hasFraming = HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
+        if (!hasFraming && connectionFailed) {
             fail(LeafOutcome.BROKEN);
             return;
         }
-        reusable &= framed && HttpUtil.isKeepAlive(head);
-        String echoed = head.headers().get(headerNames.requestId());
-        if (echoed != null && !requestId.isEmpty() && !echoed.equals(requestId)) {
+        reusable &= hasFraming && HttpUtil.isKeepAlive(head);
+        String echoedRequestId = head.headers().get(headerNames.requestId());
+        if (echoedRequestId != null && !requestId.isEmpty() && !echoedRequestId.equals(requestId)) {
             skipStaleAnswer();
             return;
         }
         updateIdleLimit(head.headers());
-        complete(LeafAnswer.of(head.status().code(), head.headers(), whole, headerNames));
+        complete(LeafAnswer.of(head.status().code(), head.headers(), completeBody, headerNames));
     }
 
     /** Skips an answer to another request; the expected answer may still follow. */
@@ -242,9 +242,9 @@
         if (accumulated == null) {
             return ByteString.EMPTY;
         }
-        ByteString whole = UnsafeByteOperations.unsafeWrap(ByteBufUtil.getBytes(accumulated));
+        ByteString copy = UnsafeByteOperations.unsafeWrap(ByteBufUtil.getBytes(accumulated));
         releaseBody();
-        return whole;
+        return copy;
     }
 
     private void releaseBody() {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -51,23 +51,23 @@
      *
      * @param share the maximum number of connections of this host to the leaf, at least 1
      * @param observer receives an event for each connection that is opened or closed
-     * @param watch permits calls and receives their outcomes
+     * @param monitor permits calls and receives their outcomes
      */
     public LeafConnections(
             Leaf leaf,
             EventLoopGroup group,
-            CallHeaders names,
+            CallHeaders headerNames,
             MonotonicClock clock,
             IntSupplier share,
             Consumer<ConnectionEvent> observer,
-            CallMonitor watch) {
+            CallMonitor monitor) {
         this.leaf = leaf;
         this.group = group;
-        this.headerNames = names;
+        this.headerNames = headerNames;
         this.clock = clock;
         this.share = share;
         this.observer = observer;
-        this.monitor = watch;
+        this.monitor = monitor;
     }
 
     /**
@@ -229,7 +229,7 @@
     private void failWaiting(LeafOutcome outcome) {
         PendingRequest next = nextWaiting();
         while (next != null) {
-            next.done = true;
+            next.completed = true;
             next.callback.onFailure(outcome);
             next = nextWaiting();
         }
@@ -251,24 +251,24 @@
         private final LeafCallback callback;
         private @Nullable LeafConnection connection;
         private boolean abandoned;
-        private boolean done;
+        private boolean completed;
 
-        PendingRequest(LeafRequest request, long deadlineNanos, LeafCallback taker) {
+        PendingRequest(LeafRequest request, long deadlineNanos, LeafCallback callback) {
             this.request = request;
             this.deadlineNanos = deadlineNanos;
-            this.callback = taker;
+            this.callback = callback;
         }
 
         void sendOn(LeafConnection target) {
             if (!monitor.maySend(request)) {
                 // The request was quarantined while it waited for a connection.
-                done = true;
+                completed = true;
                 onIdle(target);
                 callback.onFailure(LeafOutcome.BARRED);
                 return;
             }
             if (!leaf.tryAdmit(clock.nowNanos())) {
-                done = true;
+                completed = true;
                 onIdle(target);
                 callback.onFailure(LeafOutcome.NO_CONNECTION);
                 return;
@@ -279,7 +279,7 @@
             target.send(request, leaf.id(), remainingMillis, new LeafCallback() {
                 @Override
                 public void onAnswer(LeafAnswer answer) {
-                    done = true;
+                    completed = true;
                     endDetector.onAnswered(request);
                     if (answer.showsSurvival()) {
                         monitor.onAnswered(request);
@@ -289,7 +289,7 @@
 
                 @Override
                 public void onFailure(LeafOutcome outcome) {
-                    done = true;
+                    completed = true;
                     recordFailure(outcome);
                     callback.onFailure(outcome);
                 }
@@ -314,7 +314,7 @@
 
         @Override
         public boolean abandon() {
-            if (abandoned || done) {
+            if (abandoned || completed) {
                 return false;
             }
             abandoned = true;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -41,7 +41,7 @@
 
     private final CallHeaders headerNames;
     private final String requestId;
-    private final boolean head;
+    private final boolean headRequest;
     private final byte[] commonHead;
     private final byte[] body;
     private final HomeRegions homeRegions;
@@ -49,19 +49,19 @@
     private volatile @Nullable Fingerprints fingerprints;
 
     private LeafRequest(
-            CallHeaders names,
+            CallHeaders headerNames,
             String requestId,
-            boolean head,
+            boolean headRequest,
             byte[] commonHead,
             byte[] body,
-            HomeRegions homes,
+            HomeRegions homeRegions,
             Supplier<Fingerprints> fingerprintSupplier) {
-        this.headerNames = names;
+        this.headerNames = headerNames;
         this.requestId = requestId;
-        this.head = head;
+        this.headRequest = headRequest;
         this.commonHead = commonHead;
         this.body = body;
-        this.homeRegions = homes;
+        this.homeRegions = homeRegions;
         this.fingerprintSupplier = fingerprintSupplier;
     }
 
@@ -127,12 +127,12 @@
     /** Returns the fingerprints of the request, which are the same on every host. */
     public Fingerprints fingerprints() {
         // Computed lazily: most requests never need these digests.
-        Fingerprints known = fingerprints;
-        if (known == null) {
-            known = fingerprintSupplier.get();
-            fingerprints = known;
+        Fingerprints computed = fingerprints;
+        if (computed == null) {
+            computed = fingerprintSupplier.get();
+            fingerprints = computed;
         }
-        return known;
+        return computed;
     }
 
     /** Returns the fingerprints together with the request identifier, which identify this attempt on every host. */
@@ -146,8 +146,8 @@
     }
 
     /** Returns true for a HEAD request, whose answers have no body. */
-    boolean isHead() {
-        return head;
+    boolean isHeadRequest() {
+        return headRequest;
     }
 
     /** Encodes the request for one leaf. */
