--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/TerminationSignal.java
@@ -67,7 +67,7 @@
         try {
             handle.invoke(null, signal, proxy);
         } catch (InvocationTargetException refused) {
-            throw new ReflectiveOperationException("cannot install a handler for SIG" + name, refused);
+            throw new ReflectiveOperationException("the handler of signal " + name + " cannot be installed", refused);
         }
     }
 }
