--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
@@ -25,8 +25,8 @@
 import org.bramblerack.daemon.entry.StoppingState;
 import org.bramblerack.daemon.holder.HolderService;
 import org.bramblerack.daemon.holder.HttpUpstreamProtocol;
-import org.bramblerack.daemon.holder.StatusBoard;
 import org.bramblerack.daemon.holder.UpstreamHarm;
+import org.bramblerack.daemon.holder.UpstreamStatusRegistry;
 import org.bramblerack.daemon.peer.LinkPolicy;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.daemon.peer.PeerServer;
@@ -41,15 +41,15 @@
 import org.bramblerack.process.directory.ServiceDirectory;
 
 /**
- * One process of the system, wired from its settings.
+ * A host process, assembled from its settings.
  *
- * <p>Started once and stopped once. The parts are started from the inside out and stopped from the outside in. Public
+ * <p>Started once and stopped once. Components start before those that depend on them and stop after them. Public
  * methods are safe for use by many threads.
  */
 public final class HostProcess {
     private static final Logger LOGGER = System.getLogger(HostProcess.class.getName());
     private static final int NETWORK_THREADS = 2;
-    private static final Duration IDLE_CHECK = Duration.ofMillis(20);
+    private static final Duration DRAIN_POLL_PERIOD = Duration.ofMillis(20);
 
     private final Settings settings;
     private final Vertx vertx;
@@ -60,7 +60,7 @@
     private final HolderService holders;
     private final Optional<ControlNode> control;
     private final ConfigurationFollower follower;
-    private final Beats beats;
+    private final Heartbeats heartbeats;
     private final Optional<PlatformWatcher> platform;
     private final ServiceDirectory directory;
     private final QueryRunner queries;
@@ -71,7 +71,7 @@
     private final HostMetrics metrics = new HostMetrics();
     private volatile StoppingState stopping = StoppingState.RUNNING;
 
-    /** Creates a process; nothing runs before {@link #start}. */
+    /** Creates a process that serves nothing until {@link #start} is called. */
     public HostProcess(Settings settings, LinkPolicy links) {
         MonotonicClock clock = MonotonicClock.system();
         InstantSource wallClock = InstantSource.system();
@@ -83,7 +83,7 @@
         this.network = new PeerNetwork(settings.host(), settings.hosts(), group, links, traffic);
         MembershipTable membership = new MembershipTable();
         this.directory = new ServiceDirectory(settings.zone(), settings::hostsInZone);
-        StatusBoard statuses = new StatusBoard(settings.host(), directory);
+        UpstreamStatusRegistry statusRegistry = new UpstreamStatusRegistry(settings.host(), directory);
         UpstreamHarm harm = new UpstreamHarm(clock, wallClock);
         this.holders = new HolderService(
                 settings.host(),
@@ -92,18 +92,18 @@
                 workers,
                 clock,
                 random,
-                statuses,
+                statusRegistry,
                 harm);
         this.control = controlNode(settings, network, clock, wallClock, random);
         this.client = new ControlClient(settings.host(), settings.voters(), control, network, clock);
-        this.beats = new Beats(
+        this.heartbeats = new Heartbeats(
                 settings.host(),
                 settings.zone(),
                 incarnation,
                 network,
                 membership,
                 directory,
-                statuses,
+                statusRegistry,
                 harm,
                 workers,
                 clock,
@@ -118,7 +118,7 @@
                 clock,
                 metrics,
                 this::isLeaving,
-                this::configured);
+                this::onConfigurationChange);
         this.platform = platformList(vertx, settings.platform())
                 .map(list -> new PlatformWatcher(list, directory, workers, metrics));
         RequestIds ids = new RequestIds(settings.host(), incarnation);
@@ -126,8 +126,8 @@
         this.queries = new QueryRunner(directory, router, workers, clock, random, metrics, ids, settings.maxQueries());
         this.operations =
                 new OnceOnlyRunner(directory, router, client, workers, clock, wallClock, random, metrics, ids);
-        OperatorApi operators =
-                new OperatorApi(settings, directory, client, wallClock, metrics, follower::unconfirmed, this::stopping);
+        OperatorApi operators = new OperatorApi(
+                settings, directory, client, wallClock, metrics, follower::timeSinceConfirmation, this::stopping);
         this.entry = new EntryServer(
                 vertx,
                 settings.callerAddress(),
@@ -138,57 +138,57 @@
                 wallClock,
                 this::stopping,
                 follower::isReady);
-        PeerRouter peerRouter = new PeerRouter(workers, clock, holders, beats, membership, control, follower);
+        PeerRouter peerRouter = new PeerRouter(workers, clock, holders, heartbeats, membership, control, follower);
         this.peers = new PeerServer(settings.peerAddress(), peerRouter, group, links, traffic);
         addGauges();
     }
 
     /**
-     * Starts every part.
+     * Starts all components.
      *
-     * @throws IOException if the files of the control role cannot be trusted
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws IOException if the files of the control role cannot be read or are invalid
+     * @throws InterruptedException if the thread is interrupted while starting
      */
     public void start() throws IOException, InterruptedException {
         if (control.isPresent()) {
             control.get().start();
         }
         peers.start();
-        beats.start();
+        heartbeats.start();
         follower.start();
         platform.ifPresent(PlatformWatcher::start);
         entry.start();
         LOGGER.log(
                 Logger.Level.INFO,
-                "{0} serves callers at {1} and hosts at {2}",
+                "{0} listens for callers at {1} and for hosts at {2}",
                 settings.host(),
                 settings.callerAddress(),
                 settings.peerAddress());
     }
 
     /**
-     * Stops in the planned way: says that it is leaving, goes on serving while the balancer lags, then finishes what is
-     * in flight, then ends.
+     * Stops gracefully: announces that the host is leaving, serves until the load balancer has noticed, waits for
+     * requests in flight, then stops all components.
      *
-     * @param lag how long the balancer may go on sending requests
-     * @param limit how long to wait for what is in flight after that
+     * @param lag how long the load balancer may continue to send requests
+     * @param limit the maximum time to wait for requests in flight after that
      */
     public void stop(Duration lag, Duration limit) throws InterruptedException {
         stopping = StoppingState.LEAVING;
         LOGGER.log(Logger.Level.INFO, "{0} is leaving", settings.host());
-        beats.beatSoon();
+        heartbeats.scheduleSend();
         Thread.sleep(lag.toMillis());
         stopping = StoppingState.FINISHING;
-        long giveUpNanos = System.nanoTime() + limit.toNanos();
-        while (inFlight() > 0 && System.nanoTime() - giveUpNanos < 0) {
-            Thread.sleep(IDLE_CHECK.toMillis());
+        long deadlineNanos = System.nanoTime() + limit.toNanos();
+        while (inFlight() > 0 && System.nanoTime() - deadlineNanos < 0) {
+            Thread.sleep(DRAIN_POLL_PERIOD.toMillis());
         }
-        int left = inFlight();
-        LOGGER.log(Logger.Level.INFO, "{0} stops with {1} requests in flight", settings.host(), left);
+        int remaining = inFlight();
+        LOGGER.log(Logger.Level.INFO, "{0} stops with {1} requests in flight", settings.host(), remaining);
         kill();
     }
 
-    /** Ends every part at once, without waiting for anything. */
+    /** Stops all components immediately, without waiting for requests in flight. */
     public void kill() {
         entry.stop();
         platform.ifPresent(PlatformWatcher::stop);
@@ -201,39 +201,39 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** Returns the revision of the configuration that is in force. */
+    /** Returns the revision of the configuration in force. */
     public long revision() {
         return directory.configuration().revision();
     }
 
-    /** Returns the counters, timers and gauges. */
+    /** Returns the metrics of this host. */
     public HostMetrics metrics() {
         return metrics;
     }
 
-    /** Returns what this host sent to others. */
+    /** Returns the counters of traffic to other hosts. */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /** Returns how this host reaches the control hosts. */
+    /** Returns the client of the control hosts. */
     public ControlClient controlClient() {
         return client;
     }
 
-    /** Returns the port on which callers are served. */
+    /** Returns the port for callers. */
     public int callerPort() {
         return entry.port();
     }
 
-    /** Returns how far the process has come with a planned stop. */
+    /** Returns the progress of a graceful stop. */
     public StoppingState stopping() {
         return stopping;
     }
 
-    private void configured() {
+    private void onConfigurationChange() {
         holders.configure();
-        beats.beatSoon();
+        heartbeats.scheduleSend();
     }
 
     private boolean isLeaving() {
@@ -255,7 +255,8 @@
         metrics.gauge("peer.control-messages-sent", traffic::controlMessages);
         metrics.gauge("configuration.revision", () -> directory.configuration().revision());
         metrics.gauge(
-                "configuration.unconfirmed-ms", () -> follower.unconfirmed().toMillis());
+                "configuration.unconfirmed-ms",
+                () -> follower.timeSinceConfirmation().toMillis());
     }
 
     private static Optional<PlatformList> platformList(Vertx vertx, PlatformSource source) {
@@ -285,7 +286,7 @@
                 random));
     }
 
-    /** Randomness of the present thread. */
+    /** Delegates to the random generator of the current thread. */
     private static final class ThreadRandom implements RandomGenerator {
         @Override
         public long nextLong() {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/lifecycle/LogProviderTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** The logging library comes without a configuration of its own, and takes ours. */
+/** Guards against Logback configuring itself before {@link LogSetup} does. */
 final class LogProviderTest {
     @Test
-    void nothingIsConfiguredThatWasNotAskedFor() {
+    void hasNoAppendersBeforeLogSetup() {
         LogProvider provider = new LogProvider();
         provider.initialize();
         assertThat(provider.getLoggerFactory()).isInstanceOf(LoggerContext.class);
