--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
@@ -12,13 +12,13 @@
  * keeps to its budget of extra attempts in every window. Not safe for use by several threads.
  */
 final class Checks {
-    private static final int MOST_KEPT = 20;
+    private static final int MAX_VIOLATIONS = 20;
 
     private final Fleet fleet;
-    private final Map<String, Integer> mayRun = new HashMap<>();
-    private final Map<String, Boolean> seen = new HashMap<>();
-    private final Map<Integer, List<Long>> extras = new HashMap<>();
-    private final Map<Integer, List<Long>> firsts = new HashMap<>();
+    private final Map<String, Integer> possibleRuns = new HashMap<>();
+    private final Map<String, Boolean> alreadyCalled = new HashMap<>();
+    private final Map<Integer, List<Long>> extraNanosByShard = new HashMap<>();
+    private final Map<Integer, List<Long>> firstNanosByShard = new HashMap<>();
     private final Map<Long, Integer> ends = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
@@ -27,44 +27,44 @@
     }
 
     /** Notes that a call reached a leaf. */
-    void arrived(Arrival arrival, int shard, long nowNanos) {
+    void recordArrival(Arrival arrival, int shard, long nowNanos) {
         String key = arrival.number() + "/shard-" + shard;
-        boolean first = seen.putIfAbsent(key, true) == null;
-        (first ? firsts : extras)
+        boolean first = alreadyCalled.putIfAbsent(key, true) == null;
+        (first ? firstNanosByShard : extraNanosByShard)
                 .computeIfAbsent(shard, unused -> new ArrayList<>())
                 .add(nowNanos);
-        int count = mayRun.merge(key, 1, Integer::sum);
-        if (count > arrival.load().attempts()) {
-            violated("request " + key + " may run on " + count + " leafs");
+        int count = possibleRuns.merge(key, 1, Integer::sum);
+        if (count > arrival.load().maxAttempts()) {
+            addViolation("request " + key + " may run on " + count + " leafs");
         }
     }
 
     /** Notes that a leaf did not run a call. */
-    void notRun(Arrival arrival, String service) {
-        mayRun.merge(arrival.number() + "/" + service, -1, Integer::sum);
+    void recordNotRun(Arrival arrival, String service) {
+        possibleRuns.merge(arrival.number() + "/" + service, -1, Integer::sum);
     }
 
     /** Notes the end of a request. */
-    void ended(Arrival arrival) {
+    void recordEnd(Arrival arrival) {
         if (ends.merge(arrival.number(), 1, Integer::sum) > 1) {
-            violated("request " + arrival.number() + " ended twice");
+            addViolation("request " + arrival.number() + " ended twice");
         }
     }
 
     /** Checks the budget of every shard in every window, and connections. */
-    List<String> finish(List<ModelLeaf> leafs) {
+    List<String> finish(List<ModelLeaf> leaves) {
         long windowNanos = fleet.budget().window().toNanos();
-        extras.forEach((shard, times) -> checkBudget(shard, times, windowNanos));
-        for (ModelLeaf leaf : leafs) {
-            if (leaf.mostConnections() > fleet.connections()) {
-                violated("leaf " + leaf.id() + " had " + leaf.mostConnections() + " connections");
+        extraNanosByShard.forEach((shard, times) -> checkBudget(shard, times, windowNanos));
+        for (ModelLeaf leaf : leaves) {
+            if (leaf.maxConnections() > fleet.connections()) {
+                addViolation("leaf " + leaf.id() + " had " + leaf.maxConnections() + " connections");
             }
         }
         return violations;
     }
 
     private void checkBudget(int shard, List<Long> extraNanos, long windowNanos) {
-        List<Long> firstNanos = firsts.getOrDefault(shard, List.of());
+        List<Long> firstNanos = firstNanosByShard.getOrDefault(shard, List.of());
         int from = 0;
         for (int to = 0; to < extraNanos.size(); to++) {
             while (extraNanos.get(to) - extraNanos.get(from) > windowNanos) {
@@ -72,23 +72,24 @@
             }
             long end = extraNanos.get(to);
             long requests = Math.max(
-                    within(firstNanos, end - windowNanos, end),
-                    within(firstNanos, end - 2 * windowNanos, end - windowNanos));
-            double most = requests * fleet.budget().extraPercent() / 100.0
+                    countBetween(firstNanos, end - windowNanos, end),
+                    countBetween(firstNanos, end - 2 * windowNanos, end - windowNanos));
+            double allowed = requests * fleet.budget().extraPercent() / 100.0
                     + fleet.budget().slack();
-            if (to - from + 1 > most) {
-                violated("shard " + shard + " got " + (to - from + 1) + " extra attempts, " + most + " are allowed");
+            if (to - from + 1 > allowed) {
+                addViolation(
+                        "shard " + shard + " got " + (to - from + 1) + " extra attempts, " + allowed + " are allowed");
                 return;
             }
         }
     }
 
-    private static long within(List<Long> times, long from, long to) {
+    private static long countBetween(List<Long> times, long from, long to) {
         return times.stream().filter(at -> at > from && at <= to).count();
     }
 
-    private void violated(String what) {
-        if (violations.size() < MOST_KEPT) {
+    private void addViolation(String what) {
+        if (violations.size() < MAX_VIOLATIONS) {
             violations.add(what);
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
@@ -35,12 +35,14 @@
             ImmutableList.Builder<Summary> summaries = ImmutableList.builder();
             ImmutableList.Builder<Summary.Cost> costs = ImmutableList.builder();
             ImmutableList.Builder<ImmutableList<Double>> seconds = ImmutableList.builder();
-            Optional<List<Run.Result>> first = Optional.empty();
+            Optional<List<Run.Result>> baseline = Optional.empty();
             for (Experiment.Policy policy : experiment.policies()) {
-                List<Run.Result> results = runs(experiment, policy, workers);
-                List<Run.Result> compared = first.orElse(results);
-                first = Optional.of(compared);
-                experiment.loads().forEach(load -> summaries.add(Summary.of(policy.name(), load, results, compared)));
+                List<Run.Result> results = runAllSeeds(experiment, policy, workers);
+                List<Run.Result> baselineResults = baseline.orElse(results);
+                baseline = Optional.of(baselineResults);
+                experiment
+                        .loads()
+                        .forEach(load -> summaries.add(Summary.of(policy.name(), load, results, baselineResults)));
                 costs.add(Summary.Cost.of(policy.name(), results));
                 seconds.add(creditBySecond(results));
                 progress.accept(policy.name() + ": " + results.size() + " runs are done");
@@ -52,12 +54,12 @@
     }
 
     /** Returns true if everything that must hold held in every run. */
-    boolean holds() {
+    boolean hasNoViolations() {
         return costs.stream().allMatch(cost -> cost.violations().isEmpty());
     }
 
-    private static List<Run.Result> runs(Experiment experiment, Experiment.Policy policy, ExecutorService workers)
-            throws InterruptedException {
+    private static List<Run.Result> runAllSeeds(
+            Experiment experiment, Experiment.Policy policy, ExecutorService workers) throws InterruptedException {
         ImmutableList.Builder<Future<Run.Result>> pending = ImmutableList.builder();
         for (int seed = 0; seed < experiment.seeds(); seed++) {
             int number = seed;
@@ -76,11 +78,11 @@
 
     private static ImmutableList<Double> creditBySecond(List<Run.Result> results) {
         ImmutableList.Builder<Double> seconds = ImmutableList.builder();
-        int count = results.get(0).tally().seconds();
+        int count = results.get(0).counts().seconds();
         for (int second = 0; second < count; second++) {
             int number = second;
             seconds.add(results.stream()
-                    .mapToDouble(result -> result.tally().creditIn(number))
+                    .mapToDouble(result -> result.counts().creditIn(number))
                     .average()
                     .orElse(0));
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiment.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiment.java
@@ -15,7 +15,7 @@
 record Experiment(
         Fleet fleet,
         ImmutableList<Load> loads,
-        ImmutableList<Trouble> troubles,
+        ImmutableList<InjectedFault> faults,
         ImmutableList<Policy> policies,
         Duration length,
         int seeds) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
@@ -13,17 +13,17 @@
 
 /** Reads the file of an experiment, or tells everything that is wrong with it. Stateless. */
 final class ExperimentReader {
-    private static final int MOST_ZONES = 64;
-    private static final int MOST_HOSTS = 2_000;
-    private static final int MOST_SHARDS = 2_000;
-    private static final int MOST_REPLICAS = 16;
-    private static final int MOST_LOADS = 16;
-    private static final int MOST_TROUBLES = 64;
-    private static final int MOST_POLICIES = 32;
-    private static final int MOST_SEEDS = 10_000;
-    private static final int MOST_COUNT = 100_000;
-    private static final double MOST_MILLIS = 3_600_000;
-    private static final double MOST_TIMES = 1_000;
+    private static final int MAX_ZONES = 64;
+    private static final int MAX_HOSTS = 2_000;
+    private static final int MAX_SHARDS = 2_000;
+    private static final int MAX_REPLICAS = 16;
+    private static final int MAX_LOADS = 16;
+    private static final int MAX_FAULTS = 64;
+    private static final int MAX_POLICIES = 32;
+    private static final int MAX_SEEDS = 10_000;
+    private static final int MAX_COUNT = 100_000;
+    private static final double MAX_MILLIS = 3_600_000;
+    private static final double MAX_FACTOR = 1_000;
     private static final double NANOS_PER_MILLI = 1e6;
 
     private ExperimentReader() {}
@@ -33,35 +33,35 @@
     }
 
     private static Experiment experiment(Fields fields) {
-        Fleet fleet = fields.object("fleet", ExperimentReader::fleet).orElseGet(ExperimentReader::noFleet);
-        ImmutableList<Load> loads = fields.objects("loads", MOST_LOADS, ExperimentReader::load);
+        Fleet fleet = fields.object("fleet", ExperimentReader::fleet).orElseGet(ExperimentReader::placeholderFleet);
+        ImmutableList<Load> loads = fields.objects("loads", MAX_LOADS, ExperimentReader::load);
         if (loads.isEmpty()) {
             fields.addError("loads", "there is no load", "give one kind of query at least");
         }
-        ImmutableList<Trouble> troubles = fields.objects("troubles", MOST_TROUBLES, ExperimentReader::trouble);
-        ImmutableList<Experiment.Policy> policies = fields.objects("policies", MOST_POLICIES, ExperimentReader::policy);
+        ImmutableList<InjectedFault> faults = fields.objects("troubles", MAX_FAULTS, ExperimentReader::injectedFault);
+        ImmutableList<Experiment.Policy> policies = fields.objects("policies", MAX_POLICIES, ExperimentReader::policy);
         if (policies.isEmpty()) {
             fields.addError(
                     "policies", "there is no policy", "give one at least; the others are compared with the first");
         }
         return new Experiment(
-                fleet, loads, troubles, policies, millis(fields, "lengthMs"), fields.integer("seeds", 1, MOST_SEEDS));
+                fleet, loads, faults, policies, millis(fields, "lengthMs"), fields.integer("seeds", 1, MAX_SEEDS));
     }
 
     private static Fleet fleet(Fields fields) {
         ImmutableList<Fleet.Zone> zones = fields.objects(
                 "zones",
-                MOST_ZONES,
-                zone -> new Fleet.Zone(zone.name("name"), zone.name("region"), zone.integer("hosts", 0, MOST_HOSTS)));
-        ImmutableList<String> replicaZones = fields.texts("replicaZones", MOST_REPLICAS);
+                MAX_ZONES,
+                zone -> new Fleet.Zone(zone.name("name"), zone.name("region"), zone.integer("hosts", 0, MAX_HOSTS)));
+        ImmutableList<String> replicaZones = fields.texts("replicaZones", MAX_REPLICAS);
         checkZones(fields, zones, replicaZones);
         return new Fleet(
                 zones,
-                fields.integer("shards", 1, MOST_SHARDS),
+                fields.integer("shards", 1, MAX_SHARDS),
                 replicaZones,
-                fields.integer("slots", 1, MOST_COUNT),
-                fields.integer("queue", 0, MOST_COUNT),
-                fields.integer("connections", 1, MOST_COUNT),
+                fields.integer("slots", 1, MAX_COUNT),
+                fields.integer("queue", 0, MAX_COUNT),
+                fields.integer("connections", 1, MAX_COUNT),
                 millis(fields, "connectMs"),
                 millis(fields, "pauseMs"),
                 millis(fields, "pauseEveryMs"),
@@ -72,19 +72,18 @@
                 millis(fields, "sealLeadMs"),
                 new FleetBudget(
                         fields.integer("extraPercent", 0, 1_000),
-                        fields.integer("extraSlack", 0, MOST_COUNT),
+                        fields.integer("extraSlack", 0, MAX_COUNT),
                         millis(fields, "budgetWindowMs")),
-                fields.optionalObject("unevenness", ExperimentReader::unevenness)
-                        .orElse(Unevenness.NONE));
+                fields.optionalObject("unevenness", ExperimentReader::speedSkew).orElse(SpeedSkew.NONE));
     }
 
-    private static Unevenness unevenness(Fields fields) {
-        ImmutableList<Double> speeds =
-                fields.objects("speeds", MOST_REPLICAS, speed -> speed.decimal("times", 0.01, MOST_TIMES));
-        return new Unevenness(
-                speeds,
+    private static SpeedSkew speedSkew(Fields fields) {
+        ImmutableList<Double> workFactors =
+                fields.objects("speeds", MAX_REPLICAS, speed -> speed.decimal("times", 0.01, MAX_FACTOR));
+        return new SpeedSkew(
+                workFactors,
                 fields.decimal("spellShare", 0, 1, 0),
-                fields.decimal("spellTimes", 0.01, MOST_TIMES, 1),
+                fields.decimal("spellTimes", 0.01, MAX_FACTOR, 1),
                 fields.has("spellEveryMs") ? millis(fields, "spellEveryMs") : Duration.ZERO,
                 fields.flag("told", false));
     }
@@ -108,7 +107,7 @@
     private static Load load(Fields fields) {
         return new Load(
                 fields.name("name"),
-                fields.decimal("perSecond", 0.001, MOST_COUNT),
+                fields.decimal("perSecond", 0.001, MAX_COUNT),
                 millis(fields, "workMs"),
                 fields.decimal("spread", 0, 10, 0.35),
                 fields.decimal("tailShare", 0, 1, 0),
@@ -117,13 +116,13 @@
                 millis(fields, "deadlineMs"),
                 fields.decimal("leastShare", 0, 1),
                 fields.decimal("lateWorth", 0, 1, 0),
-                fields.integer("attempts", 1, MOST_REPLICAS),
-                fields.integer("retries", 0, MOST_REPLICAS, 0));
+                fields.integer("attempts", 1, MAX_REPLICAS),
+                fields.integer("retries", 0, MAX_REPLICAS, 0));
     }
 
-    private static Trouble trouble(Fields fields) {
-        return new Trouble(
-                fields.choice("kind", Trouble.Kind.class),
+    private static InjectedFault injectedFault(Fields fields) {
+        return new InjectedFault(
+                fields.choice("kind", InjectedFault.Kind.class),
                 millis(fields, "atMs"),
                 millis(fields, "lastsMs"),
                 fields.decimal("share", 0, 1),
@@ -135,11 +134,11 @@
     }
 
     private static Duration millis(Fields fields, String name) {
-        return Duration.ofNanos((long) (fields.decimal(name, 0, MOST_MILLIS) * NANOS_PER_MILLI));
+        return Duration.ofNanos((long) (fields.decimal(name, 0, MAX_MILLIS) * NANOS_PER_MILLI));
     }
 
     /** Stands in for a fleet that is missing, which is reported. */
-    private static Fleet noFleet() {
+    private static Fleet placeholderFleet() {
         Duration none = Duration.ZERO;
         return new Fleet(
                 ImmutableList.of(),
@@ -157,6 +156,6 @@
                 none,
                 none,
                 new FleetBudget(0, 0, Duration.ofSeconds(1)),
-                Unevenness.NONE);
+                SpeedSkew.NONE);
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
@@ -28,7 +28,7 @@
 final class ExperimentReport {
     private static final int PLOT_WIDTH_PIXELS = 900;
     private static final int PLOT_HEIGHT_PIXELS = 360;
-    private static final int MOST_VIOLATIONS_SHOWN = 20;
+    private static final int MAX_VIOLATIONS_SHOWN = 20;
     private static final ImmutableList<Column> COLUMNS = ImmutableList.of(
             new Column("policy", Summary::policy),
             new Column("kind", Summary::kind),
@@ -91,7 +91,7 @@
                     cost.retriesDenied(),
                     cost.connections());
             cost.violations().stream()
-                    .limit(MOST_VIOLATIONS_SHOWN)
+                    .limit(MAX_VIOLATIONS_SHOWN)
                     .forEach(violation -> out.println("  DOES NOT HOLD: " + violation));
         }
     }
@@ -106,15 +106,15 @@
 
     private static String csv(Comparison comparison) {
         StringBuilder text = new StringBuilder();
-        text.append(joined(",", Column::name)).append('\n');
+        text.append(joinColumns(",", Column::name)).append('\n');
         for (Summary summary : comparison.summaries()) {
-            text.append(joined(",", column -> quoted(column.text().apply(summary))))
+            text.append(joinColumns(",", column -> quoted(column.text().apply(summary))))
                     .append('\n');
         }
         return text.toString();
     }
 
-    private static String joined(String separator, Function<Column, String> part) {
+    private static String joinColumns(String separator, Function<Column, String> part) {
         return COLUMNS.stream().map(part).collect(Collectors.joining(separator));
     }
 
@@ -167,13 +167,17 @@
                 .append("<h1>Experiment</h1>");
         page.append(image(creditOverTime(comparison), "What the queries of each second earned, by policy"));
         page.append(image(creditByPolicy(comparison), "What the queries earned, by policy and kind"));
-        page.append("<table><tr>").append(joined("", column -> "<th>" + column.name()));
+        page.append("<table><tr>").append(joinColumns("", column -> "<th>" + column.name()));
         for (Summary summary : comparison.summaries()) {
             page.append("<tr>")
-                    .append(joined("", column -> "<td>" + escaped(column.text().apply(summary))));
+                    .append(joinColumns(
+                            "", column -> "<td>" + escaped(column.text().apply(summary))));
         }
         page.append("</table><p>")
-                .append(comparison.holds() ? "Everything that must hold held in every run." : "Something did not hold.")
+                .append(
+                        comparison.hasNoViolations()
+                                ? "Everything that must hold held in every run."
+                                : "Something did not hold.")
                 .append("</p>\n");
         return page.toString();
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
@@ -33,6 +33,6 @@
         if (folder.isPresent()) {
             ExperimentReport.write(comparison, folder.get());
         }
-        return Either.right(comparison.holds());
+        return Either.right(comparison.hasNoViolations());
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Fleet.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Fleet.java
@@ -22,9 +22,9 @@
  * @param sameRegion the way between two zones of a region, one way
  * @param otherRegion the way between two regions, one way
  * @param toCaller the way between a caller and a host, one way
- * @param sealLead how long before the goal a host seals
+ * @param finalizeLead how long before the goal a host seals
  * @param budget what all hosts may spend on extra attempts
- * @param unevenness how leafs differ
+ * @param speedSkew how leafs differ
  */
 record Fleet(
         ImmutableList<Zone> zones,
@@ -40,9 +40,9 @@
         Duration sameRegion,
         Duration otherRegion,
         Duration toCaller,
-        Duration sealLead,
+        Duration finalizeLead,
         FleetBudget budget,
-        Unevenness unevenness) {
+        SpeedSkew speedSkew) {
     /**
      * An availability zone.
      *
@@ -59,7 +59,7 @@
     }
 
     /** Returns the way between two zones, one way, in nanoseconds. */
-    long wayNanos(String from, String to) {
+    long networkDelayNanos(String from, String to) {
         if (from.equals(to)) {
             return sameZone.toNanos();
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Trouble.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/InjectedFault.java
@@ -8,12 +8,12 @@
  * <p>Immutable and safe for use by many threads.
  *
  * @param kind what befalls them
- * @param at when it begins
- * @param lasts how long it lasts
+ * @param start when it begins
+ * @param duration how long it lasts
  * @param share the share of the leafs that it befalls
  * @param strength how many times as long calls take, or the share of calls that are refused; see {@link Kind}
  */
-record Trouble(Kind kind, Duration at, Duration lasts, double share, double strength) {
+record InjectedFault(Kind kind, Duration start, Duration duration, double share, double strength) {
     /** What can befall a leaf. */
     enum Kind {
         /** Its calls take {@code strength} times as long. */
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Load.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Load.java
@@ -15,10 +15,10 @@
  * @param tailFactor how much longer these take
  * @param goal within which an answer counts whole
  * @param deadline how long a caller waits
- * @param leastShare the share of shards below which there is no answer
- * @param lateWorth what an answer after the goal is worth
- * @param attempts how many leafs of a shard may be asked
- * @param retries how often a caller tries again
+ * @param minCoverage the share of shards below which there is no answer
+ * @param lateCredit what an answer after the goal is worth
+ * @param maxAttempts how many leafs of a shard may be asked
+ * @param maxRetries how often a caller tries again
  */
 record Load(
         String name,
@@ -29,7 +29,7 @@
         double tailFactor,
         Duration goal,
         Duration deadline,
-        double leastShare,
-        double lateWorth,
-        int attempts,
-        int retries) {}
+        double minCoverage,
+        double lateCredit,
+        int maxAttempts,
+        int maxRetries) {}
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelConnections.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelConnections.java
@@ -17,19 +17,19 @@
     private static final long CONNECT_TIMEOUT_NANOS = 1_500_000_000L;
 
     private final ModelLeaf leaf;
-    private final long wayNanos;
-    private final int share;
+    private final long networkDelayNanos;
+    private final int maxConnections;
     private final SimulatedTime time;
-    private final Deque<Call> waiting = new ArrayDeque<>();
+    private final Deque<Call> queued = new ArrayDeque<>();
     private int idle;
     private int open;
     private int connecting;
-    private long made;
+    private long connectionsMade;
 
-    ModelConnections(ModelLeaf leaf, long wayNanos, int share, SimulatedTime time) {
+    ModelConnections(ModelLeaf leaf, long networkDelayNanos, int maxConnections, SimulatedTime time) {
         this.leaf = leaf;
-        this.wayNanos = wayNanos;
-        this.share = share;
+        this.networkDelayNanos = networkDelayNanos;
+        this.maxConnections = maxConnections;
         this.time = time;
         this.idle = 1;
         this.open = 1;
@@ -37,47 +37,47 @@
     }
 
     /** What becomes of a call. */
-    interface Taker {
+    interface CallListener {
         /** Notes that the call reached the leaf. */
-        void arrived();
+        void onArrival();
 
         /** Takes its end; the load is null if the leaf said nothing. */
-        void ended(LeafOutcome outcome, @Nullable LeafLoad load);
+        void onEnd(LeafOutcome outcome, @Nullable LeafLoad load);
     }
 
     /** Returns how many connections were made. */
-    long made() {
-        return made;
+    long connectionsMade() {
+        return connectionsMade;
     }
 
-    Call send(long workNanos, Taker taker) {
-        Call call = new Call(workNanos, taker);
+    Call send(long workNanos, CallListener listener) {
+        Call call = new Call(workNanos, listener);
         if (idle > 0) {
             idle--;
             call.sendNow();
         } else {
-            waiting.add(call);
+            queued.add(call);
             connectIfNeeded();
         }
         return call;
     }
 
     private void connectIfNeeded() {
-        if (connecting >= waiting.size() || open + connecting >= share) {
+        if (connecting >= queued.size() || open + connecting >= maxConnections) {
             return;
         }
         connecting++;
-        made++;
+        connectionsMade++;
         leaf.connected();
         boolean[] settled = new boolean[1];
         time.after(
-                2 * wayNanos,
+                2 * networkDelayNanos,
                 () -> leaf.connect(() -> {
                     if (!settled[0]) {
                         settled[0] = true;
                         connecting--;
                         open++;
-                        free();
+                        releaseConnection();
                     }
                 }));
         time.after(CONNECT_TIMEOUT_NANOS, () -> {
@@ -85,24 +85,24 @@
                 settled[0] = true;
                 connecting--;
                 leaf.disconnected();
-                failWaiting();
+                failQueuedCalls();
             }
         });
     }
 
-    private void failWaiting() {
-        while (!waiting.isEmpty()) {
-            Call call = waiting.removeFirst();
-            if (!call.over) {
+    private void failQueuedCalls() {
+        while (!queued.isEmpty()) {
+            Call call = queued.removeFirst();
+            if (!call.ended) {
                 call.end(LeafOutcome.UNREACHABLE, null);
             }
         }
     }
 
-    private void free() {
-        Call next = waiting.pollFirst();
-        while (next != null && next.over) {
-            next = waiting.pollFirst();
+    private void releaseConnection() {
+        Call next = queued.pollFirst();
+        while (next != null && next.ended) {
+            next = queued.pollFirst();
         }
         if (next == null) {
             idle++;
@@ -111,10 +111,10 @@
         }
     }
 
-    private void closed() {
+    private void onConnectionClosed() {
         open--;
         leaf.disconnected();
-        if (!waiting.isEmpty()) {
+        if (!queued.isEmpty()) {
             connectIfNeeded();
         }
     }
@@ -122,71 +122,71 @@
     /** One call, waiting for a connection or under way. */
     final class Call {
         private final long workNanos;
-        private final Taker taker;
+        private final CallListener listener;
         private boolean sent;
-        private boolean over;
+        private boolean ended;
         private ModelLeaf.@Nullable Job job;
 
-        private Call(long workNanos, Taker taker) {
+        private Call(long workNanos, CallListener listener) {
             this.workNanos = workNanos;
-            this.taker = taker;
+            this.listener = listener;
         }
 
         private void sendNow() {
             sent = true;
-            time.after(wayNanos, this::arrive);
+            time.after(networkDelayNanos, this::arrive);
         }
 
         private void arrive() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            if (!leaf.isDark()) {
-                taker.arrived();
+            if (!leaf.isUnreachable()) {
+                listener.onArrival();
             }
-            job = leaf.call(workNanos, new ModelLeaf.Taker() {
+            job = leaf.call(workNanos, new ModelLeaf.JobListener() {
                 @Override
-                public void done(LeafLoad load) {
-                    answer(LeafOutcome.SUCCEEDED, load);
+                public void onDone(LeafLoad load) {
+                    scheduleReply(LeafOutcome.SUCCEEDED, load);
                 }
 
                 @Override
-                public void refused(LeafLoad load) {
-                    answer(LeafOutcome.REFUSED_BUSY, load);
+                public void onRefused(LeafLoad load) {
+                    scheduleReply(LeafOutcome.REFUSED_BUSY, load);
                 }
             });
         }
 
-        private void answer(LeafOutcome outcome, LeafLoad load) {
-            if (leaf.isDark()) {
+        private void scheduleReply(LeafOutcome outcome, LeafLoad load) {
+            if (leaf.isUnreachable()) {
                 return;
             }
-            time.after(wayNanos, () -> {
-                if (!over) {
-                    free();
+            time.after(networkDelayNanos, () -> {
+                if (!ended) {
+                    releaseConnection();
                     end(outcome, load);
                 }
             });
         }
 
         private void end(LeafOutcome outcome, @Nullable LeafLoad load) {
-            over = true;
-            taker.ended(outcome, load);
+            ended = true;
+            listener.onEnd(outcome, load);
         }
 
         /** Gives the call up; the leaf drops it when it sees the connection closed. */
-        void giveUp() {
-            if (over) {
+        void abandon() {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             if (sent) {
-                time.after(wayNanos, () -> {
+                time.after(networkDelayNanos, () -> {
                     if (job != null) {
-                        leaf.drop(job);
+                        leaf.cancel(job);
                     }
                 });
-                closed();
+                onConnectionClosed();
             }
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -34,7 +34,7 @@
  */
 final class ModelHost implements StagePlanner.Topology {
     /** Before any window that a run can see: the budget of a first window is not what is modelled. */
-    private static final long LONG_AGO_NANOS = -Duration.ofHours(1).toNanos();
+    private static final long BUDGET_START_NANOS = -Duration.ofHours(1).toNanos();
 
     private final String name;
     private final Fleet.Zone zone;
@@ -43,10 +43,10 @@
     private final RandomGenerator random;
     private final ImmutableList<PermittedLeaves> permitted;
     private final Map<Leaf, ModelConnections> connections = new HashMap<>();
-    private final Map<Leaf, ModelLeaf> leafs = new HashMap<>();
+    private final Map<Leaf, ModelLeaf> modelLeaves = new HashMap<>();
     private final Map<String, LatencyTracker> latencies = new HashMap<>();
-    private final Map<String, ModelHost> hosts = new LinkedHashMap<>();
-    private final Map<String, Integer> stagesUnderWay = new HashMap<>();
+    private final Map<String, ModelHost> peers = new LinkedHashMap<>();
+    private final Map<String, Integer> activeStages = new HashMap<>();
     private final RoutingContext context;
     private final StagePlanner planner;
 
@@ -80,7 +80,7 @@
 
     private LeafPool newPool(int shard, int position, List<ModelLeaf> replicas) {
         int hostCount = fleet.hostCount();
-        WindowedBudget budget = fleet.budget().newShare(LONG_AGO_NANOS);
+        WindowedBudget budget = fleet.budget().newShare(BUDGET_START_NANOS);
         fleet.budget().assignShare(budget, FleetBudget.Rank.of(position, hostCount, "shard-" + shard));
         LeafPool pool = new LeafPool("shard-" + shard, budget, context);
         int share = Math.max(1, ConnectionShare.of(fleet.connections(), hostCount));
@@ -99,17 +99,17 @@
                     context,
                     time.nowNanos());
             pool.add(leaf);
-            leafs.put(leaf, replica);
-            long wayNanos = fleet.wayNanos(zone.name(), replica.zone());
-            connections.put(leaf, new ModelConnections(replica, wayNanos, share, time));
+            modelLeaves.put(leaf, replica);
+            long networkDelayNanos = fleet.networkDelayNanos(zone.name(), replica.zone());
+            connections.put(leaf, new ModelConnections(replica, networkDelayNanos, share, time));
         }
         return pool;
     }
 
     /** Makes the hosts known to one another. */
-    static void introduce(List<ModelHost> all) {
+    static void registerPeers(List<ModelHost> all) {
         for (ModelHost host : all) {
-            all.stream().filter(other -> other != host).forEach(other -> host.hosts.put(other.name, other));
+            all.stream().filter(other -> other != host).forEach(other -> host.peers.put(other.name, other));
         }
     }
 
@@ -121,7 +121,7 @@
         return zone;
     }
 
-    ImmutableList<PermittedLeaves> pools() {
+    ImmutableList<PermittedLeaves> permittedLeaves() {
         return permitted;
     }
 
@@ -142,7 +142,9 @@
     }
 
     long connectionsMade() {
-        return connections.values().stream().mapToLong(ModelConnections::made).sum();
+        return connections.values().stream()
+                .mapToLong(ModelConnections::connectionsMade)
+                .sum();
     }
 
     LatencyTracker latency(Load load) {
@@ -156,23 +158,23 @@
     }
 
     ModelHost host(String other) {
-        ModelHost known = hosts.get(other);
+        ModelHost known = peers.get(other);
         if (known == null) {
             throw new IllegalStateException("no host " + other);
         }
         return known;
     }
 
-    long wayNanosTo(ModelHost other) {
-        return fleet.wayNanos(zone.name(), other.zone.name());
+    long networkDelayNanosTo(ModelHost other) {
+        return fleet.networkDelayNanos(zone.name(), other.zone.name());
     }
 
-    void stageBegins(String host) {
-        stagesUnderWay.merge(host, 1, Integer::sum);
+    void recordStageStart(String host) {
+        activeStages.merge(host, 1, Integer::sum);
     }
 
-    void stageEnds(String host) {
-        stagesUnderWay.merge(host, -1, Integer::sum);
+    void recordStageEnd(String host) {
+        activeStages.merge(host, -1, Integer::sum);
     }
 
     @Override
@@ -187,7 +189,7 @@
 
     @Override
     public String regionOf(Leaf leaf) {
-        ModelLeaf known = leafs.get(leaf);
+        ModelLeaf known = modelLeaves.get(leaf);
         return known == null ? "" : fleet.zone(known.zone()).region();
     }
 
@@ -199,7 +201,7 @@
     @Override
     public Optional<String> leastBusyIn(String region) {
         List<ModelHost> candidates = new ArrayList<>();
-        hosts.values().stream()
+        peers.values().stream()
                 .filter(host -> host.zone.region().equals(region))
                 .forEach(candidates::add);
         if (candidates.isEmpty()) {
@@ -209,19 +211,19 @@
         ModelHost least = null;
         for (int offset = 0; offset < candidates.size(); offset++) {
             ModelHost candidate = candidates.get((start + offset) % candidates.size());
-            if (least == null || underWay(candidate) < underWay(least)) {
+            if (least == null || activeStagesOf(candidate) < activeStagesOf(least)) {
                 least = candidate;
             }
         }
         return Optional.ofNullable(least).map(ModelHost::name);
     }
 
-    private int underWay(ModelHost host) {
-        return stagesUnderWay.getOrDefault(host.name, 0);
+    private int activeStagesOf(ModelHost host) {
+        return activeStages.getOrDefault(host.name, 0);
     }
 
     @Override
     public long silenceTimeoutNanos(String host, long hedgeDelayNanos) {
-        return StageTiming.silenceTimeoutNanos(hedgeDelayNanos, 2 * wayNanosTo(host(host)));
+        return StageTiming.silenceTimeoutNanos(hedgeDelayNanos, 2 * networkDelayNanosTo(host(host)));
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
@@ -20,49 +20,57 @@
     private final Fleet fleet;
     private final SimulatedTime time;
     private final RandomGenerator random;
-    private final Deque<Job> waiting = new ArrayDeque<>();
+    private final Deque<Job> queued = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>(2);
-    private final double speed;
-    private double spellFactor = 1;
-    private double slowFactor = 1;
+    private final double workFactor;
+    private double slowPeriodFactor = 1;
+    private double faultFactor = 1;
     private double refusedShare;
-    private boolean dark;
+    private boolean unreachable;
     private boolean paused;
     private long pauseEndsNanos;
     private int connections;
-    private int mostConnections;
+    private int maxConnections;
 
     /**
      * Creates a leaf in no spell, in a phase of its pauses that is drawn.
      *
-     * @param speed how many times as long as usual work takes
+     * @param workFactor how many times as long as usual work takes
      */
     ModelLeaf(
-            String id, int shard, String zone, double speed, Fleet fleet, SimulatedTime time, RandomGenerator random) {
+            String id,
+            int shard,
+            String zone,
+            double workFactor,
+            Fleet fleet,
+            SimulatedTime time,
+            RandomGenerator random) {
         this.id = id;
         this.shard = shard;
         this.zone = zone;
-        this.speed = speed;
+        this.workFactor = workFactor;
         this.fleet = fleet;
         this.time = time;
         this.random = random;
         if (!fleet.pause().isZero()) {
             time.after(random.nextLong(fleet.pauseEvery().toNanos()), this::pause);
         }
-        if (!fleet.unevenness().spellEvery().isZero()) {
+        if (!fleet.speedSkew().slowPeriod().isZero()) {
             // Drawn apart from refusals, so that every policy meets the same spells.
-            RandomGenerator spells = new SplittableRandom(random.nextLong());
-            time.after(spells.nextLong(fleet.unevenness().spellEvery().toNanos()), () -> drawSpell(spells));
+            RandomGenerator slowPeriodRandom = new SplittableRandom(random.nextLong());
+            time.after(
+                    slowPeriodRandom.nextLong(fleet.speedSkew().slowPeriod().toNanos()),
+                    () -> chooseSlowPeriod(slowPeriodRandom));
         }
     }
 
     /** What becomes of a call that has reached the leaf. */
-    interface Taker {
+    interface JobListener {
         /** Takes the end of its work. */
-        void done(LeafLoad load);
+        void onDone(LeafLoad load);
 
         /** Takes a refusal; the call has not run. */
-        void refused(LeafLoad load);
+        void onRefused(LeafLoad load);
     }
 
     String id() {
@@ -77,49 +85,49 @@
         return zone;
     }
 
-    boolean isDark() {
-        return dark;
+    boolean isUnreachable() {
+        return unreachable;
     }
 
-    int mostConnections() {
-        return mostConnections;
+    int maxConnections() {
+        return maxConnections;
     }
 
     void connected() {
         connections++;
-        mostConnections = Math.max(mostConnections, connections);
+        maxConnections = Math.max(maxConnections, connections);
     }
 
     void disconnected() {
         connections--;
     }
 
-    void begin(Trouble trouble) {
-        apply(trouble, true);
+    void beginFault(InjectedFault fault) {
+        applyFault(fault, true);
     }
 
-    void end(Trouble trouble) {
-        apply(trouble, false);
+    void endFault(InjectedFault fault) {
+        applyFault(fault, false);
     }
 
-    private void apply(Trouble trouble, boolean begins) {
-        if (trouble.kind() == Trouble.Kind.SLOW) {
-            slowFactor = begins ? trouble.strength() : 1;
-        } else if (trouble.kind() == Trouble.Kind.REFUSING) {
-            refusedShare = begins ? trouble.strength() : 0;
+    private void applyFault(InjectedFault fault, boolean begins) {
+        if (fault.kind() == InjectedFault.Kind.SLOW) {
+            faultFactor = begins ? fault.strength() : 1;
+        } else if (fault.kind() == InjectedFault.Kind.REFUSING) {
+            refusedShare = begins ? fault.strength() : 0;
         } else {
-            dark = begins;
+            unreachable = begins;
         }
     }
 
     /** Takes a call that needs some work. A dark leaf never answers. */
-    Job call(long workNanos, Taker taker) {
-        Job job = new Job((long) (workNanos * speed * spellFactor * slowFactor), taker);
-        if (dark) {
+    Job call(long workNanos, JobListener listener) {
+        Job job = new Job((long) (workNanos * workFactor * slowPeriodFactor * faultFactor), listener);
+        if (unreachable) {
             return job;
         }
         if (refusedShare > 0 && random.nextDouble() < refusedShare) {
-            taker.refused(load());
+            listener.onRefused(load());
         } else {
             enqueue(job);
         }
@@ -127,34 +135,34 @@
     }
 
     /** Returns how long a call that arrives now would take if the leaf did nothing else, by its true state. */
-    long knownNanos(long workNanos) {
+    long idealDurationNanos(long workNanos) {
         long pauseNanos = paused ? pauseEndsNanos - time.nowNanos() : 0;
-        return pauseNanos + (long) (workNanos * speed * spellFactor * slowFactor);
+        return pauseNanos + (long) (workNanos * workFactor * slowPeriodFactor * faultFactor);
     }
 
     /** Takes a new connection, which holds a slot for a moment. */
     Job connect(Runnable opened) {
-        Job job = new Job(fleet.connect().toNanos(), new Taker() {
+        Job job = new Job(fleet.connect().toNanos(), new JobListener() {
             @Override
-            public void done(LeafLoad load) {
+            public void onDone(LeafLoad load) {
                 opened.run();
             }
 
             @Override
-            public void refused(LeafLoad load) {
+            public void onRefused(LeafLoad load) {
                 opened.run();
             }
         });
-        if (!dark) {
+        if (!unreachable) {
             enqueue(job);
         }
         return job;
     }
 
     /** Drops a job whose connection was closed. */
-    void drop(Job job) {
+    void cancel(Job job) {
         job.generation++;
-        waiting.remove(job);
+        queued.remove(job);
         if (running.remove(job)) {
             startNext();
         }
@@ -163,39 +171,39 @@
     private void enqueue(Job job) {
         if (running.size() < fleet.slots() && !paused) {
             start(job);
-        } else if (waiting.size() >= fleet.queue()) {
-            job.taker.refused(load());
+        } else if (queued.size() >= fleet.queue()) {
+            job.listener.onRefused(load());
         } else {
-            waiting.add(job);
+            queued.add(job);
         }
     }
 
     private void start(Job job) {
         running.add(job);
-        proceed(job);
+        runRemaining(job);
     }
 
-    private void proceed(Job job) {
+    private void runRemaining(Job job) {
         job.startedNanos = time.nowNanos();
         int generation = ++job.generation;
         time.after(job.remainingNanos, () -> {
             if (job.generation == generation && running.remove(job)) {
                 startNext();
-                job.taker.done(load());
+                job.listener.onDone(load());
             }
         });
     }
 
     private void startNext() {
-        if (!paused && running.size() < fleet.slots() && !waiting.isEmpty()) {
-            start(waiting.removeFirst());
+        if (!paused && running.size() < fleet.slots() && !queued.isEmpty()) {
+            start(queued.removeFirst());
         }
     }
 
-    private void drawSpell(RandomGenerator spells) {
-        Unevenness unevenness = fleet.unevenness();
-        spellFactor = spells.nextDouble() < unevenness.spellShare() ? unevenness.spellFactor() : 1;
-        time.after(unevenness.spellEvery().toNanos(), () -> drawSpell(spells));
+    private void chooseSlowPeriod(RandomGenerator slowPeriodRandom) {
+        SpeedSkew skew = fleet.speedSkew();
+        slowPeriodFactor = slowPeriodRandom.nextDouble() < skew.slowShare() ? skew.slowFactor() : 1;
+        time.after(skew.slowPeriod().toNanos(), () -> chooseSlowPeriod(slowPeriodRandom));
     }
 
     private void pause() {
@@ -210,8 +218,8 @@
 
     private void resume() {
         paused = false;
-        running.forEach(this::proceed);
-        while (running.size() < fleet.slots() && !waiting.isEmpty()) {
+        running.forEach(this::runRemaining);
+        while (running.size() < fleet.slots() && !queued.isEmpty()) {
             startNext();
         }
         time.after(fleet.pauseEvery().minus(fleet.pause()).toNanos(), this::pause);
@@ -219,21 +227,21 @@
 
     /** Returns what it tells of its load. */
     LeafLoad load() {
-        double times = fleet.unevenness().told() ? speed * spellFactor * slowFactor : 1;
+        double factor = fleet.speedSkew().reported() ? workFactor * slowPeriodFactor * faultFactor : 1;
         return new LeafLoad(
-                running.size(), waiting.size(), fleet.slots(), (int) Math.round(LeafLoad.USUAL_PERCENT * times));
+                running.size(), queued.size(), fleet.slots(), (int) Math.round(LeafLoad.USUAL_PERCENT * factor));
     }
 
     /** One call or new connection at the leaf. */
     static final class Job {
-        private final Taker taker;
+        private final JobListener listener;
         private long remainingNanos;
         private long startedNanos;
         private int generation;
 
-        private Job(long workNanos, Taker taker) {
+        private Job(long workNanos, JobListener listener) {
             this.remainingNanos = workNanos;
-            this.taker = taker;
+            this.listener = listener;
         }
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
@@ -35,37 +35,37 @@
     private final Arrival arrival;
     private final RequestBounds bounds;
     private final ScatterQuery query;
-    private final Sink sink;
+    private final ResultSink sink;
     private final LatencyTracker latency;
-    private final Map<Attempt, Sent> underWay = new HashMap<>();
+    private final Map<Attempt, PendingCall> pendingCalls = new HashMap<>();
     private final Map<StageAttempt, ModelQuery> stages = new HashMap<>();
     private long wakeNumber;
 
     /** What becomes of the query. */
-    interface Sink {
+    interface ResultSink {
         /** Takes the answer or the last piece. */
         void deliver(MergedAnswer answer);
 
         /** Takes a piece; more follow. */
-        void piece(MergedAnswer piece);
+        void deliverPartial(MergedAnswer partial);
 
         /** Takes word of the shards that were asked twice. */
-        void progress(List<Integer> askedTwice);
+        void reportHedgedShards(List<Integer> hedgedShards);
 
         /** Takes a refusal. */
         void refuse(RefusalReason reason);
     }
 
-    private record Sent(ModelConnections.Call call, Leaf.Call evidence) {}
+    private record PendingCall(ModelConnections.Call call, Leaf.Call evidence) {}
 
     private ModelQuery(
             Run run,
             ModelHost host,
             Arrival arrival,
-            ImmutableList<Integer> numbers,
+            ImmutableList<Integer> shards,
             RequestBounds bounds,
-            boolean inPieces,
-            Sink sink) {
+            boolean incremental,
+            ResultSink sink) {
         this.run = run;
         this.host = host;
         this.arrival = arrival;
@@ -73,84 +73,84 @@
         this.sink = sink;
         this.latency = host.latency(arrival.load());
         ImmutableList<PermittedLeaves> pools =
-                numbers.stream().map(host.pools()::get).collect(ImmutableList.toImmutableList());
+                shards.stream().map(host.permittedLeaves()::get).collect(ImmutableList.toImmutableList());
         ImmutableList<StageAttempt> planned =
-                inPieces ? ImmutableList.of() : host.plan(bounds.expectedNanos(), bounds.hedgeDelayNanos());
+                incremental ? ImmutableList.of() : host.plan(bounds.expectedNanos(), bounds.hedgeDelayNanos());
         ImmutableList<String> services =
                 pools.stream().map(PermittedLeaves::service).collect(ImmutableList.toImmutableList());
         this.query = new ScatterQuery(
                 new RouteTarget.Scatter(
-                        services, 1, inPieces ? 0 : arrival.load().leastShare()),
+                        services, 1, incremental ? 0 : arrival.load().minCoverage()),
                 pools,
                 planned,
                 bounds,
-                inPieces ? ScatterQuery.Delivery.INCREMENTAL : ScatterQuery.Delivery.SINGLE,
+                incremental ? ScatterQuery.Delivery.INCREMENTAL : ScatterQuery.Delivery.SINGLE,
                 host.context(),
                 host.random());
     }
 
     /** Creates the query of a caller. */
-    static ModelQuery ofCaller(Run run, ModelHost host, Arrival arrival, Sink sink) {
+    static ModelQuery forCaller(Run run, ModelHost host, Arrival arrival, ResultSink sink) {
         long nowNanos = run.time().nowNanos();
         Load load = arrival.load();
         LatencyTracker latency = host.latency(load);
         RequestBounds bounds = new RequestBounds(
-                nowNanos + load.goal().toNanos() - run.fleet().sealLead().toNanos(),
+                nowNanos + load.goal().toNanos() - run.fleet().finalizeLead().toNanos(),
                 arrival.deadlineNanos() - run.fleet().toCaller().toNanos(),
                 HedgeTiming.hedgeDelayNanos(latency, load.goal()),
                 latency.medianNanos(),
-                load.attempts());
+                load.maxAttempts());
         ImmutableList.Builder<Integer> all = ImmutableList.builder();
-        for (int shard = 0; shard < host.pools().size(); shard++) {
+        for (int shard = 0; shard < host.permittedLeaves().size(); shard++) {
             all.add(shard);
         }
         return new ModelQuery(run, host, arrival, all.build(), bounds, false, sink);
     }
 
     void start() {
-        carryOut(query.start(run.time().nowNanos()));
+        execute(query.start(run.time().nowNanos()));
     }
 
-    void giveUp() {
+    void abandon() {
         if (!query.isOver()) {
             query.callerGone();
         }
-        List.copyOf(underWay.keySet()).forEach(this::giveUp);
+        List.copyOf(pendingCalls.keySet()).forEach(this::abandon);
     }
 
-    private void carryOut(List<RoutedAction> actions) {
+    private void execute(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.CallLeaf ask) {
-                send(ask.attempt());
-            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                giveUp(giveUp.attempt());
-            } else if (action instanceof RoutedAction.CallStage ask) {
-                askStage(ask.stage());
-            } else if (action instanceof RoutedAction.AbandonStage giveUp) {
-                giveUpStage(giveUp.stage());
+            if (action instanceof RoutedAction.CallLeaf call) {
+                send(call.attempt());
+            } else if (action instanceof RoutedAction.AbandonAttempt abandon) {
+                abandon(abandon.attempt());
+            } else if (action instanceof RoutedAction.CallStage call) {
+                callStage(call.stage());
+            } else if (action instanceof RoutedAction.AbandonStage abandon) {
+                abandonStage(abandon.stage());
             } else if (action instanceof RoutedAction.Wake wake) {
                 long number = ++wakeNumber;
                 run.time().at(wake.atNanos(), () -> wake(number));
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 wakeNumber++;
-                sink.progress(query.hedgedShards());
+                sink.reportHedgedShards(query.hedgedShards());
                 sink.deliver(deliver.answer());
             } else if (action instanceof RoutedAction.DeliverPartial deliver) {
-                sink.piece(deliver.partial());
+                sink.deliverPartial(deliver.partial());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 wakeNumber++;
-                sink.progress(query.hedgedShards());
+                sink.reportHedgedShards(query.hedgedShards());
                 sink.refuse(refuse.reason());
             } else if (action instanceof RoutedAction.Count count) {
-                run.tally().count(count.counter());
+                run.counts().count(count.counter());
             }
         }
     }
 
     private void wake(long number) {
         if (number == wakeNumber && !query.isOver()) {
-            carryOut(query.wake(run.time().nowNanos()));
-            sink.progress(query.hedgedShards());
+            execute(query.wake(run.time().nowNanos()));
+            sink.reportHedgedShards(query.hedgedShards());
         }
     }
 
@@ -158,77 +158,85 @@
         Leaf leaf = attempt.leaf();
         Leaf.Call evidence = leaf.begin(bounds.expectedNanos(), run.time().nowNanos());
         int shard = Integer.parseInt(leaf.service().substring("shard-".length()));
-        ModelConnections.Taker taker = new ModelConnections.Taker() {
+        ModelConnections.CallListener listener = new ModelConnections.CallListener() {
             @Override
-            public void arrived() {
-                run.checks().arrived(arrival, shard, run.time().nowNanos());
+            public void onArrival() {
+                run.checks().recordArrival(arrival, shard, run.time().nowNanos());
             }
 
             @Override
-            public void ended(LeafOutcome outcome, @Nullable LeafLoad load) {
-                underWay.remove(attempt);
-                ModelQuery.this.ended(attempt, evidence, outcome, Optional.ofNullable(load));
+            public void onEnd(LeafOutcome outcome, @Nullable LeafLoad load) {
+                pendingCalls.remove(attempt);
+                ModelQuery.this.onCallEnded(attempt, evidence, outcome, Optional.ofNullable(load));
             }
         };
-        run.tally().countAttempt(attempt.purpose());
-        underWay.put(attempt, new Sent(host.connectionsTo(leaf).send(run.work(arrival.load()), taker), evidence));
+        run.counts().countAttempt(attempt.purpose());
+        pendingCalls.put(
+                attempt,
+                new PendingCall(
+                        host.connectionsTo(leaf).send(run.randomWorkNanos(arrival.load()), listener), evidence));
     }
 
-    private void ended(Attempt attempt, Leaf.Call evidence, LeafOutcome outcome, Optional<LeafLoad> load) {
+    private void onCallEnded(Attempt attempt, Leaf.Call evidence, LeafOutcome outcome, Optional<LeafLoad> load) {
         long nowNanos = run.time().nowNanos();
         attempt.leaf().end(evidence, outcome, load, nowNanos);
         if (outcome == LeafOutcome.SUCCEEDED) {
             latency.record(nowNanos - evidence.sentNanos(), nowNanos);
             PartReply part = new PartReply(run.newSignature(), NO_RECORDS);
-            carryOut(query.onAnswer(attempt, part, nowNanos));
+            execute(query.onAnswer(attempt, part, nowNanos));
         } else {
-            run.tally().leafRefused();
-            run.checks().notRun(arrival, attempt.leaf().service());
-            carryOut(query.onFailure(attempt, outcome, nowNanos));
+            run.counts().recordLeafRefusal();
+            run.checks().recordNotRun(arrival, attempt.leaf().service());
+            execute(query.onFailure(attempt, outcome, nowNanos));
         }
     }
 
-    private void giveUp(Attempt attempt) {
-        Sent sent = underWay.remove(attempt);
-        if (sent != null) {
-            attempt.leaf().abandon(sent.evidence(), run.time().nowNanos());
-            sent.call().giveUp();
+    private void abandon(Attempt attempt) {
+        PendingCall pending = pendingCalls.remove(attempt);
+        if (pending != null) {
+            attempt.leaf().abandon(pending.evidence(), run.time().nowNanos());
+            pending.call().abandon();
         }
     }
 
-    private void askStage(StageAttempt stage) {
+    private void callStage(StageAttempt stage) {
         ModelHost other = host.host(stage.host());
-        long wayNanos = host.wayNanosTo(other);
+        long networkDelayNanos = host.networkDelayNanosTo(other);
         long nowNanos = run.time().nowNanos();
-        host.stageBegins(stage.host());
-        RequestBounds theirs = new RequestBounds(
-                nowNanos + wayNanos + StageTiming.remoteGoalNanos(bounds.goalNanos() - nowNanos, 2 * wayNanos),
-                bounds.deadlineNanos() - wayNanos,
+        host.recordStageStart(stage.host());
+        RequestBounds stageBounds = new RequestBounds(
+                nowNanos
+                        + networkDelayNanos
+                        + StageTiming.remoteGoalNanos(bounds.goalNanos() - nowNanos, 2 * networkDelayNanos),
+                bounds.deadlineNanos() - networkDelayNanos,
                 bounds.hedgeDelayNanos(),
                 other.latency(arrival.load()).medianNanos(),
                 bounds.maxAttempts());
-        Sink back = new StageSink(stage, wayNanos);
-        run.time().after(wayNanos, () -> {
-            ModelQuery part = new ModelQuery(run, other, arrival, stage.shards(), theirs, true, back);
-            stages.put(stage, part);
-            part.start();
+        ResultSink stageSink = new StageSink(stage, networkDelayNanos);
+        run.time().after(networkDelayNanos, () -> {
+            ModelQuery stageQuery = new ModelQuery(run, other, arrival, stage.shards(), stageBounds, true, stageSink);
+            stages.put(stage, stageQuery);
+            stageQuery.start();
         });
     }
 
-    private void giveUpStage(StageAttempt stage) {
-        long wayNanos = host.wayNanosTo(host.host(stage.host()));
-        run.time().after(wayNanos, () -> Optional.ofNullable(stages.get(stage)).ifPresent(ModelQuery::giveUp));
+    private void abandonStage(StageAttempt stage) {
+        long networkDelayNanos = host.networkDelayNanosTo(host.host(stage.host()));
+        run.time()
+                .after(
+                        networkDelayNanos,
+                        () -> Optional.ofNullable(stages.get(stage)).ifPresent(ModelQuery::abandon));
     }
 
     /** Carries what another host gathered back to this one. */
-    private final class StageSink implements Sink {
+    private final class StageSink implements ResultSink {
         private final StageAttempt stage;
-        private final long wayNanos;
+        private final long networkDelayNanos;
         private final ImmutableList<Integer> shards;
 
-        StageSink(StageAttempt stage, long wayNanos) {
+        StageSink(StageAttempt stage, long networkDelayNanos) {
             this.stage = stage;
-            this.wayNanos = wayNanos;
+            this.networkDelayNanos = networkDelayNanos;
             this.shards = stage.shards();
         }
 
@@ -238,35 +246,35 @@
             return new StageReply(translated, answer.signatures(), NO_RECORDS);
         }
 
-        private void back(Consumer<Long> task) {
-            run.time().after(wayNanos, () -> task.accept(run.time().nowNanos()));
+        private void sendBack(Consumer<Long> task) {
+            run.time().after(networkDelayNanos, () -> task.accept(run.time().nowNanos()));
         }
 
         @Override
         public void deliver(MergedAnswer answer) {
-            back(now -> {
-                host.stageEnds(stage.host());
-                carryOut(query.onStageReply(stage, reply(answer), now));
+            sendBack(now -> {
+                host.recordStageEnd(stage.host());
+                execute(query.onStageReply(stage, reply(answer), now));
             });
         }
 
         @Override
-        public void piece(MergedAnswer piece) {
-            back(now -> carryOut(query.onStagePartial(stage, reply(piece), now)));
+        public void deliverPartial(MergedAnswer partial) {
+            sendBack(now -> execute(query.onStagePartial(stage, reply(partial), now)));
         }
 
         @Override
-        public void progress(List<Integer> askedTwice) {
+        public void reportHedgedShards(List<Integer> hedgedShards) {
             ImmutableList<Integer> translated =
-                    askedTwice.stream().map(shards::get).collect(ImmutableList.toImmutableList());
-            back(now -> query.onStageProgress(stage, translated));
+                    hedgedShards.stream().map(shards::get).collect(ImmutableList.toImmutableList());
+            sendBack(now -> query.onStageProgress(stage, translated));
         }
 
         @Override
         public void refuse(RefusalReason reason) {
-            back(now -> {
-                host.stageEnds(stage.host());
-                carryOut(query.onStageFailure(stage, reason.isNotRun(), now));
+            sendBack(now -> {
+                host.recordStageEnd(stage.host());
+                execute(query.onStageFailure(stage, reason.isNotRun(), now));
             });
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Tally.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/OutcomeCounts.java
@@ -8,26 +8,26 @@
 import org.bramblerack.request.routed.AttemptCounter;
 
 /** What came of one run. Not safe for use by several threads. */
-final class Tally {
-    private final Map<String, Kind> kinds = new LinkedHashMap<>();
+final class OutcomeCounts {
+    private final Map<String, KindCounts> kinds = new LinkedHashMap<>();
     private final EnumMap<AttemptCounter, Long> counters = new EnumMap<>(AttemptCounter.class);
-    private final EnumMap<Attempt.Purpose, Long> asked = new EnumMap<>(Attempt.Purpose.class);
+    private final EnumMap<Attempt.Purpose, Long> attempts = new EnumMap<>(Attempt.Purpose.class);
     private final double[] creditBySecond;
-    private final int[] askedBySecond;
+    private final int[] queriesBySecond;
     private long leafRefusals;
     private long connectionsMade;
 
-    Tally(int seconds) {
+    OutcomeCounts(int seconds) {
         creditBySecond = new double[seconds + 1];
-        askedBySecond = new int[seconds + 1];
+        queriesBySecond = new int[seconds + 1];
     }
 
     /** How the queries of one kind ended. */
-    static final class Kind {
+    static final class KindCounts {
         static final long HIGHEST_MICROS = 60_000_000L;
         private final Histogram latencyMicros = new Histogram(HIGHEST_MICROS, 3);
         private final Histogram oracleMicros = new Histogram(HIGHEST_MICROS, 3);
-        private long asked;
+        private long queries;
         private long inGoal;
         private long late;
         private long refused;
@@ -35,8 +35,8 @@
         private double credit;
         private double coverage;
 
-        long asked() {
-            return asked;
+        long queries() {
+            return queries;
         }
 
         long inGoal() {
@@ -57,7 +57,7 @@
 
         /** Returns the mean of what the queries earned, from 0 to 1. */
         double credit() {
-            return asked == 0 ? 0 : credit / asked;
+            return queries == 0 ? 0 : credit / queries;
         }
 
         /** Returns the mean share of shards in the answers. */
@@ -75,25 +75,25 @@
         }
     }
 
-    Kind kind(Load load) {
-        return kinds.computeIfAbsent(load.name(), unused -> new Kind());
+    KindCounts kind(Load load) {
+        return kinds.computeIfAbsent(load.name(), unused -> new KindCounts());
     }
 
-    Map<String, Kind> kinds() {
+    Map<String, KindCounts> kinds() {
         return kinds;
     }
 
-    void asked(Load load, long atNanos) {
-        kind(load).asked++;
-        askedBySecond[second(atNanos)]++;
+    void recordQuery(Load load, long atNanos) {
+        kind(load).queries++;
+        queriesBySecond[second(atNanos)]++;
     }
 
-    void answered(Load load, long firstNanos, long atNanos, double coverage) {
-        Kind kind = kind(load);
+    void recordAnswer(Load load, long firstNanos, long atNanos, double coverage) {
+        KindCounts kind = kind(load);
         long tookNanos = atNanos - firstNanos;
         kind.latencyMicros.recordValue(tookNanos / 1_000);
         boolean inGoal = tookNanos <= load.goal().toNanos();
-        double credit = coverage * coverage * (inGoal ? 1 : load.lateWorth());
+        double credit = coverage * coverage * (inGoal ? 1 : load.lateCredit());
         kind.inGoal += inGoal ? 1 : 0;
         kind.late += inGoal ? 0 : 1;
         kind.credit += credit;
@@ -102,15 +102,15 @@
     }
 
     /** Notes what the best leafs by their true state would have made of a query. */
-    void oracle(Load load, long tookNanos) {
-        kind(load).oracleMicros.recordValue(Math.min(Kind.HIGHEST_MICROS, tookNanos / 1_000));
+    void recordOracle(Load load, long tookNanos) {
+        kind(load).oracleMicros.recordValue(Math.min(KindCounts.HIGHEST_MICROS, tookNanos / 1_000));
     }
 
-    void refused(Load load) {
+    void recordRefusal(Load load) {
         kind(load).refused++;
     }
 
-    void failed(Load load) {
+    void recordFailure(Load load) {
         kind(load).failed++;
     }
 
@@ -119,14 +119,14 @@
     }
 
     void countAttempt(Attempt.Purpose purpose) {
-        asked.merge(purpose, 1L, Long::sum);
+        attempts.merge(purpose, 1L, Long::sum);
     }
 
-    void leafRefused() {
+    void recordLeafRefusal() {
         leafRefusals++;
     }
 
-    void connectionsMade(long count) {
+    void addConnectionsMade(long count) {
         connectionsMade += count;
     }
 
@@ -142,13 +142,13 @@
         return counters.getOrDefault(counter, 0L);
     }
 
-    long asked(Attempt.Purpose purpose) {
-        return asked.getOrDefault(purpose, 0L);
+    long attempts(Attempt.Purpose purpose) {
+        return attempts.getOrDefault(purpose, 0L);
     }
 
     /** Returns what the queries that came in a second earned on average; 1 if none came. */
     double creditIn(int second) {
-        return askedBySecond[second] == 0 ? 1 : creditBySecond[second] / askedBySecond[second];
+        return queriesBySecond[second] == 0 ? 1 : creditBySecond[second] / queriesBySecond[second];
     }
 
     int seconds() {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
@@ -18,9 +18,9 @@
  */
 final class Run {
     /** When the first query comes, so that leafs are in all phases of their pauses. */
-    private static final Duration REST = Duration.ofSeconds(15);
+    private static final Duration WARM_UP = Duration.ofSeconds(15);
     /** How long a caller rests if it is told nothing, as callers do. */
-    private static final long RETRY_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long RETRY_DELAY_NANOS = Duration.ofMillis(100).toNanos();
 
     private final Experiment experiment;
     private final SimulatedTime time = new SimulatedTime();
@@ -28,24 +28,24 @@
     /** Of its own, so that runs are the same whether or not the oracle is asked. */
     private final RandomGenerator oracleRandom;
 
-    private final Tally tally;
+    private final OutcomeCounts counts;
     private final Checks checks;
-    private final List<ModelLeaf> leafs = new ArrayList<>();
+    private final List<ModelLeaf> leaves = new ArrayList<>();
     private final List<ModelHost> hosts = new ArrayList<>();
     private long lastNumber;
     private long lastSignature;
 
     private Run(Experiment experiment, RoutingPolicy policy, int seed) {
         this.experiment = experiment;
-        this.tally = new Tally((int) experiment.length().toSeconds());
+        this.counts = new OutcomeCounts((int) experiment.length().toSeconds());
         this.checks = new Checks(experiment.fleet());
         this.oracleRandom = new SplittableRandom(~seed);
         SplittableRandom seeds = new SplittableRandom(seed);
-        RandomGenerator placing = seeds.split();
+        RandomGenerator placementRandom = seeds.split();
         this.workRandom = seeds.split();
-        List<List<ModelLeaf>> shards = createLeafs(seeds.split());
-        RandomGenerator troubling = seeds.split();
-        RandomGenerator arriving = seeds.split();
+        List<List<ModelLeaf>> shards = createLeaves(seeds.split());
+        RandomGenerator faultRandom = seeds.split();
+        RandomGenerator arrivalRandom = seeds.split();
         for (Fleet.Zone zone : experiment.fleet().zones()) {
             for (int number = 0; number < zone.hosts(); number++) {
                 String name = zone.name() + "-" + number;
@@ -53,13 +53,13 @@
                         name, hosts.size(), zone, experiment.fleet(), shards, policy, time, seeds.split()));
             }
         }
-        ModelHost.introduce(hosts);
-        experiment.troubles().forEach(trouble -> schedule(trouble, troubling));
-        experiment.loads().forEach(load -> scheduleArrivals(load, arriving, placing));
+        ModelHost.registerPeers(hosts);
+        experiment.faults().forEach(trouble -> scheduleFault(trouble, faultRandom));
+        experiment.loads().forEach(load -> scheduleArrivals(load, arrivalRandom, placementRandom));
     }
 
     /** What came of a run. */
-    record Result(Tally tally, ImmutableList<String> violations) {}
+    record Result(OutcomeCounts counts, ImmutableList<String> violations) {}
 
     /** Runs one policy with one seed. */
     static Result of(Experiment experiment, RoutingPolicy policy, int seed) {
@@ -68,9 +68,9 @@
                 .map(Load::deadline)
                 .max(Duration::compareTo)
                 .orElse(Duration.ZERO);
-        run.time.runUntil(REST.plus(experiment.length()).plus(longest).toNanos());
-        run.hosts.forEach(host -> run.tally.connectionsMade(host.connectionsMade()));
-        return new Result(run.tally, ImmutableList.copyOf(run.checks.finish(run.leafs)));
+        run.time.runUntil(WARM_UP.plus(experiment.length()).plus(longest).toNanos());
+        run.hosts.forEach(host -> run.counts.addConnectionsMade(host.connectionsMade()));
+        return new Result(run.counts, ImmutableList.copyOf(run.checks.finish(run.leaves)));
     }
 
     SimulatedTime time() {
@@ -81,8 +81,8 @@
         return experiment.fleet();
     }
 
-    Tally tally() {
-        return tally;
+    OutcomeCounts counts() {
+        return counts;
     }
 
     Checks checks() {
@@ -94,93 +94,93 @@
     }
 
     /** Draws what one call of a kind takes at a leaf. */
-    long work(Load load) {
-        return work(load, workRandom);
+    long randomWorkNanos(Load load) {
+        return randomWorkNanos(load, workRandom);
     }
 
-    private static long work(Load load, RandomGenerator random) {
+    private static long randomWorkNanos(Load load, RandomGenerator random) {
         double factor = Math.exp(load.spread() * random.nextGaussian() - load.spread() * load.spread() / 2);
         boolean tail = random.nextDouble() < load.tailShare();
         return (long) (load.work().toNanos() * factor * (tail ? load.tailFactor() : 1));
     }
 
-    private List<List<ModelLeaf>> createLeafs(SplittableRandom random) {
+    private List<List<ModelLeaf>> createLeaves(SplittableRandom random) {
         List<List<ModelLeaf>> shards = new ArrayList<>();
         for (int shard = 0; shard < fleet().shards(); shard++) {
             List<ModelLeaf> replicas = new ArrayList<>();
             for (String zone : fleet().replicaZones()) {
                 String id = "shard-" + shard + "-" + replicas.size();
-                double speed = fleet().unevenness().speedOf(shard, replicas.size());
+                double speed = fleet().speedSkew().workFactorOf(shard, replicas.size());
                 replicas.add(new ModelLeaf(id, shard, zone, speed, fleet(), time, random.split()));
             }
-            leafs.addAll(replicas);
+            leaves.addAll(replicas);
             shards.add(replicas);
         }
         return shards;
     }
 
-    private void schedule(Trouble trouble, RandomGenerator random) {
-        List<ModelLeaf> drawn = draw((int) Math.round(trouble.share() * leafs.size()), random);
-        long beginNanos = REST.plus(trouble.at()).toNanos();
-        long endNanos = beginNanos + trouble.lasts().toNanos();
-        if (trouble.kind() != Trouble.Kind.FLAPPING) {
-            time.at(beginNanos, () -> drawn.forEach(leaf -> leaf.begin(trouble)));
-            time.at(endNanos, () -> drawn.forEach(leaf -> leaf.end(trouble)));
+    private void scheduleFault(InjectedFault fault, RandomGenerator random) {
+        List<ModelLeaf> chosen = chooseLeaves((int) Math.round(fault.share() * leaves.size()), random);
+        long beginNanos = WARM_UP.plus(fault.start()).toNanos();
+        long endNanos = beginNanos + fault.duration().toNanos();
+        if (fault.kind() != InjectedFault.Kind.FLAPPING) {
+            time.at(beginNanos, () -> chosen.forEach(leaf -> leaf.beginFault(fault)));
+            time.at(endNanos, () -> chosen.forEach(leaf -> leaf.endFault(fault)));
             return;
         }
-        long halfNanos = (long) (trouble.strength() * 1e9);
+        long halfNanos = (long) (fault.strength() * 1e9);
         for (long at = beginNanos; at < endNanos; at += 2 * halfNanos) {
-            time.at(at, () -> drawn.forEach(leaf -> leaf.begin(trouble)));
-            time.at(Math.min(endNanos, at + halfNanos), () -> drawn.forEach(leaf -> leaf.end(trouble)));
+            time.at(at, () -> chosen.forEach(leaf -> leaf.beginFault(fault)));
+            time.at(Math.min(endNanos, at + halfNanos), () -> chosen.forEach(leaf -> leaf.endFault(fault)));
         }
     }
 
     /** Draws leafs, but never every replica of a shard. */
-    private List<ModelLeaf> draw(int count, RandomGenerator random) {
-        List<ModelLeaf> left = new ArrayList<>(leafs);
-        List<ModelLeaf> drawn = new ArrayList<>();
-        while (drawn.size() < count && !left.isEmpty()) {
-            ModelLeaf leaf = left.remove(random.nextInt(left.size()));
-            long ofShard = drawn.stream()
+    private List<ModelLeaf> chooseLeaves(int count, RandomGenerator random) {
+        List<ModelLeaf> candidates = new ArrayList<>(leaves);
+        List<ModelLeaf> chosen = new ArrayList<>();
+        while (chosen.size() < count && !candidates.isEmpty()) {
+            ModelLeaf leaf = candidates.remove(random.nextInt(candidates.size()));
+            long ofShard = chosen.stream()
                     .filter(other -> other.shard() == leaf.shard())
                     .count();
             if (ofShard + 1 < fleet().replicaZones().size()) {
-                drawn.add(leaf);
+                chosen.add(leaf);
             }
         }
-        return drawn;
+        return chosen;
     }
 
-    private void scheduleArrivals(Load load, RandomGenerator arriving, RandomGenerator placing) {
+    private void scheduleArrivals(Load load, RandomGenerator arrivalRandom, RandomGenerator placementRandom) {
         double seconds = 0;
         while (true) {
-            seconds += -Math.log(1 - arriving.nextDouble()) / load.perSecond();
+            seconds += -Math.log(1 - arrivalRandom.nextDouble()) / load.perSecond();
             if (seconds >= experiment.length().toNanos() / 1e9) {
                 return;
             }
-            long atNanos = REST.toNanos() + (long) (seconds * 1e9);
-            ModelHost host = hosts.get(placing.nextInt(hosts.size()));
-            ModelHost other = hosts.get(placing.nextInt(hosts.size()));
+            long atNanos = WARM_UP.toNanos() + (long) (seconds * 1e9);
+            ModelHost host = hosts.get(placementRandom.nextInt(hosts.size()));
+            ModelHost other = hosts.get(placementRandom.nextInt(hosts.size()));
             long deadlineNanos = atNanos + load.deadline().toNanos();
             Arrival arrival = new Arrival(++lastNumber, load, atNanos, deadlineNanos, 0);
             time.at(atNanos, () -> {
-                tally.asked(load, sinceStart(atNanos));
+                counts.recordQuery(load, sinceStartNanos(atNanos));
                 send(arrival, host, other);
             });
         }
     }
 
-    private long sinceStart(long atNanos) {
-        return atNanos - REST.toNanos();
+    private long sinceStartNanos(long atNanos) {
+        return atNanos - WARM_UP.toNanos();
     }
 
     private void send(Arrival arrival, ModelHost host, ModelHost next) {
-        long wayNanos = fleet().toCaller().toNanos();
-        time.after(wayNanos, () -> {
+        long networkDelayNanos = fleet().toCaller().toNanos();
+        time.after(networkDelayNanos, () -> {
             if (arrival.attempt() == 0) {
-                tally.oracle(arrival.load(), 2 * wayNanos + oracleNanos(arrival.load(), host));
+                counts.recordOracle(arrival.load(), 2 * networkDelayNanos + oracleNanos(arrival.load(), host));
             }
-            ModelQuery.ofCaller(this, host, arrival, new CallerSink(arrival, next))
+            ModelQuery.forCaller(this, host, arrival, new CallerSink(arrival, next))
                     .start();
         });
     }
@@ -192,13 +192,13 @@
     private long oracleNanos(Load load, ModelHost host) {
         long lastNanos = 0;
         for (int shard = 0; shard < fleet().shards(); shard++) {
-            long workNanos = work(load, oracleRandom);
+            long workNanos = randomWorkNanos(load, oracleRandom);
             int number = shard;
-            long bestNanos = leafs.stream()
+            long bestNanos = leaves.stream()
                     .skip((long) number * fleet().replicaZones().size())
                     .limit(fleet().replicaZones().size())
-                    .mapToLong(
-                            leaf -> 2 * fleet().wayNanos(host.zone().name(), leaf.zone()) + leaf.knownNanos(workNanos))
+                    .mapToLong(leaf -> 2 * fleet().networkDelayNanos(host.zone().name(), leaf.zone())
+                            + leaf.idealDurationNanos(workNanos))
                     .min()
                     .orElse(0);
             lastNanos = Math.max(lastNanos, bestNanos);
@@ -207,7 +207,7 @@
     }
 
     /** Takes the end of a query as its caller sees it. */
-    private final class CallerSink implements ModelQuery.Sink {
+    private final class CallerSink implements ModelQuery.ResultSink {
         private final Arrival arrival;
         private final ModelHost next;
 
@@ -218,38 +218,38 @@
 
         @Override
         public void deliver(MergedAnswer answer) {
-            checks.ended(arrival);
+            checks.recordEnd(arrival);
             double coverage = 1 - (double) answer.missing() / fleet().shards();
             long atNanos = time.nowNanos() + fleet().toCaller().toNanos();
-            tally.answered(arrival.load(), sinceStart(arrival.firstNanos()), sinceStart(atNanos), coverage);
+            counts.recordAnswer(arrival.load(), sinceStartNanos(arrival.firstNanos()), sinceStartNanos(atNanos), coverage);
         }
 
         @Override
-        public void piece(MergedAnswer piece) {
+        public void deliverPartial(MergedAnswer partial) {
             throw new IllegalStateException("a piece for a caller");
         }
 
         @Override
-        public void progress(List<Integer> askedTwice) {
+        public void reportHedgedShards(List<Integer> hedgedShards) {
             // A caller is not told.
         }
 
         @Override
         public void refuse(RefusalReason reason) {
-            checks.ended(arrival);
-            long again = time.nowNanos() + 2 * fleet().toCaller().toNanos() + RETRY_NANOS;
-            if (arrival.attempt() < arrival.load().retries() && again < arrival.deadlineNanos()) {
+            checks.recordEnd(arrival);
+            long retryAtNanos = time.nowNanos() + 2 * fleet().toCaller().toNanos() + RETRY_DELAY_NANOS;
+            if (arrival.attempt() < arrival.load().maxRetries() && retryAtNanos < arrival.deadlineNanos()) {
                 Arrival retry = new Arrival(
                         ++lastNumber,
                         arrival.load(),
                         arrival.firstNanos(),
                         arrival.deadlineNanos(),
                         arrival.attempt() + 1);
-                time.at(again, () -> send(retry, next, next));
+                time.at(retryAtNanos, () -> send(retry, next, next));
             } else if (reason.isNotRun()) {
-                tally.refused(arrival.load());
+                counts.recordRefusal(arrival.load());
             } else {
-                tally.failed(arrival.load());
+                counts.recordFailure(arrival.load());
             }
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/SimulatedTime.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/SimulatedTime.java
@@ -12,7 +12,7 @@
 final class SimulatedTime implements MonotonicClock {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowNanos;
-    private long scheduled;
+    private long nextSequence;
 
     @Override
     public long nowNanos() {
@@ -21,7 +21,7 @@
 
     /** Schedules a task; one whose time has passed runs next. */
     void at(long atNanos, Runnable task) {
-        events.add(new Event(Math.max(nowNanos, atNanos), scheduled++, task));
+        events.add(new Event(Math.max(nowNanos, atNanos), nextSequence++, task));
     }
 
     /** Schedules a task for a while from now. */
@@ -39,11 +39,11 @@
         nowNanos = endNanos;
     }
 
-    private record Event(long atNanos, long number, Runnable task) implements Comparable<Event> {
+    private record Event(long atNanos, long sequence, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Long.compare(atNanos, other.atNanos);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Summary.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Summary.java
@@ -46,8 +46,8 @@
 
     /** Sums up the runs of a policy, compared with those of the first. */
     static Summary of(String policy, Load load, List<Run.Result> results, List<Run.Result> first) {
-        Histogram latencyMicros = new Histogram(Tally.Kind.HIGHEST_MICROS, 3);
-        results.forEach(result -> latencyMicros.add(result.tally().kind(load).latencyMicros()));
+        Histogram latencyMicros = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
+        results.forEach(result -> latencyMicros.add(result.counts().kind(load).latencyMicros()));
         double[] gains = new double[results.size()];
         for (int seed = 0; seed < gains.length; seed++) {
             gains[seed] = credit(results.get(seed), load) - credit(first.get(seed), load);
@@ -58,26 +58,26 @@
                 mean(results, result -> credit(result, load)),
                 mean(gains),
                 STANDARD_ERRORS * standardError(gains),
-                share(results, load, Tally.Kind::inGoal),
-                share(results, load, Tally.Kind::late),
-                share(results, load, Tally.Kind::refused),
-                share(results, load, Tally.Kind::failed),
-                mean(results, result -> result.tally().kind(load).coverage()),
+                share(results, load, OutcomeCounts.KindCounts::inGoal),
+                share(results, load, OutcomeCounts.KindCounts::late),
+                share(results, load, OutcomeCounts.KindCounts::refused),
+                share(results, load, OutcomeCounts.KindCounts::failed),
+                mean(results, result -> result.counts().kind(load).coverage()),
                 latencyMicros.getValueAtPercentile(50) / MICROS_PER_MILLI,
                 latencyMicros.getValueAtPercentile(99) / MICROS_PER_MILLI,
                 latencyMicros.getValueAtPercentile(99.9) / MICROS_PER_MILLI);
     }
 
     private static double credit(Run.Result result, Load load) {
-        return result.tally().kind(load).credit();
+        return result.counts().kind(load).credit();
     }
 
-    private static double share(List<Run.Result> results, Load load, ToDoubleFunction<Tally.Kind> part) {
+    private static double share(List<Run.Result> results, Load load, ToDoubleFunction<OutcomeCounts.KindCounts> part) {
         double parts = results.stream()
-                .mapToDouble(result -> part.applyAsDouble(result.tally().kind(load)))
+                .mapToDouble(result -> part.applyAsDouble(result.counts().kind(load)))
                 .sum();
         double all = results.stream()
-                .mapToDouble(result -> result.tally().kind(load).asked())
+                .mapToDouble(result -> result.counts().kind(load).queries())
                 .sum();
         return all == 0 ? 0 : parts / all;
     }
@@ -124,9 +124,9 @@
             ImmutableList<String> violations) {
         /** Adds up the runs of a policy. */
         static Cost of(String policy, List<Run.Result> results) {
-            double first = sum(results, tally -> tally.counter(AttemptCounter.FIRST));
-            double extra =
-                    sum(results, tally -> tally.asked(Attempt.Purpose.HEDGE) + tally.asked(Attempt.Purpose.RETRY));
+            double first = sum(results, counts -> counts.counter(AttemptCounter.FIRST));
+            double extra = sum(
+                    results, counts -> counts.attempts(Attempt.Purpose.HEDGE) + counts.attempts(Attempt.Purpose.RETRY));
             ImmutableList.Builder<String> violations = ImmutableList.builder();
             for (int seed = 0; seed < results.size(); seed++) {
                 int number = seed;
@@ -135,15 +135,15 @@
             return new Cost(
                     policy,
                     extra / Math.max(1, first),
-                    sum(results, Tally::leafRefusals) / Math.max(1, first),
-                    sum(results, Tally::connectionsMade) / Math.max(1, first),
-                    sum(results, tally -> tally.counter(AttemptCounter.RETRY_DENIED_BUDGET)) / Math.max(1, first),
+                    sum(results, OutcomeCounts::leafRefusals) / Math.max(1, first),
+                    sum(results, OutcomeCounts::connectionsMade) / Math.max(1, first),
+                    sum(results, counts -> counts.counter(AttemptCounter.RETRY_DENIED_BUDGET)) / Math.max(1, first),
                     violations.build());
         }
 
-        private static double sum(List<Run.Result> results, ToDoubleFunction<Tally> value) {
+        private static double sum(List<Run.Result> results, ToDoubleFunction<OutcomeCounts> value) {
             return results.stream()
-                    .mapToDouble(result -> value.applyAsDouble(result.tally()))
+                    .mapToDouble(result -> value.applyAsDouble(result.counts()))
                     .sum();
         }
     }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ChecksTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ChecksTest.java
@@ -15,24 +15,24 @@
     @Test
     void aRequestThatRunsOnTooManyLeafsIsFound() {
         for (int leaf = 0; leaf < 3; leaf++) {
-            checks.arrived(ARRIVAL, 2, leaf);
+            checks.recordArrival(ARRIVAL, 2, leaf);
         }
         assertThat(checks.finish(ImmutableList.of())).containsExactly("request 7/shard-2 may run on 3 leafs");
     }
 
     @Test
     void aLeafThatDidNotRunItDoesNotCount() {
-        checks.arrived(ARRIVAL, 2, 0);
-        checks.notRun(ARRIVAL, "shard-2");
-        checks.arrived(ARRIVAL, 2, 1);
-        checks.arrived(ARRIVAL, 2, 2);
+        checks.recordArrival(ARRIVAL, 2, 0);
+        checks.recordNotRun(ARRIVAL, "shard-2");
+        checks.recordArrival(ARRIVAL, 2, 1);
+        checks.recordArrival(ARRIVAL, 2, 2);
         assertThat(checks.finish(ImmutableList.of())).isEmpty();
     }
 
     @Test
     void aRequestThatEndsTwiceIsFound() {
-        checks.ended(ARRIVAL);
-        checks.ended(ARRIVAL);
+        checks.recordEnd(ARRIVAL);
+        checks.recordEnd(ARRIVAL);
         assertThat(checks.finish(ImmutableList.of())).containsExactly("request 7 ended twice");
     }
 
@@ -41,8 +41,8 @@
         int slack = SmallExperiment.FLEET.budget().slack();
         for (int number = 0; number < slack + 20; number++) {
             Arrival arrival = new Arrival(number, SmallExperiment.LOAD, 0, 1, 0);
-            checks.arrived(arrival, 0, number);
-            checks.arrived(arrival, 0, number);
+            checks.recordArrival(arrival, 0, number);
+            checks.recordArrival(arrival, 0, number);
         }
         assertThat(checks.finish(ImmutableList.of())).hasSize(1);
     }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
@@ -37,10 +37,10 @@
                         .replace("\"shards\": 90", "\"shards\": 9")
                         .replace("\"lengthMs\": 25000", "\"lengthMs\": 3000"))
                 .get();
-        Unevenness unevenness = experiment.fleet().unevenness();
-        assertThat(unevenness.speeds()).containsExactly(0.8, 1.0, 1.3).inOrder();
-        assertThat(unevenness.spellEvery().toMillis()).isEqualTo(600);
-        assertThat(Comparison.run(experiment, 2, done -> {}).holds()).isTrue();
+        SpeedSkew unevenness = experiment.fleet().speedSkew();
+        assertThat(unevenness.workFactors()).containsExactly(0.8, 1.0, 1.3).inOrder();
+        assertThat(unevenness.slowPeriod().toMillis()).isEqualTo(600);
+        assertThat(Comparison.run(experiment, 2, done -> {}).hasNoViolations()).isTrue();
     }
 
     @Test
@@ -91,6 +91,6 @@
         Summary first = comparison.summaries().get(0);
         assertThat(first.creditGain()).isEqualTo(0.0);
         assertThat(first.gainMargin()).isEqualTo(0.0);
-        assertThat(comparison.holds()).isTrue();
+        assertThat(comparison.hasNoViolations()).isTrue();
     }
 }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ModelLeafTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ModelLeafTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 final class ModelLeafTest {
-    private static final long WORK = Duration.ofMillis(10).toNanos();
+    private static final long WORK_NANOS = Duration.ofMillis(10).toNanos();
 
     private final SimulatedTime time = new SimulatedTime();
     private final ModelLeaf leaf =
@@ -26,8 +26,10 @@
         for (int call = 0; call < 3; call++) {
             call();
         }
-        time.runUntil(5 * WORK);
-        assertThat(doneNanos).containsExactly(WORK, WORK, 2 * WORK).inOrder();
+        time.runUntil(5 * WORK_NANOS);
+        assertThat(doneNanos)
+                .containsExactly(WORK_NANOS, WORK_NANOS, 2 * WORK_NANOS)
+                .inOrder();
     }
 
     @Test
@@ -44,22 +46,22 @@
         ModelLeaf.Job first = call();
         call();
         call();
-        leaf.drop(first);
-        time.runUntil(5 * WORK);
-        assertThat(doneNanos).containsExactly(WORK, WORK);
+        leaf.cancel(first);
+        time.runUntil(5 * WORK_NANOS);
+        assertThat(doneNanos).containsExactly(WORK_NANOS, WORK_NANOS);
     }
 
     @Test
     void aSlowLeafTakesLongerAndADarkOneNeverAnswers() {
-        Trouble slow = new Trouble(Trouble.Kind.SLOW, Duration.ZERO, Duration.ZERO, 1, 3);
-        leaf.begin(slow);
+        InjectedFault slow = new InjectedFault(InjectedFault.Kind.SLOW, Duration.ZERO, Duration.ZERO, 1, 3);
+        leaf.beginFault(slow);
         call();
-        time.runUntil(4 * WORK);
-        assertThat(doneNanos).containsExactly(3 * WORK);
-        leaf.end(slow);
-        leaf.begin(new Trouble(Trouble.Kind.DARK, Duration.ZERO, Duration.ZERO, 1, 1));
+        time.runUntil(4 * WORK_NANOS);
+        assertThat(doneNanos).containsExactly(3 * WORK_NANOS);
+        leaf.endFault(slow);
+        leaf.beginFault(new InjectedFault(InjectedFault.Kind.DARK, Duration.ZERO, Duration.ZERO, 1, 1));
         call();
-        time.runUntil(100 * WORK);
+        time.runUntil(100 * WORK_NANOS);
         assertThat(doneNanos).hasSize(1);
     }
 
@@ -68,7 +70,7 @@
         long pauseNanos = SmallExperiment.FLEET.pause().toNanos();
         long everyNanos = SmallExperiment.FLEET.pauseEvery().toNanos();
         long longest = 0;
-        for (long at = 0; at < 2 * everyNanos; at += 2 * WORK) {
+        for (long at = 0; at < 2 * everyNanos; at += 2 * WORK_NANOS) {
             time.runUntil(at);
             int before = doneNanos.size();
             long sent = time.nowNanos();
@@ -78,17 +80,17 @@
             longest = Math.max(longest, doneNanos.get(before) - sent);
             at = time.nowNanos();
         }
-        assertThat(longest).isAtMost(pauseNanos + WORK);
+        assertThat(longest).isAtMost(pauseNanos + WORK_NANOS);
     }
 
     @Test
     void spellsTakeTheirShareOfTheTimeAndEndAndTheSpeedStays() {
-        Unevenness unevenness = new Unevenness(ImmutableList.of(0.8, 1.3), 0.15, 2.5, Duration.ofMillis(600), true);
+        SpeedSkew unevenness = new SpeedSkew(ImmutableList.of(0.8, 1.3), 0.15, 2.5, Duration.ofMillis(600), true);
         ModelLeaf uneven = new ModelLeaf(
                 "uneven",
                 1,
                 "west",
-                unevenness.speedOf(1, 0),
+                unevenness.workFactorOf(1, 0),
                 SmallExperiment.with(unevenness),
                 time,
                 new SplittableRandom(4));
@@ -102,14 +104,14 @@
     }
 
     private ModelLeaf.Job call() {
-        return leaf.call(WORK, new ModelLeaf.Taker() {
+        return leaf.call(WORK_NANOS, new ModelLeaf.JobListener() {
             @Override
-            public void done(LeafLoad load) {
+            public void onDone(LeafLoad load) {
                 doneNanos.add(time.nowNanos());
             }
 
             @Override
-            public void refused(LeafLoad load) {
+            public void onRefused(LeafLoad load) {
                 refused++;
             }
         });
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
@@ -10,11 +10,11 @@
 final class SmallExperiment {
     static final Load LOAD = new Load("query", 40, millis(20), 0.3, 0, 1, millis(200), millis(2_000), 0.75, 0.1, 2, 1);
 
-    static final Fleet FLEET = with(Unevenness.NONE);
+    static final Fleet FLEET = with(SpeedSkew.NONE);
 
     private SmallExperiment() {}
 
-    static Fleet with(Unevenness unevenness) {
+    static Fleet with(SpeedSkew speedSkew) {
         return new Fleet(
                 ImmutableList.of(new Fleet.Zone("west", "west", 2), new Fleet.Zone("east", "east", 2)),
                 6,
@@ -31,14 +31,14 @@
                 millis(1),
                 millis(10),
                 new FleetBudget(20, 50, millis(10_000)),
-                unevenness);
+                speedSkew);
     }
 
-    static Experiment with(Trouble... troubles) {
+    static Experiment with(InjectedFault... faults) {
         return new Experiment(
                 FLEET,
                 ImmutableList.of(LOAD),
-                ImmutableList.copyOf(troubles),
+                ImmutableList.copyOf(faults),
                 ImmutableList.of(
                         new Experiment.Policy("all", RoutingPolicy.DEFAULT),
                         new Experiment.Policy("without", RoutingPolicy.without(RoutingFeature.REFUSAL_PRICE))),
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafs.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafs.java
@@ -9,24 +9,24 @@
 /** Queries to the uneven leafs of the example, to whose last shard they wait. */
 final class UnevenLeafs {
     /** The stated target: how many times as long as an oracle that knows the leafs' true state. */
-    static final double TARGET = 1.15;
+    static final double MAX_ORACLE_RATIO = 1.15;
 
     private static final int SEEDS = 3;
     private static final String WITHOUT_PAUSES = "\"pauseMs\": 0";
-    private static final String WITHOUT_SPELLS = "\"spellShare\": 0";
+    private static final String WITHOUT_SLOW_PERIODS = "\"spellShare\": 0";
 
     private UnevenLeafs() {}
 
     static Experiment ofThreeSpeeds() throws IOException {
-        return read(WITHOUT_PAUSES, WITHOUT_SPELLS);
+        return read(WITHOUT_PAUSES, WITHOUT_SLOW_PERIODS);
     }
 
-    static Experiment inSpells() throws IOException {
+    static Experiment inSlowPeriods() throws IOException {
         return read(WITHOUT_PAUSES, "\"spellShare\": 0.15");
     }
 
     static Experiment thatPause() throws IOException {
-        return read("\"pauseMs\": 200", WITHOUT_SPELLS);
+        return read("\"pauseMs\": 200", WITHOUT_SLOW_PERIODS);
     }
 
     static Experiment ofAllPatterns() throws IOException {
@@ -35,11 +35,11 @@
 
     /** Returns the 95th percentile of the time of a kind of query, as a multiple of the oracle's. */
     static double p95AgainstOracle(Experiment experiment, RoutingPolicy policy, int load) {
-        Histogram took = new Histogram(Tally.Kind.HIGHEST_MICROS, 3);
-        Histogram oracle = new Histogram(Tally.Kind.HIGHEST_MICROS, 3);
+        Histogram took = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
+        Histogram oracle = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
         for (int seed = 0; seed < SEEDS; seed++) {
-            Tally.Kind kind = Run.of(experiment, policy, seed)
-                    .tally()
+            OutcomeCounts.KindCounts kind = Run.of(experiment, policy, seed)
+                    .counts()
                     .kind(experiment.loads().get(load));
             took.add(kind.latencyMicros());
             oracle.add(kind.oracleMicros());
@@ -47,13 +47,13 @@
         return (double) took.getValueAtPercentile(95) / oracle.getValueAtPercentile(95);
     }
 
-    private static Experiment read(String pauses, String spells) throws IOException {
+    private static Experiment read(String pauses, String slowPeriods) throws IOException {
         String text = Files.readString(Path.of("..", "examples", "uneven.json"))
                 .replace("\"lengthMs\": 25000", "\"lengthMs\": 10000")
                 .replace("\"leastShare\": 0.95", "\"leastShare\": 1")
                 .replace("\"leastShare\": 0.85", "\"leastShare\": 1")
                 .replace("\"pauseMs\": 200", pauses)
-                .replace("\"spellShare\": 0.15", spells);
+                .replace("\"spellShare\": 0.15", slowPeriods);
         return ExperimentReader.read(text).get();
     }
 }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafsTest.java
@@ -13,15 +13,15 @@
     @Test
     void leafsOfThreeSpeedsAreUsedAlmostAsWellAsByAnOracle() throws Exception {
         Experiment experiment = UnevenLeafs.ofThreeSpeeds();
-        assertThat(p95(experiment, FULL)).isAtMost(UnevenLeafs.TARGET);
-        assertThat(p95(experiment, URGENT)).isAtMost(UnevenLeafs.TARGET);
+        assertThat(p95(experiment, FULL)).isAtMost(UnevenLeafs.MAX_ORACLE_RATIO);
+        assertThat(p95(experiment, URGENT)).isAtMost(UnevenLeafs.MAX_ORACLE_RATIO);
     }
 
     @Test
     void leafsInSpellsAreUsedAlmostAsWellAsByAnOracle() throws Exception {
-        Experiment experiment = UnevenLeafs.inSpells();
-        assertThat(p95(experiment, FULL)).isAtMost(UnevenLeafs.TARGET);
-        assertThat(p95(experiment, URGENT)).isAtMost(UnevenLeafs.TARGET);
+        Experiment experiment = UnevenLeafs.inSlowPeriods();
+        assertThat(p95(experiment, FULL)).isAtMost(UnevenLeafs.MAX_ORACLE_RATIO);
+        assertThat(p95(experiment, URGENT)).isAtMost(UnevenLeafs.MAX_ORACLE_RATIO);
     }
 
     @Test
@@ -39,7 +39,7 @@
 
     private static long median(Experiment experiment, RoutingPolicy policy, int seed, Load load) {
         return Run.of(experiment, policy, seed)
-                .tally()
+                .counts()
                 .kind(load)
                 .latencyMicros()
                 .getValueAtPercentile(50);
