--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * Checks what must hold in every run.
+ * Records the events of a run and checks its invariants.
  *
- * <p>At most the allowed number of leafs of a shard may have a request at work, each request ends once, and the fleet
- * keeps to its budget of extra attempts in every window. Not safe for use by several threads.
+ * <p>A request may run on at most the allowed number of leaves of a shard, each request ends once, the fleet stays
+ * within its budget of extra attempts in every window, and no leaf has more connections than it accepts. Not safe for
+ * use by several threads.
  */
 final class Checks {
     private static final int MAX_VIOLATIONS = 20;
@@ -26,7 +27,7 @@
         this.fleet = fleet;
     }
 
-    /** Notes that a call reached a leaf. */
+    /** Records that a call reached a leaf. */
     void recordArrival(Arrival arrival, int shard, long nowNanos) {
         String key = arrival.number() + "/shard-" + shard;
         boolean first = alreadyCalled.putIfAbsent(key, true) == null;
@@ -35,23 +36,22 @@
                 .add(nowNanos);
         int count = possibleRuns.merge(key, 1, Integer::sum);
         if (count > arrival.load().maxAttempts()) {
-            addViolation("request " + key + " may run on " + count + " leafs");
+            addViolation("request " + key + " may run on " + count + " leaves");
         }
     }
 
-    /** Notes that a leaf did not run a call. */
+    /** Records that a call did not run on a leaf, which then does not count towards the limit. */
     void recordNotRun(Arrival arrival, String service) {
         possibleRuns.merge(arrival.number() + "/" + service, -1, Integer::sum);
     }
 
-    /** Notes the end of a request. */
     void recordEnd(Arrival arrival) {
         if (ends.merge(arrival.number(), 1, Integer::sum) > 1) {
             addViolation("request " + arrival.number() + " ended twice");
         }
     }
 
-    /** Checks the budget of every shard in every window, and connections. */
+    /** Checks the budget of every shard and the connections of every leaf, and returns all violations of the run. */
     List<String> finish(List<ModelLeaf> leaves) {
         long windowNanos = fleet.budget().window().toNanos();
         extraNanosByShard.forEach((shard, times) -> checkBudget(shard, times, windowNanos));
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
@@ -10,24 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * All runs of an experiment and what they say of its policies.
+ * The results of an experiment, by policy.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param summaries by policy and kind of query
- * @param costs by policy
- * @param creditBySecond by policy, what the queries of each second earned on average
+ * @param summaries one for each policy and kind of query
+ * @param costs one for each policy
+ * @param creditBySecond for each policy, the mean credit of the queries sent in each second
  */
 record Comparison(
         ImmutableList<Summary> summaries,
         ImmutableList<Summary.Cost> costs,
         ImmutableList<ImmutableList<Double>> creditBySecond) {
     /**
-     * Runs an experiment.
+     * Runs each policy of an experiment with every seed.
      *
-     * @param jobs how many runs go on at a time
-     * @param progress is told of each policy that is done
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @param jobs how many runs execute at a time
+     * @param progress receives one line for each completed policy
+     * @throws InterruptedException if the thread is interrupted while it waits for runs
      */
     static Comparison run(Experiment experiment, int jobs, Consumer<String> progress) throws InterruptedException {
         ExecutorService workers = Executors.newFixedThreadPool(jobs);
@@ -45,7 +45,7 @@
                         .forEach(load -> summaries.add(Summary.of(policy.name(), load, results, baselineResults)));
                 costs.add(Summary.Cost.of(policy.name(), results));
                 seconds.add(creditBySecond(results));
-                progress.accept(policy.name() + ": " + results.size() + " runs are done");
+                progress.accept(policy.name() + ": " + results.size() + " runs completed");
             }
             return new Comparison(summaries.build(), costs.build(), seconds.build());
         } finally {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Returns true if everything that must hold held in every run. */
+    /** Returns true if no run violated an invariant. */
     boolean hasNoViolations() {
         return costs.stream().allMatch(cost -> cost.violations().isEmpty());
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiment.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiment.java
@@ -5,12 +5,12 @@
 import org.bramblerack.process.leaf.RoutingPolicy;
 
 /**
- * What is to be compared: one fleet, its loads and troubles, and policies that decide for it.
+ * The routing policies to compare, and the fleet, loads and injected faults that each of them is run with.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param length how long callers send queries
- * @param seeds how many runs of each policy; run number n of every policy sees the same arrivals and troubles
+ * @param seeds how many runs of each policy; run number n has the same arrivals and faults under every policy
  */
 record Experiment(
         Fleet fleet,
@@ -19,6 +19,6 @@
         ImmutableList<Policy> policies,
         Duration length,
         int seeds) {
-    /** A policy and what it is called. */
+    /** A routing policy and its name in the report. */
     record Policy(String name, RoutingPolicy routing) {}
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReader.java
@@ -11,7 +11,7 @@
 import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
-/** Reads the file of an experiment, or tells everything that is wrong with it. Stateless. */
+/** Parses an experiment file and reports all of its validation errors. Stateless. */
 final class ExperimentReader {
     private static final int MAX_ZONES = 64;
     private static final int MAX_HOSTS = 2_000;
@@ -137,7 +137,7 @@
         return Duration.ofNanos((long) (fields.decimal(name, 0, MAX_MILLIS) * NANOS_PER_MILLI));
     }
 
-    /** Stands in for a fleet that is missing, which is reported. */
+    /** Returns a fleet to continue validation with if the file has none; that error is reported already. */
     private static Fleet placeholderFleet() {
         Duration none = Duration.ZERO;
         return new Fleet(
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
@@ -24,7 +24,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Shows a comparison: as text, and in a folder as JSON, CSV and one page of HTML with plots. Stateless. */
+/** Prints a comparison as text, and writes it to a folder as JSON, CSV and an HTML page with plots. Stateless. */
 final class ExperimentReport {
     private static final int PLOT_WIDTH_PIXELS = 900;
     private static final int PLOT_HEIGHT_PIXELS = 360;
@@ -46,10 +46,10 @@
 
     private ExperimentReport() {}
 
-    /** One figure of a summary, as text. */
+    /** A column of the report: its name and the formatted value of a summary. */
     private record Column(String name, Function<Summary, String> text) {}
 
-    /** Prints the comparison for a reader. */
+    /** Prints one line for each summary, the costs of each policy and the first violations. */
     static void print(Comparison comparison, PrintStream out) {
         out.printf(
                 "%-28s %-14s %7s %16s %7s %6s %7s %6s %8s %7s %7s%n",
@@ -92,7 +92,7 @@
                     cost.connections());
             cost.violations().stream()
                     .limit(MAX_VIOLATIONS_SHOWN)
-                    .forEach(violation -> out.println("  DOES NOT HOLD: " + violation));
+                    .forEach(violation -> out.println("  VIOLATION: " + violation));
         }
     }
 
@@ -165,8 +165,8 @@
                 .append("<style>body{font:15px sans-serif;margin:2em;max-width:960px}table{border-collapse:collapse}")
                 .append("td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}</style>")
                 .append("<h1>Experiment</h1>");
-        page.append(image(creditOverTime(comparison), "What the queries of each second earned, by policy"));
-        page.append(image(creditByPolicy(comparison), "What the queries earned, by policy and kind"));
+        page.append(image(creditOverTime(comparison), "Mean credit of the queries sent in each second, by policy"));
+        page.append(image(creditByPolicy(comparison), "Mean credit, by policy and kind of query"));
         page.append("<table><tr>").append(joinColumns("", column -> "<th>" + column.name()));
         for (Summary summary : comparison.summaries()) {
             page.append("<tr>")
@@ -176,8 +176,8 @@
         page.append("</table><p>")
                 .append(
                         comparison.hasNoViolations()
-                                ? "Everything that must hold held in every run."
-                                : "Something did not hold.")
+                                ? "No run violated an invariant."
+                                : "Some runs violated invariants; see report.json.")
                 .append("</p>\n");
         return page.toString();
     }
@@ -213,7 +213,7 @@
         try {
             ImageIO.write(image, "png", bytes);
         } catch (IOException impossible) {
-            throw new UncheckedIOException("a plot could not be drawn in memory", impossible);
+            throw new UncheckedIOException("failed to encode a plot as PNG", impossible);
         }
         return "<figure><img alt=\"" + caption + "\" src=\"data:image/png;base64,"
                 + Base64.getEncoder().encodeToString(bytes.toByteArray()) + "\"><figcaption>" + caption
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Experiments.java
@@ -8,19 +8,19 @@
 import java.util.Optional;
 import org.bramblerack.process.document.ValidationError;
 
-/** Runs the experiment of a file and shows what came of it. Stateless. */
+/** Runs the experiment that a file describes and reports the results. Stateless. */
 public final class Experiments {
     private Experiments() {}
 
     /**
-     * Reads an experiment, runs it and reports.
+     * Reads and runs an experiment, prints the results and writes them to a folder if one is given.
      *
-     * @param text the file
-     * @param jobs how many runs go on at a time
-     * @param folder where to write the report as JSON, CSV and HTML, if it is wanted
-     * @return the faults of the file, or whether everything that must hold held
+     * @param text the content of the experiment file
+     * @param jobs how many runs execute at a time
+     * @param folder where to write the report as JSON, CSV and HTML
+     * @return the validation errors of the file, or true if no run violated an invariant
      * @throws IOException if the report cannot be written
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while it waits for runs
      */
     public static Either<ImmutableList<ValidationError>, Boolean> run(
             String text, int jobs, Optional<Path> folder, PrintStream out) throws IOException, InterruptedException {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Fleet.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Fleet.java
@@ -5,26 +5,26 @@
 import org.bramblerack.process.FleetBudget;
 
 /**
- * The hosts and leafs of an experiment.
+ * The modelled hosts and leaves of an experiment.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param zones the availability zones
- * @param shards how many shards each query asks
+ * @param shards how many shards there are; each query goes to all of them
  * @param replicaZones the zone of each replica of a shard
- * @param slots how many calls a leaf works on at a time
- * @param queue how many calls wait at a leaf before it refuses more
- * @param connections how many connections a leaf takes from all hosts
- * @param connect what a new connection takes of a slot
- * @param pause how long a leaf pauses now and then; zero for never
- * @param pauseEvery how often it does
- * @param sameZone the way between two places of a zone, one way
- * @param sameRegion the way between two zones of a region, one way
- * @param otherRegion the way between two regions, one way
- * @param toCaller the way between a caller and a host, one way
- * @param finalizeLead how long before the goal a host seals
- * @param budget what all hosts may spend on extra attempts
- * @param speedSkew how leafs differ
+ * @param slots how many calls a leaf runs at a time
+ * @param queue how many calls a leaf queues before it refuses more
+ * @param connections how many connections a leaf accepts from all hosts together
+ * @param connect how long a new connection occupies a slot
+ * @param pause how long a leaf pauses, as for garbage collection; zero for no pauses
+ * @param pauseEvery the time from one pause to the next
+ * @param sameZone the one-way network delay within a zone
+ * @param sameRegion the one-way network delay between two zones of a region
+ * @param otherRegion the one-way network delay between two regions
+ * @param toCaller the one-way network delay between a caller and a host
+ * @param finalizeLead how long before the goal a host finalizes its answer
+ * @param budget the budget of extra attempts that all hosts share
+ * @param speedSkew how the speeds of leaves differ
  */
 record Fleet(
         ImmutableList<Zone> zones,
@@ -50,15 +50,15 @@
      */
     record Zone(String name, String region, int hosts) {}
 
-    /** Returns a zone by its name. */
+    /** Returns the zone with a name; throws IllegalArgumentException if there is none. */
     Zone zone(String name) {
         return zones.stream()
                 .filter(zone -> zone.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no zone " + name));
+                .orElseThrow(() -> new IllegalArgumentException("no zone named " + name));
     }
 
-    /** Returns the way between two zones, one way, in nanoseconds. */
+    /** Returns the one-way network delay between two zones. */
     long networkDelayNanos(String from, String to) {
         if (from.equals(to)) {
             return sameZone.toNanos();
@@ -66,7 +66,7 @@
         return (zone(from).region().equals(zone(to).region()) ? sameRegion : otherRegion).toNanos();
     }
 
-    /** Returns how many entry hosts there are. */
+    /** Returns the number of entry hosts in all zones. */
     int hostCount() {
         return zones.stream().mapToInt(Zone::hosts).sum();
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/InjectedFault.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/InjectedFault.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 
 /**
- * Something that befalls a share of the leafs for a while.
+ * A fault that is injected into a share of the leaves for a limited time.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param kind what befalls them
- * @param start when it begins
- * @param duration how long it lasts
- * @param share the share of the leafs that it befalls
- * @param strength how many times as long calls take, or the share of calls that are refused; see {@link Kind}
+ * @param kind the kind of fault
+ * @param start when the fault begins, counted from the first query
+ * @param duration how long the fault lasts
+ * @param share the share of leaves that are affected
+ * @param strength its meaning depends on the kind, see {@link Kind}
  */
 record InjectedFault(Kind kind, Duration start, Duration duration, double share, double strength) {
-    /** What can befall a leaf. */
+    /** The kinds of faults. */
     enum Kind {
-        /** Its calls take {@code strength} times as long. */
+        /** Calls take {@code strength} times as long. */
         SLOW,
-        /** It refuses the share {@code strength} of its calls at once and has not run them. */
+        /** The leaf immediately refuses the share {@code strength} of its calls without running them. */
         REFUSING,
-        /** Nothing that is sent to it arrives, and nothing comes back. */
+        /** The leaf is unreachable: calls do not arrive and answers are lost. */
         DARK,
-        /** It is dark for {@code strength} seconds, well for as long, and so on. */
+        /** The leaf is alternately unreachable and reachable, each for {@code strength} seconds. */
         FLAPPING
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Load.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Load.java
@@ -7,18 +7,18 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param name the kind
- * @param perSecond queries a second from all callers, at moments drawn independently of one another
- * @param work what one call takes at a leaf, on average
+ * @param name the name of the kind
+ * @param perSecond the rate of queries from all callers, which arrive as a Poisson process
+ * @param work how long a leaf works on one call, on average before {@code tailFactor} applies
  * @param spread the standard deviation of the logarithm of the work
  * @param tailShare the share of calls that take {@code tailFactor} times as long
- * @param tailFactor how much longer these take
- * @param goal within which an answer counts whole
- * @param deadline how long a caller waits
- * @param minCoverage the share of shards below which there is no answer
- * @param lateCredit what an answer after the goal is worth
- * @param maxAttempts how many leafs of a shard may be asked
- * @param maxRetries how often a caller tries again
+ * @param tailFactor how many times as long the calls of the tail take
+ * @param goal the time within which an answer earns full credit
+ * @param deadline how long a caller waits, retries included
+ * @param minCoverage the least share of shards that an answer must cover
+ * @param lateCredit the credit of an answer after the goal, as a share of full credit
+ * @param maxAttempts how many leaves of a shard may be called
+ * @param maxRetries how many times a caller retries a refused query
  */
 record Load(
         String name,
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelConnections.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelConnections.java
@@ -7,13 +7,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The connections of one host to one leaf, each with one call at a time.
+ * The modelled connections of one host to one leaf, each of which carries one call at a time.
  *
- * <p>Invariant: never more than the host's share of what the leaf takes. A call that is given up loses its connection.
- * Not safe for use by several threads.
+ * <p>Invariant: at most {@code maxConnections} are open or being established. Abandoning a call that was sent closes
+ * its connection. Not safe for use by several threads.
  */
 final class ModelConnections {
-    /** How long a connection is tried, as in the product. */
+    /** The same timeout as in the entry host. */
     private static final long CONNECT_TIMEOUT_NANOS = 1_500_000_000L;
 
     private final ModelLeaf leaf;
@@ -36,16 +36,16 @@
         leaf.connected();
     }
 
-    /** What becomes of a call. */
+    /** Receives the events of a call. */
     interface CallListener {
-        /** Notes that the call reached the leaf. */
+        /** Handles the arrival of the call at the leaf. */
         void onArrival();
 
-        /** Takes its end; the load is null if the leaf said nothing. */
+        /** Handles the end of the call; the load is null if the leaf did not report any. */
         void onEnd(LeafOutcome outcome, @Nullable LeafLoad load);
     }
 
-    /** Returns how many connections were made. */
+    /** Returns how many connections were attempted, not counting the initial one. */
     long connectionsMade() {
         return connectionsMade;
     }
@@ -119,7 +119,7 @@
         }
     }
 
-    /** One call, waiting for a connection or under way. */
+    /** One call, either queued for a connection or sent. */
     final class Call {
         private final long workNanos;
         private final CallListener listener;
@@ -174,7 +174,7 @@
             listener.onEnd(outcome, load);
         }
 
-        /** Gives the call up; the leaf drops it when it sees the connection closed. */
+        /** Abandons the call; if it was sent, the leaf cancels it one network delay later. */
         void abandon() {
             if (ended) {
                 return;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -29,11 +29,11 @@
 import org.bramblerack.version.routing.HomeRegions;
 
 /**
- * An entry host: what it knows of the leafs and of other hosts, by the product's own classes. Its own work takes no
- * time. Not safe for use by several threads.
+ * A modelled entry host. It selects leaves and plans stages with the classes of the real entry host; its own processing
+ * takes no simulated time. Not safe for use by several threads.
  */
 final class ModelHost implements StagePlanner.Topology {
-    /** Before any window that a run can see: the budget of a first window is not what is modelled. */
+    /** Budgets start long before the run, so that the rules for a first window do not apply. */
     private static final long BUDGET_START_NANOS = -Duration.ofHours(1).toNanos();
 
     private final String name;
@@ -51,9 +51,9 @@
     private final StagePlanner planner;
 
     /**
-     * Creates a host that has been up for long.
+     * Creates a host that has long been running.
      *
-     * @param position its place among the hosts of the fleet, from 0 up
+     * @param position the index of the host in the fleet, from 0
      */
     ModelHost(
             String name,
@@ -106,7 +106,7 @@
         return pool;
     }
 
-    /** Makes the hosts known to one another. */
+    /** Registers each host with all others. */
     static void registerPeers(List<ModelHost> all) {
         for (ModelHost host : all) {
             all.stream().filter(other -> other != host).forEach(other -> host.peers.put(other.name, other));
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
@@ -9,7 +9,7 @@
 import org.bramblerack.process.leaf.LeafLoad;
 
 /**
- * A leaf: a few slots with one queue before them, which pauses, turns slow, refuses calls or goes dark.
+ * A modelled leaf with slots and one queue. It may pause, become slow, refuse calls or become unreachable.
  *
  * <p>Invariant: at most as many jobs run as it has slots. Not safe for use by several threads.
  */
@@ -33,9 +33,9 @@
     private int maxConnections;
 
     /**
-     * Creates a leaf in no spell, in a phase of its pauses that is drawn.
+     * Creates a leaf outside of a slow period whose first pause begins at a random time.
      *
-     * @param workFactor how many times as long as usual work takes
+     * @param workFactor how many times as long as usual a call takes
      */
     ModelLeaf(
             String id,
@@ -56,7 +56,7 @@
             time.after(random.nextLong(fleet.pauseEvery().toNanos()), this::pause);
         }
         if (!fleet.speedSkew().slowPeriod().isZero()) {
-            // Drawn apart from refusals, so that every policy meets the same spells.
+            // Separate from the generator of refusals, so that slow periods are the same under every policy.
             RandomGenerator slowPeriodRandom = new SplittableRandom(random.nextLong());
             time.after(
                     slowPeriodRandom.nextLong(fleet.speedSkew().slowPeriod().toNanos()),
@@ -64,12 +64,12 @@
         }
     }
 
-    /** What becomes of a call that has reached the leaf. */
+    /** Receives the result of a job. */
     interface JobListener {
-        /** Takes the end of its work. */
+        /** Handles the completion of the job. */
         void onDone(LeafLoad load);
 
-        /** Takes a refusal; the call has not run. */
+        /** Handles a refusal; the job did not run. */
         void onRefused(LeafLoad load);
     }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Takes a call that needs some work. A dark leaf never answers. */
+    /** Runs, queues or refuses a call. An unreachable leaf does none of these and never answers. */
     Job call(long workNanos, JobListener listener) {
         Job job = new Job((long) (workNanos * workFactor * slowPeriodFactor * faultFactor), listener);
         if (unreachable) {
@@ -134,13 +134,13 @@
         return job;
     }
 
-    /** Returns how long a call that arrives now would take if the leaf did nothing else, by its true state. */
+    /** Returns how long a call that arrives now would take on an idle leaf in the current state. */
     long idealDurationNanos(long workNanos) {
         long pauseNanos = paused ? pauseEndsNanos - time.nowNanos() : 0;
         return pauseNanos + (long) (workNanos * workFactor * slowPeriodFactor * faultFactor);
     }
 
-    /** Takes a new connection, which holds a slot for a moment. */
+    /** Accepts a new connection, which occupies a slot for {@link Fleet#connect}. */
     Job connect(Runnable opened) {
         Job job = new Job(fleet.connect().toNanos(), new JobListener() {
             @Override
@@ -159,7 +159,7 @@
         return job;
     }
 
-    /** Drops a job whose connection was closed. */
+    /** Cancels a queued or running job whose connection was closed. */
     void cancel(Job job) {
         job.generation++;
         queued.remove(job);
@@ -225,14 +225,14 @@
         time.after(fleet.pauseEvery().minus(fleet.pause()).toNanos(), this::pause);
     }
 
-    /** Returns what it tells of its load. */
+    /** Returns the load that the leaf reports with its answers. */
     LeafLoad load() {
         double factor = fleet.speedSkew().reported() ? workFactor * slowPeriodFactor * faultFactor : 1;
         return new LeafLoad(
                 running.size(), queued.size(), fleet.slots(), (int) Math.round(LeafLoad.USUAL_PERCENT * factor));
     }
 
-    /** One call or new connection at the leaf. */
+    /** A call or a new connection that occupies a slot. */
     static final class Job {
         private final JobListener listener;
         private long remainingNanos;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
@@ -26,7 +26,7 @@
 import org.bramblerack.version.routing.RouteTarget;
 import org.jspecify.annotations.Nullable;
 
-/** Carries out the decisions of one query at one host, as the daemon does. Not safe for use by several threads. */
+/** Executes the routing actions of one query at one modelled host. Not safe for use by several threads. */
 final class ModelQuery {
     private static final ByteString NO_RECORDS = ByteString.EMPTY;
 
@@ -41,18 +41,17 @@
     private final Map<StageAttempt, ModelQuery> stages = new HashMap<>();
     private long wakeNumber;
 
-    /** What becomes of the query. */
+    /** Receives the results of a query. */
     interface ResultSink {
-        /** Takes the answer or the last piece. */
+        /** Handles the whole answer or the last partial result. */
         void deliver(MergedAnswer answer);
 
-        /** Takes a piece; more follow. */
+        /** Handles a partial result that others follow. */
         void deliverPartial(MergedAnswer partial);
 
-        /** Takes word of the shards that were asked twice. */
+        /** Handles the list of shards that were called a second time. */
         void reportHedgedShards(List<Integer> hedgedShards);
 
-        /** Takes a refusal. */
         void refuse(RefusalReason reason);
     }
 
@@ -89,7 +88,7 @@
                 host.random());
     }
 
-    /** Creates the query of a caller. */
+    /** Creates the query for a caller, which goes to all shards. */
     static ModelQuery forCaller(Run run, ModelHost host, Arrival arrival, ResultSink sink) {
         long nowNanos = run.time().nowNanos();
         Load load = arrival.load();
@@ -228,7 +227,7 @@
                         () -> Optional.ofNullable(stages.get(stage)).ifPresent(ModelQuery::abandon));
     }
 
-    /** Carries what another host gathered back to this one. */
+    /** Sends the results of a stage from the other host back to this one. */
     private final class StageSink implements ResultSink {
         private final StageAttempt stage;
         private final long networkDelayNanos;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/OutcomeCounts.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/OutcomeCounts.java
@@ -7,7 +7,7 @@
 import org.bramblerack.request.routed.Attempt;
 import org.bramblerack.request.routed.AttemptCounter;
 
-/** What came of one run. Not safe for use by several threads. */
+/** Counts the outcomes of queries and calls in one run. Not safe for use by several threads. */
 final class OutcomeCounts {
     private final Map<String, KindCounts> kinds = new LinkedHashMap<>();
     private final EnumMap<AttemptCounter, Long> counters = new EnumMap<>(AttemptCounter.class);
@@ -22,7 +22,7 @@
         queriesBySecond = new int[seconds + 1];
     }
 
-    /** How the queries of one kind ended. */
+    /** The outcomes of the queries of one kind. */
     static final class KindCounts {
         static final long HIGHEST_MICROS = 60_000_000L;
         private final Histogram latencyMicros = new Histogram(HIGHEST_MICROS, 3);
@@ -55,7 +55,7 @@
             return failed;
         }
 
-        /** Returns the mean of what the queries earned, from 0 to 1. */
+        /** Returns the mean credit of a query, from 0 to 1. */
         double credit() {
             return queries == 0 ? 0 : credit / queries;
         }
@@ -69,7 +69,7 @@
             return latencyMicros;
         }
 
-        /** Returns the times that an oracle would have needed that asks each shard once. */
+        /** Returns the latencies of an oracle that calls the fastest leaf of each shard once. */
         Histogram oracleMicros() {
             return oracleMicros;
         }
@@ -101,7 +101,7 @@
         creditBySecond[second(firstNanos)] += credit;
     }
 
-    /** Notes what the best leafs by their true state would have made of a query. */
+    /** Records the latency of a query if each shard were called once, at its fastest leaf. */
     void recordOracle(Load load, long tookNanos) {
         kind(load).oracleMicros.recordValue(Math.min(KindCounts.HIGHEST_MICROS, tookNanos / 1_000));
     }
@@ -146,7 +146,7 @@
         return attempts.getOrDefault(purpose, 0L);
     }
 
-    /** Returns what the queries that came in a second earned on average; 1 if none came. */
+    /** Returns the mean credit of the queries sent in a second; 1 if there were none. */
     double creditIn(int second) {
         return queriesBySecond[second] == 0 ? 1 : creditBySecond[second] / queriesBySecond[second];
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
@@ -17,15 +17,15 @@
  * thread.
  */
 final class Run {
-    /** When the first query comes, so that leafs are in all phases of their pauses. */
+    /** The time before the first query, in which the pauses of leaves spread over all phases. */
     private static final Duration WARM_UP = Duration.ofSeconds(15);
-    /** How long a caller rests if it is told nothing, as callers do. */
+    /** How long a caller waits before it retries a refused query. */
     private static final long RETRY_DELAY_NANOS = Duration.ofMillis(100).toNanos();
 
     private final Experiment experiment;
     private final SimulatedTime time = new SimulatedTime();
     private final RandomGenerator workRandom;
-    /** Of its own, so that runs are the same whether or not the oracle is asked. */
+    /** Separate from the other generators, so that the oracle does not change a run. */
     private final RandomGenerator oracleRandom;
 
     private final OutcomeCounts counts;
@@ -58,7 +58,7 @@
         experiment.loads().forEach(load -> scheduleArrivals(load, arrivalRandom, placementRandom));
     }
 
-    /** What came of a run. */
+    /** The counts and the violated invariants of a run. */
     record Result(OutcomeCounts counts, ImmutableList<String> violations) {}
 
     /** Runs one policy with one seed. */
@@ -93,7 +93,7 @@
         return Long.toString(++lastSignature);
     }
 
-    /** Draws what one call of a kind takes at a leaf. */
+    /** Returns a random duration of the work of one call. */
     long randomWorkNanos(Load load) {
         return randomWorkNanos(load, workRandom);
     }
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Draws leafs, but never every replica of a shard. */
+    /** Chooses leaves at random, but never all replicas of a shard. */
     private List<ModelLeaf> chooseLeaves(int count, RandomGenerator random) {
         List<ModelLeaf> candidates = new ArrayList<>(leaves);
         List<ModelLeaf> chosen = new ArrayList<>();
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Returns when the last shard of a query would be in if each were asked once, at the best of its leafs by their
-     * true state.
+     * Returns how long a query would take if each shard were called once, at the replica that answers first given the
+     * true state of all leaves.
      */
     private long oracleNanos(Load load, ModelHost host) {
         long lastNanos = 0;
@@ -206,7 +206,7 @@
         return lastNanos;
     }
 
-    /** Takes the end of a query as its caller sees it. */
+    /** Records the outcome of a query for its caller, and retries refused queries. */
     private final class CallerSink implements ModelQuery.ResultSink {
         private final Arrival arrival;
         private final ModelHost next;
@@ -221,17 +221,18 @@
             checks.recordEnd(arrival);
             double coverage = 1 - (double) answer.missing() / fleet().shards();
             long atNanos = time.nowNanos() + fleet().toCaller().toNanos();
-            counts.recordAnswer(arrival.load(), sinceStartNanos(arrival.firstNanos()), sinceStartNanos(atNanos), coverage);
+            counts.recordAnswer(
+                    arrival.load(), sinceStartNanos(arrival.firstNanos()), sinceStartNanos(atNanos), coverage);
         }
 
         @Override
         public void deliverPartial(MergedAnswer partial) {
-            throw new IllegalStateException("a piece for a caller");
+            throw new IllegalStateException("a caller's query delivered a partial result");
         }
 
         @Override
         public void reportHedgedShards(List<Integer> hedgedShards) {
-            // A caller is not told.
+            // Callers do not use the progress of a query.
         }
 
         @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/SimulatedTime.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/SimulatedTime.java
@@ -4,10 +4,10 @@
 import org.bramblerack.process.MonotonicClock;
 
 /**
- * The time of one run: events happen in the order of their times, those of one time in the order in which they were
- * scheduled.
+ * The clock and event queue of one run. Events run in order of time; events at the same time run in the order in which
+ * they were scheduled.
  *
- * <p>Invariant: time never goes back. Not safe for use by several threads; each run has its own.
+ * <p>Invariant: time never decreases. Not safe for use by several threads; each run has its own.
  */
 final class SimulatedTime implements MonotonicClock {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -19,17 +19,17 @@
         return nowNanos;
     }
 
-    /** Schedules a task; one whose time has passed runs next. */
+    /** Schedules a task at a time; a time in the past counts as now. */
     void at(long atNanos, Runnable task) {
         events.add(new Event(Math.max(nowNanos, atNanos), nextSequence++, task));
     }
 
-    /** Schedules a task for a while from now. */
+    /** Schedules a task after a delay. */
     void after(long delayNanos, Runnable task) {
         at(nowNanos + delayNanos, task);
     }
 
-    /** Runs what happens until a time. */
+    /** Runs all events up to and including a time, and sets the clock to it. */
     void runUntil(long endNanos) {
         while (!events.isEmpty() && events.peek().atNanos <= endNanos) {
             Event event = events.remove();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Summary.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Summary.java
@@ -8,23 +8,23 @@
 import org.bramblerack.request.routed.AttemptCounter;
 
 /**
- * What came of the runs of one policy for one kind of query.
+ * The results of all runs of one policy for one kind of query.
  *
  * <p>Immutable and safe for use by many threads.
  *
  * @param policy the policy's name
  * @param kind the kind's name
- * @param credit what the queries earned on average, from 0 to 1
- * @param creditGain the credit less that of the first policy on the same seeds
+ * @param credit the mean credit of a query, from 0 to 1
+ * @param creditGain the credit minus that of the first policy with the same seeds
  * @param gainMargin half the width of the 95% interval of that gain
- * @param inGoal the share answered within the goal
- * @param late the share answered later
- * @param refused the share refused that has not run
- * @param failed the share that failed otherwise
+ * @param inGoal the share of queries answered within the goal
+ * @param late the share of queries answered after the goal
+ * @param refused the share of queries refused without being run
+ * @param failed the share of queries that failed otherwise
  * @param coverage the mean share of shards in the answers
- * @param p50Millis the median time of an answer
- * @param p99Millis the 99th percentile
- * @param p999Millis the 99.9th percentile
+ * @param p50Millis the median latency of answers
+ * @param p99Millis the 99th percentile of that latency
+ * @param p999Millis the 99.9th percentile of that latency
  */
 record Summary(
         String policy,
@@ -41,10 +41,10 @@
         double p99Millis,
         double p999Millis) {
     private static final double MICROS_PER_MILLI = 1_000;
-    /** Two standard errors hold 95% where there are some tens of runs, and somewhat less where there are few. */
+    /** Approximates a 95% confidence interval for tens of runs; with few runs the interval is too narrow. */
     private static final double STANDARD_ERRORS = 2;
 
-    /** Sums up the runs of a policy, compared with those of the first. */
+    /** Summarizes the runs of a policy and compares them with the runs of the first policy, seed by seed. */
     static Summary of(String policy, Load load, List<Run.Result> results, List<Run.Result> first) {
         Histogram latencyMicros = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
         results.forEach(result -> latencyMicros.add(result.counts().kind(load).latencyMicros()));
@@ -107,13 +107,13 @@
     }
 
     /**
-     * What the fleet of one policy spent in all runs.
+     * The overhead and the violations of all runs of one policy.
      *
-     * @param extraShare leaf calls beyond the first of each shard, for each first one
-     * @param refusedShare calls that leafs refused, for each first one
+     * @param extraShare hedges and retries, for each first call
+     * @param refusedShare calls that ended without success at a leaf, for each first call
      * @param connections connections made after the start, for each first call
-     * @param retriesDenied retries that the budget did not allow, for each first call
-     * @param violations what did not hold; empty if all did
+     * @param retriesDenied retries denied by the budget, for each first call
+     * @param violations the violated invariants, with their seeds
      */
     record Cost(
             String policy,
@@ -122,7 +122,7 @@
             double connections,
             double retriesDenied,
             ImmutableList<String> violations) {
-        /** Adds up the runs of a policy. */
+        /** Sums the overhead and collects the violations of the runs of a policy. */
         static Cost of(String policy, List<Run.Result> results) {
             double first = sum(results, counts -> counts.counter(AttemptCounter.FIRST));
             double extra = sum(
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/package-info.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Experiments: the product's own routing decisions against a model of the leafs, callers, hosts and links that they
- * serve, much faster than real processes.
+ * Experiments that compare routing policies in a discrete-event simulation: the real routing classes run against
+ * modelled leaves, callers, hosts and network delays.
  */
 @NullMarked
 package org.bramblerack.cli.experiment;
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ChecksTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ChecksTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Each promise that runs are checked for is broken once here, and the checks must say so. */
+/** Violates each invariant of a run once and expects that {@link Checks} reports it. */
 final class ChecksTest {
     private static final Arrival ARRIVAL = new Arrival(7, SmallExperiment.LOAD, 0, 1, 0);
 
@@ -17,7 +17,7 @@
         for (int leaf = 0; leaf < 3; leaf++) {
             checks.recordArrival(ARRIVAL, 2, leaf);
         }
-        assertThat(checks.finish(ImmutableList.of())).containsExactly("request 7/shard-2 may run on 3 leafs");
+        assertThat(checks.finish(ImmutableList.of())).containsExactly("request 7/shard-2 may run on 3 leaves");
     }
 
     @Test
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/SmallExperiment.java
@@ -6,7 +6,7 @@
 import org.bramblerack.process.leaf.RoutingFeature;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
-/** An experiment that runs in well under a second. */
+/** A small experiment whose runs take well under a second. */
 final class SmallExperiment {
     static final Load LOAD = new Load("query", 40, millis(20), 0.3, 0, 1, millis(200), millis(2_000), 0.75, 0.1, 2, 1);
 
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafs.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/UnevenLeafs.java
@@ -6,9 +6,9 @@
 import org.HdrHistogram.Histogram;
 import org.bramblerack.process.leaf.RoutingPolicy;
 
-/** Queries to the uneven leafs of the example, to whose last shard they wait. */
+/** Experiments with leaves of unequal speed, derived from the example file; each query waits for all of its shards. */
 final class UnevenLeafs {
-    /** The stated target: how many times as long as an oracle that knows the leafs' true state. */
+    /** The latency allowed, as a multiple of that of an oracle that knows the true state of all leaves. */
     static final double MAX_ORACLE_RATIO = 1.15;
 
     private static final int SEEDS = 3;
@@ -33,7 +33,7 @@
         return read("\"pauseMs\": 200", "\"spellShare\": 0.15");
     }
 
-    /** Returns the 95th percentile of the time of a kind of query, as a multiple of the oracle's. */
+    /** Returns the 95th percentile of the latency of a kind of query, as a multiple of the oracle's. */
     static double p95AgainstOracle(Experiment experiment, RoutingPolicy policy, int load) {
         Histogram took = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
         Histogram oracle = new Histogram(OutcomeCounts.KindCounts.HIGHEST_MICROS, 3);
