--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Checks.java
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Records that a call did not run on a leaf, which then does not count towards the limit. */
+    /** Records that a call did not run, so that it does not count towards the limit of the request. */
     void recordNotRun(Arrival arrival, String service) {
         possibleRuns.merge(arrival.number() + "/" + service, -1, Integer::sum);
     }
@@ -56,8 +56,8 @@
         long windowNanos = fleet.budget().window().toNanos();
         extraNanosByShard.forEach((shard, times) -> checkBudget(shard, times, windowNanos));
         for (ModelLeaf leaf : leaves) {
-            if (leaf.maxConnections() > fleet.connections()) {
-                addViolation("leaf " + leaf.id() + " had " + leaf.maxConnections() + " connections");
+            if (leaf.peakConnections() > fleet.connections()) {
+                addViolation("leaf " + leaf.id() + " had " + leaf.peakConnections() + " connections");
             }
         }
         return violations;
@@ -88,9 +88,9 @@
         return times.stream().filter(at -> at > from && at <= to).count();
     }
 
-    private void addViolation(String what) {
+    private void addViolation(String text) {
         if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(what);
+            violations.add(text);
         }
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
@@ -84,7 +84,7 @@
         for (Summary.Cost cost : comparison.costs()) {
             out.printf(
                     Locale.ROOT,
-                    "%s: for each first call %.4f extra, %.4f refused by leafs, %.4f retries denied, %.4f connections%n",
+                    "%s: for each first call %.4f extra, %.4f refused by leaves, %.4f retries denied, %.4f connections%n",
                     cost.policy(),
                     cost.extraShare(),
                     cost.refusedShare(),
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/InjectedFault.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/InjectedFault.java
@@ -8,7 +8,7 @@
  * <p>Immutable and safe for use by many threads.
  *
  * @param kind the kind of fault
- * @param start when the fault begins, counted from the first query
+ * @param start when the fault begins, counted from the start of the load
  * @param duration how long the fault lasts
  * @param share the share of leaves that are affected
  * @param strength its meaning depends on the kind, see {@link Kind}
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelHost.java
@@ -83,7 +83,7 @@
         WindowedBudget budget = fleet.budget().newShare(BUDGET_START_NANOS);
         fleet.budget().assignShare(budget, FleetBudget.Rank.of(position, hostCount, "shard-" + shard));
         LeafPool pool = new LeafPool("shard-" + shard, budget, context);
-        int share = Math.max(1, ConnectionShare.of(fleet.connections(), hostCount));
+        int maxConnections = Math.max(1, ConnectionShare.of(fleet.connections(), hostCount));
         for (ModelLeaf replica : replicas) {
             Fleet.Zone other = fleet.zone(replica.zone());
             Leaf leaf = new Leaf(
@@ -101,7 +101,7 @@
             pool.add(leaf);
             modelLeaves.put(leaf, replica);
             long networkDelayNanos = fleet.networkDelayNanos(zone.name(), replica.zone());
-            connections.put(leaf, new ModelConnections(replica, networkDelayNanos, share, time));
+            connections.put(leaf, new ModelConnections(replica, networkDelayNanos, maxConnections, time));
         }
         return pool;
     }
@@ -160,7 +160,7 @@
     ModelHost host(String other) {
         ModelHost known = peers.get(other);
         if (known == null) {
-            throw new IllegalStateException("no host " + other);
+            throw new IllegalStateException("no host named " + other);
         }
         return known;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelLeaf.java
@@ -30,7 +30,7 @@
     private boolean paused;
     private long pauseEndsNanos;
     private int connections;
-    private int maxConnections;
+    private int peakConnections;
 
     /**
      * Creates a leaf outside of a slow period whose first pause begins at a random time.
@@ -89,13 +89,13 @@
         return unreachable;
     }
 
-    int maxConnections() {
-        return maxConnections;
+    int peakConnections() {
+        return peakConnections;
     }
 
     void connected() {
         connections++;
-        maxConnections = Math.max(maxConnections, connections);
+        peakConnections = Math.max(peakConnections, connections);
     }
 
     void disconnected() {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ModelQuery.java
@@ -52,6 +52,7 @@
         /** Handles the list of shards that were called a second time. */
         void reportHedgedShards(List<Integer> hedgedShards);
 
+        /** Handles a refusal, after which no result follows. */
         void refuse(RefusalReason reason);
     }
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Run.java
@@ -13,8 +13,8 @@
 /**
  * One run of an experiment: one policy, one seed.
  *
- * <p>The same seed gives the same arrivals, troubles and pauses under every policy, and the same run again. Used by one
- * thread.
+ * <p>Runs are deterministic: the same seed gives the same arrivals, faults and pauses under every policy, and the same
+ * run when it is repeated. Not safe for use by several threads.
  */
 final class Run {
     /** The time before the first query, in which the pauses of leaves spread over all phases. */
@@ -54,7 +54,7 @@
             }
         }
         ModelHost.registerPeers(hosts);
-        experiment.faults().forEach(trouble -> scheduleFault(trouble, faultRandom));
+        experiment.faults().forEach(fault -> scheduleFault(fault, faultRandom));
         experiment.loads().forEach(load -> scheduleArrivals(load, arrivalRandom, placementRandom));
     }
 
@@ -64,11 +64,12 @@
     /** Runs one policy with one seed. */
     static Result of(Experiment experiment, RoutingPolicy policy, int seed) {
         Run run = new Run(experiment, policy, seed);
-        Duration longest = experiment.loads().stream()
+        Duration longestDeadline = experiment.loads().stream()
                 .map(Load::deadline)
                 .max(Duration::compareTo)
                 .orElse(Duration.ZERO);
-        run.time.runUntil(WARM_UP.plus(experiment.length()).plus(longest).toNanos());
+        run.time.runUntil(
+                WARM_UP.plus(experiment.length()).plus(longestDeadline).toNanos());
         run.hosts.forEach(host -> run.counts.addConnectionsMade(host.connectionsMade()));
         return new Result(run.counts, ImmutableList.copyOf(run.checks.finish(run.leaves)));
     }
@@ -110,8 +111,8 @@
             List<ModelLeaf> replicas = new ArrayList<>();
             for (String zone : fleet().replicaZones()) {
                 String id = "shard-" + shard + "-" + replicas.size();
-                double speed = fleet().speedSkew().workFactorOf(shard, replicas.size());
-                replicas.add(new ModelLeaf(id, shard, zone, speed, fleet(), time, random.split()));
+                double workFactor = fleet().speedSkew().workFactorOf(shard, replicas.size());
+                replicas.add(new ModelLeaf(id, shard, zone, workFactor, fleet(), time, random.split()));
             }
             leaves.addAll(replicas);
             shards.add(replicas);
@@ -128,10 +129,10 @@
             time.at(endNanos, () -> chosen.forEach(leaf -> leaf.endFault(fault)));
             return;
         }
-        long halfNanos = (long) (fault.strength() * 1e9);
-        for (long at = beginNanos; at < endNanos; at += 2 * halfNanos) {
+        long halfPeriodNanos = (long) (fault.strength() * 1e9);
+        for (long at = beginNanos; at < endNanos; at += 2 * halfPeriodNanos) {
             time.at(at, () -> chosen.forEach(leaf -> leaf.beginFault(fault)));
-            time.at(Math.min(endNanos, at + halfNanos), () -> chosen.forEach(leaf -> leaf.endFault(fault)));
+            time.at(Math.min(endNanos, at + halfPeriodNanos), () -> chosen.forEach(leaf -> leaf.endFault(fault)));
         }
     }
 
@@ -141,10 +142,10 @@
         List<ModelLeaf> chosen = new ArrayList<>();
         while (chosen.size() < count && !candidates.isEmpty()) {
             ModelLeaf leaf = candidates.remove(random.nextInt(candidates.size()));
-            long ofShard = chosen.stream()
+            long chosenOfShard = chosen.stream()
                     .filter(other -> other.shard() == leaf.shard())
                     .count();
-            if (ofShard + 1 < fleet().replicaZones().size()) {
+            if (chosenOfShard + 1 < fleet().replicaZones().size()) {
                 chosen.add(leaf);
             }
         }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ExperimentsTest.java
@@ -37,9 +37,9 @@
                         .replace("\"shards\": 90", "\"shards\": 9")
                         .replace("\"lengthMs\": 25000", "\"lengthMs\": 3000"))
                 .get();
-        SpeedSkew unevenness = experiment.fleet().speedSkew();
-        assertThat(unevenness.workFactors()).containsExactly(0.8, 1.0, 1.3).inOrder();
-        assertThat(unevenness.slowPeriod().toMillis()).isEqualTo(600);
+        SpeedSkew speedSkew = experiment.fleet().speedSkew();
+        assertThat(speedSkew.workFactors()).containsExactly(0.8, 1.0, 1.3).inOrder();
+        assertThat(speedSkew.slowPeriod().toMillis()).isEqualTo(600);
         assertThat(Comparison.run(experiment, 2, done -> {}).hasNoViolations()).isTrue();
     }
 
@@ -50,24 +50,26 @@
                 .replace("\"kind\": \"slow\"", "\"kind\": \"late\"")
                 .replace("[\"refusal-price\"]", "[\"magic\"]")
                 .replace("[\"west\", \"east\"]", "[\"west\", \"north\"]");
-        ImmutableList<ValidationError> faults = ExperimentReader.read(text).getLeft();
-        String told = faults.toString();
-        assertThat(faults).hasSize(4);
-        assertThat(told).contains("choose from 1");
-        assertThat(told).contains("\"late\" is not a choice here");
-        assertThat(told).contains("\"magic\" is no mechanism");
-        assertThat(told).contains("there is no zone \"north\"");
-        assertThat(faults.stream().allMatch(fault -> fault.line() > 1)).isTrue();
+        ImmutableList<ValidationError> validationErrors =
+                ExperimentReader.read(text).getLeft();
+        String errors = validationErrors.toString();
+        assertThat(validationErrors).hasSize(4);
+        assertThat(errors).contains("choose from 1");
+        assertThat(errors).contains("\"late\" is not a choice here");
+        assertThat(errors).contains("\"magic\" is no mechanism");
+        assertThat(errors).contains("there is no zone \"north\"");
+        assertThat(validationErrors.stream().allMatch(error -> error.line() > 1))
+                .isTrue();
     }
 
     @Test
     void aFileWithoutLoadsOrPoliciesIsRefused() {
-        String told = ExperimentReader.read("{\"lengthMs\": 1, \"seeds\": 1}")
+        String errors = ExperimentReader.read("{\"lengthMs\": 1, \"seeds\": 1}")
                 .getLeft()
                 .toString();
-        assertThat(told).contains("fleet");
-        assertThat(told).contains("there is no load");
-        assertThat(told).contains("there is no policy");
+        assertThat(errors).contains("fleet");
+        assertThat(errors).contains("there is no load");
+        assertThat(errors).contains("there is no policy");
     }
 
     @Test
@@ -76,9 +78,9 @@
                 .replace("\"lengthMs\": 25000", "\"lengthMs\": 3000")
                 .replace("\"seeds\": 16", "\"seeds\": 2");
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        Either<ImmutableList<ValidationError>, Boolean> held =
+        Either<ImmutableList<ValidationError>, Boolean> result =
                 Experiments.run(text, 2, Optional.of(folder), new PrintStream(printed, true, StandardCharsets.UTF_8));
-        assertThat(held).isEqualTo(Either.right(true));
+        assertThat(result).isEqualTo(Either.right(true));
         assertThat(printed.toString(StandardCharsets.UTF_8)).contains("without refusal price");
         assertThat(Files.readAllLines(folder.resolve("report.csv"))).hasSize(1 + 3 * 2);
         assertThat(Files.readString(folder.resolve("report.json"))).contains("\"creditGain\"");
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ModelLeafTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/ModelLeafTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void callsBeyondTheQueueAreRefusedAtOnce() {
-        int most = SmallExperiment.FLEET.slots() + SmallExperiment.FLEET.queue();
-        for (int call = 0; call < most + 2; call++) {
+        int capacity = SmallExperiment.FLEET.slots() + SmallExperiment.FLEET.queue();
+        for (int call = 0; call < capacity + 2; call++) {
             call();
         }
         assertThat(refused).isEqualTo(2);
@@ -85,22 +85,22 @@
 
     @Test
     void spellsTakeTheirShareOfTheTimeAndEndAndTheSpeedStays() {
-        SpeedSkew unevenness = new SpeedSkew(ImmutableList.of(0.8, 1.3), 0.15, 2.5, Duration.ofMillis(600), true);
+        SpeedSkew speedSkew = new SpeedSkew(ImmutableList.of(0.8, 1.3), 0.15, 2.5, Duration.ofMillis(600), true);
         ModelLeaf uneven = new ModelLeaf(
                 "uneven",
                 1,
                 "west",
-                unevenness.workFactorOf(1, 0),
-                SmallExperiment.with(unevenness),
+                speedSkew.workFactorOf(1, 0),
+                SmallExperiment.with(speedSkew),
                 time,
                 new SplittableRandom(4));
-        List<Integer> told = new ArrayList<>();
-        for (int draw = 0; draw < 1_000; draw++) {
-            time.runUntil(draw * Duration.ofMillis(600).toNanos());
-            told.add(uneven.load().workPercent());
+        List<Integer> reported = new ArrayList<>();
+        for (int period = 0; period < 1_000; period++) {
+            time.runUntil(period * Duration.ofMillis(600).toNanos());
+            reported.add(uneven.load().workPercent());
         }
-        assertThat(ImmutableSet.copyOf(told)).containsExactly(130, 325);
-        assertThat(told.stream().filter(percent -> percent == 325).count()).isIn(Range.closed(110L, 190L));
+        assertThat(ImmutableSet.copyOf(reported)).containsExactly(130, 325);
+        assertThat(reported.stream().filter(percent -> percent == 325).count()).isIn(Range.closed(110L, 190L));
     }
 
     private ModelLeaf.Job call() {
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/RunTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/experiment/RunTest.java
@@ -69,13 +69,13 @@
 
     @Test
     void darkAndFlappingLeafsBreakNoPromise() {
-        InjectedFault dark =
+        InjectedFault unreachable =
                 new InjectedFault(InjectedFault.Kind.DARK, Duration.ofSeconds(1), Duration.ofSeconds(3), 0.3, 1);
         InjectedFault flapping =
                 new InjectedFault(InjectedFault.Kind.FLAPPING, Duration.ofSeconds(4), Duration.ofSeconds(3), 0.3, 0.4);
         InjectedFault slow =
                 new InjectedFault(InjectedFault.Kind.SLOW, Duration.ofSeconds(2), Duration.ofSeconds(4), 0.3, 8);
-        Run.Result result = Run.of(SmallExperiment.with(dark, flapping, slow), RoutingPolicy.DEFAULT, 5);
+        Run.Result result = Run.of(SmallExperiment.with(unreachable, flapping, slow), RoutingPolicy.DEFAULT, 5);
         assertThat(result.violations()).isEmpty();
         assertThat(result.counts().kind(SmallExperiment.LOAD).credit()).isGreaterThan(0.3);
     }
