--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/NaiveTarget.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BaselineTarget.java
@@ -20,41 +20,41 @@
  * The naive version: asks the first replica of every shard, waits for all, and on failure asks the other in turn until
  * the deadline. It knows no priority, queue, budget or hedge, and connects to every upstream itself.
  */
-final class NaiveTarget implements Target {
-    private static final int CONNECTIONS = 25;
+final class BaselineTarget implements Target {
+    private static final int MAX_CONNECTIONS = 25;
 
-    private final List<List<HttpUpstreamProtocol>> shards = new ArrayList<>();
+    private final List<List<HttpUpstreamProtocol>> clients = new ArrayList<>();
     private final List<List<Upstream>> upstreams = new ArrayList<>();
     private final Duration deadline;
-    private final AtomicLong next = new AtomicLong();
+    private final AtomicLong queryCounter = new AtomicLong();
 
-    NaiveTarget(BenchSystem system, Duration deadline) {
+    BaselineTarget(BenchSystem system, Duration deadline) {
         this.deadline = deadline;
         Service service = Objects.requireNonNull(system.declaration().services().get("search"));
         for (int shard = 0; shard < service.shards(); shard++) {
-            shards.add(new ArrayList<>());
+            clients.add(new ArrayList<>());
             upstreams.add(new ArrayList<>());
         }
         for (Upstream upstream : service.upstreams()) {
             upstreams.get(upstream.shard()).add(upstream);
-            shards.get(upstream.shard()).add(new HttpUpstreamProtocol(system.vertx(), upstream, CONNECTIONS));
+            clients.get(upstream.shard()).add(new HttpUpstreamProtocol(system.vertx(), upstream, MAX_CONNECTIONS));
         }
     }
 
     @Override
-    public void ask(boolean urgent, Consumer<Outcome> done) {
+    public void send(boolean urgent, Consumer<Outcome> done) {
         long deadlineNanos = System.nanoTime() + deadline.toNanos();
-        String query = "n" + next.incrementAndGet();
-        AtomicInteger left = new AtomicInteger(shards.size());
+        String query = "n" + queryCounter.incrementAndGet();
+        AtomicInteger pending = new AtomicInteger(clients.size());
         AtomicInteger failed = new AtomicInteger();
-        for (int shard = 0; shard < shards.size(); shard++) {
-            askShard(query, shard, 0, deadlineNanos, covered -> {
+        for (int shard = 0; shard < clients.size(); shard++) {
+            callShard(query, shard, 0, deadlineNanos, covered -> {
                 if (!covered) {
                     failed.incrementAndGet();
                 }
-                if (left.decrementAndGet() == 0) {
+                if (pending.decrementAndGet() == 0) {
                     boolean inTime = System.nanoTime() - deadlineNanos <= 0;
-                    done.accept(failed.get() == 0 && inTime ? Outcome.WHOLE : Outcome.REFUSED);
+                    done.accept(failed.get() == 0 && inTime ? Outcome.COMPLETE : Outcome.REFUSED);
                 }
             });
         }
@@ -62,16 +62,16 @@
 
     @Override
     public void close() {
-        shards.forEach(replicas -> replicas.forEach(HttpUpstreamProtocol::close));
+        clients.forEach(replicas -> replicas.forEach(HttpUpstreamProtocol::close));
     }
 
-    private void askShard(String query, int shard, int attempt, long deadlineNanos, Consumer<Boolean> done) {
+    private void callShard(String query, int shard, int attempt, long deadlineNanos, Consumer<Boolean> done) {
         long remainingNanos = deadlineNanos - System.nanoTime();
         if (remainingNanos <= 0) {
             done.accept(false);
             return;
         }
-        int replica = attempt % shards.get(shard).size();
+        int replica = attempt % clients.get(shard).size();
         LeafRequest request = new LeafRequest(
                 query + "-" + shard + "-" + attempt,
                 query,
@@ -82,7 +82,7 @@
                 deadlineNanos,
                 "",
                 ByteString.EMPTY);
-        shards.get(shard)
+        clients.get(shard)
                 .get(replica)
                 .call(request, Duration.ofNanos(remainingNanos))
                 .subscribe()
@@ -90,7 +90,7 @@
                     if (outcome instanceof LeafOutcome.Replied) {
                         done.accept(true);
                     } else {
-                        askShard(query, shard, attempt + 1, deadlineNanos, done);
+                        callShard(query, shard, attempt + 1, deadlineNanos, done);
                     }
                 });
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
@@ -38,16 +38,16 @@
  * <p>Safe for use by many threads once it is started. Close it after use.
  */
 final class BenchSystem implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
-    private static final Duration ASK_EVERY = Duration.ofMillis(2);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(2);
 
     private final Path folder;
     private final Topology topology;
-    private final String text;
+    private final String declarationText;
     private final Declaration declaration;
     private final StandInFleet fleet;
     private final List<HostProcess> hosts = new ArrayList<>();
-    private final Function<String, LinkPolicy> links;
+    private final Function<String, LinkPolicy> linkPolicies;
     private final Vertx vertx = Vertx.vertx();
     private final WebClient client;
 
@@ -60,10 +60,10 @@
             Function<String, LinkPolicy> links) {
         this.folder = folder;
         this.topology = topology;
-        this.text = text;
+        this.declarationText = text;
         this.declaration = DeclarationReader.read(text).get();
         this.fleet = new StandInFleet(declaration, serviceMicros, seed);
-        this.links = links;
+        this.linkPolicies = links;
         this.client = WebClient.create(
                 vertx, new WebClientOptions().setMaxPoolSize(2_000).setKeepAliveTimeout(30));
     }
@@ -87,7 +87,7 @@
         Topology topology = Topology.create(hosts, 2, hosts < 3 ? 1 : 3, folder);
         String text = topology.declaration(shards, slots, deadlineMillis);
         BenchSystem system = new BenchSystem(folder, topology, text, serviceMicros, seed, links);
-        system.setPlatform("");
+        system.writePlatformList("");
         system.fleet.start();
         for (int host = 0; host < hosts; host++) {
             system.initializeVoter(host);
@@ -96,16 +96,17 @@
         system.awaitLeader();
         system.apply(0, "first", 0, text);
         system.awaitInForce(1);
-        system.awaitWhole();
+        system.awaitAllShards();
         return system;
     }
 
     /** Writes the platform's list, with one leaving address if it is not empty. */
-    void setPlatform(String leaving) throws IOException {
-        String entry = leaving.isEmpty() ? "" : "{\"address\": \"" + leaving + "\", \"state\": \"leaving\"}";
-        Path fresh = folder.resolve("platform.new");
-        Files.writeString(fresh, "{\"hosts\": [" + entry + "]}");
-        Files.move(fresh, topology.platformFile(), StandardCopyOption.REPLACE_EXISTING);
+    void writePlatformList(String leavingAddress) throws IOException {
+        String entry =
+                leavingAddress.isEmpty() ? "" : "{\"address\": \"" + leavingAddress + "\", \"state\": \"leaving\"}";
+        Path newFile = folder.resolve("platform.new");
+        Files.writeString(newFile, "{\"hosts\": [" + entry + "]}");
+        Files.move(newFile, topology.platformFile(), StandardCopyOption.REPLACE_EXISTING);
     }
 
     StandInFleet fleet() {
@@ -116,8 +117,8 @@
         return declaration;
     }
 
-    String text() {
-        return text;
+    String declarationText() {
+        return declarationText;
     }
 
     Vertx vertx() {
@@ -145,7 +146,7 @@
                 .putHeader(OperatorApi.EXPECTED_REVISION_HEADER, Long.toString(expected))
                 .sendBuffer(Buffer.buffer(declarationText))
                 .await()
-                .atMost(PATIENCE);
+                .atMost(TIMEOUT);
         return response.bodyAsJsonObject();
     }
 
@@ -153,12 +154,12 @@
         return client.get(address(host).getPort(), address(host).getHost(), "/v1/status")
                 .send()
                 .await()
-                .atMost(PATIENCE)
+                .atMost(TIMEOUT)
                 .bodyAsJsonObject();
     }
 
     /** Returns how often the hosts counted each thing on the query path. */
-    Map<QueryCounter, Long> counts() {
+    Map<QueryCounter, Long> counterTotals() {
         Map<QueryCounter, Long> counts = new EnumMap<>(QueryCounter.class);
         for (QueryCounter counter : QueryCounter.values()) {
             long sum = hosts.stream()
@@ -170,9 +171,9 @@
     }
 
     /** Adds a line with what was counted since earlier counts. */
-    void describeSince(Map<QueryCounter, Long> before, Report report) {
+    void reportCountersSince(Map<QueryCounter, Long> before, Report report) {
         StringBuilder text = new StringBuilder("counted:");
-        counts().forEach((counter, count) -> {
+        counterTotals().forEach((counter, count) -> {
             long since = count - before.getOrDefault(counter, 0L);
             if (since > 0) {
                 text.append(' ').append(counter.code()).append(' ').append(since);
@@ -184,7 +185,7 @@
     /** Waits until every live host has a revision in force, by what each says of itself. */
     void awaitInForce(long revision) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while (System.nanoTime() - startNanos < PATIENCE.toNanos()) {
+        while (System.nanoTime() - startNanos < TIMEOUT.toNanos()) {
             boolean all = true;
             for (int host = 0; host < hosts.size(); host++) {
                 all &= hosts.get(host).revision() >= revision;
@@ -192,7 +193,7 @@
             if (all) {
                 return;
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         throw new IllegalStateException("revision " + revision + " did not come into force");
     }
@@ -200,10 +201,10 @@
     void awaitLeader() throws InterruptedException {
         long startNanos = System.nanoTime();
         while (!status(hosts.size() - 1).getBoolean("quorum", false)) {
-            if (System.nanoTime() - startNanos > PATIENCE.toNanos()) {
+            if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
                 throw new IllegalStateException("no leader was elected");
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
@@ -237,20 +238,20 @@
     /** Starts a host, again if it was killed before. */
     void startHost(int host) throws IOException, InterruptedException {
         HostProcess process =
-                new HostProcess(SettingsReader.read(topology.settings(host)).get(), links.apply("h" + host));
+                new HostProcess(SettingsReader.read(topology.settings(host)).get(), linkPolicies.apply("h" + host));
         process.start();
         hosts.add(Math.min(host, hosts.size()), process);
     }
 
-    private void awaitWhole() throws InterruptedException {
+    private void awaitAllShards() throws InterruptedException {
         int shards = declaration.services().values().iterator().next().shards();
         for (int host = 0; host < hosts.size(); host++) {
             long startNanos = System.nanoTime();
             while (shardsServed(host) < shards) {
-                if (System.nanoTime() - startNanos > PATIENCE.toNanos()) {
+                if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
                     throw new IllegalStateException("host " + host + " does not know every shard");
                 }
-                Thread.sleep(ASK_EVERY.toMillis());
+                Thread.sleep(POLL_INTERVAL.toMillis());
             }
         }
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ChangesBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ChangesBench.java
@@ -11,9 +11,9 @@
 final class ChangesBench implements Bench {
     private static final int HOSTS = 7;
     private static final int CHANGES = 100;
-    private static final int MANY = 2_000;
-    private static final int DIGITS = 3;
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final int CHANGES_BEFORE_RESTART = 2_000;
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     @Override
     public String name() {
@@ -29,12 +29,12 @@
     public boolean run(Report report, long seed) throws IOException, InterruptedException {
         report.line("changes: %d hosts, 3 voters, real syncs, %d changes, seed %d", HOSTS, CHANGES, seed);
         try (BenchSystem system = BenchSystem.start(HOSTS, 20, 2, 3_000, 500, seed)) {
-            Histogram accepted = new Histogram(DIGITS);
-            Histogram inForce = new Histogram(DIGITS);
+            Histogram accepted = new Histogram(HISTOGRAM_DIGITS);
+            Histogram inForce = new Histogram(HISTOGRAM_DIGITS);
             long revision = 1;
             for (int change = 0; change < CHANGES; change++) {
                 long startNanos = System.nanoTime();
-                JsonObject reply = system.apply(change % HOSTS, "change-" + change, revision, system.text());
+                JsonObject reply = system.apply(change % HOSTS, "change-" + change, revision, system.declarationText());
                 accepted.recordValue((System.nanoTime() - startNanos) / 1_000);
                 revision = reply.getLong("revision");
                 system.awaitInForce(revision);
@@ -42,11 +42,11 @@
             }
             describe(report, "accepted", accepted);
             describe(report, "in force on 7 hosts", inForce);
-            boolean quick = report.figure(
+            boolean inForceWithin = report.checkBound(
                     "in force on 7 hosts, p99", inForce.getValueAtPercentile(99) / 1_000.0, "ms", 1_000, true);
-            boolean killed = killLeader(report, system, revision);
-            boolean restart = restart(report, seed);
-            return quick && killed && restart;
+            boolean failoverWithin = killLeader(report, system, revision);
+            boolean restartWithin = measureRestart(report, seed);
+            return inForceWithin && failoverWithin && restartWithin;
         }
     }
 
@@ -57,36 +57,38 @@
         Thread change = new Thread(() -> system.kill(index));
         change.start();
         long accepted = -1;
-        while (accepted < 0 && System.nanoTime() - startNanos < PATIENCE.toNanos()) {
+        while (accepted < 0 && System.nanoTime() - startNanos < TIMEOUT.toNanos()) {
             accepted = tryApply(system, revision);
         }
         change.join();
         system.awaitInForce(revision + 1);
         double tookMillis = (System.nanoTime() - startNanos) / 1e6;
         report.line("leader %s killed; accepted as revision %d after %d", leader, accepted, revision);
-        boolean once = report.figure("revisions that the one change made", (double) (accepted - revision), "", 1, true);
-        return report.figure("in force on 6 hosts, leader killed", tookMillis, "ms", 5_000, true) && once;
+        boolean appliedOnce =
+                report.checkBound("revisions that the one change made", (double) (accepted - revision), "", 1, true);
+        return report.checkBound("in force on 6 hosts, leader killed", tookMillis, "ms", 5_000, true) && appliedOnce;
     }
 
     private static long tryApply(BenchSystem system, long revision) {
         int last = system.hosts().size() - 1;
-        return system.apply(last, "under-kill", revision, system.text()).getLong("revision", -1L);
+        return system.apply(last, "under-kill", revision, system.declarationText())
+                .getLong("revision", -1L);
     }
 
-    private static boolean restart(Report report, long seed) throws IOException, InterruptedException {
+    private static boolean measureRestart(Report report, long seed) throws IOException, InterruptedException {
         try (BenchSystem system = BenchSystem.start(1, 20, 2, 3_000, 500, seed)) {
-            for (int change = 0; change < MANY; change++) {
-                system.apply(0, "many-" + change, change + 1, system.text());
+            for (int change = 0; change < CHANGES_BEFORE_RESTART; change++) {
+                system.apply(0, "many-" + change, change + 1, system.declarationText());
             }
             system.kill(0);
             long startNanos = System.nanoTime();
             system.startHost(0);
-            system.awaitInForce(MANY + 1);
+            system.awaitInForce(CHANGES_BEFORE_RESTART + 1);
             double tookMillis = (System.nanoTime() - startNanos) / 1e6;
             report.line(
                     "after %d changes and a restart the revision is %d",
-                    MANY, system.hosts().get(0).revision());
-            return report.figure("restart of the only voter after 2,000 changes", tookMillis, "ms", 1_000, true);
+                    CHANGES_BEFORE_RESTART, system.hosts().get(0).revision());
+            return report.checkBound("restart of the only voter after 2,000 changes", tookMillis, "ms", 1_000, true);
         }
     }
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
@@ -17,8 +17,8 @@
 /** Claims of once-only requests: how many a second, and what one adds at two delays between hosts. */
 final class ClaimsBench implements Bench {
     private static final Duration DURATION = Duration.ofSeconds(8);
-    private static final int BATCHED = 256;
-    private static final int DIGITS = 3;
+    private static final int CONCURRENT_CLAIMS = 256;
+    private static final int HISTOGRAM_DIGITS = 3;
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final long RETENTION_MILLIS = Duration.ofHours(1).toMillis();
 
@@ -37,28 +37,29 @@
         report.line("claims: 3 voters, real syncs, asked through a fourth host, seed %d", seed);
         double perSecond = 0;
         for (Duration delay : new Duration[] {Duration.ZERO, Duration.ofNanos(500_000), Duration.ofMillis(10)}) {
-            try (BenchSystem system = BenchSystem.start(4, 2, 2, 3_000, 500, seed, host -> new Delayed(delay))) {
+            try (BenchSystem system = BenchSystem.start(4, 2, 2, 3_000, 500, seed, host -> new DelayedLinks(delay))) {
                 measure(system, 1, "warm-up", report, false);
                 measure(system, 1, delay + ", one at a time", report, true);
-                double rate = measure(system, BATCHED, delay + ", " + BATCHED + " at a time", report, true);
+                double rate = measure(
+                        system, CONCURRENT_CLAIMS, delay + ", " + CONCURRENT_CLAIMS + " at a time", report, true);
                 if (delay.isZero()) {
                     perSecond = rate;
                 }
             }
         }
-        return report.figure("claims a second, batched, without delay", perSecond, "/s", 2_000, false);
+        return report.checkBound("claims a second, batched, without delay", perSecond, "/s", 2_000, false);
     }
 
-    private static double measure(BenchSystem system, int atATime, String name, Report report, boolean show)
+    private static double measure(BenchSystem system, int concurrency, String name, Report report, boolean printed)
             throws InterruptedException {
         ControlClient client = system.hosts().get(3).controlClient();
-        Histogram latency = new SynchronizedHistogram(DIGITS);
+        Histogram latency = new SynchronizedHistogram(HISTOGRAM_DIGITS);
         LongAdder granted = new LongAdder();
-        Semaphore places = new Semaphore(atATime);
+        Semaphore permits = new Semaphore(concurrency);
         long startNanos = System.nanoTime();
         long number = startNanos;
         while (System.nanoTime() - startNanos < DURATION.toNanos()) {
-            places.acquire();
+            permits.acquire();
             long sentNanos = System.nanoTime();
             client.propose(claim(number++), TIMEOUT).subscribe().with(result -> {
                 if (result instanceof ProposalResult.Applied applied
@@ -66,12 +67,12 @@
                     granted.increment();
                     latency.recordValue((System.nanoTime() - sentNanos) / 1_000);
                 }
-                places.release();
+                permits.release();
             });
         }
-        places.acquire(atATime);
+        permits.acquire(concurrency);
         double rate = granted.sum() / ((System.nanoTime() - startNanos) / 1e9);
-        if (show) {
+        if (printed) {
             report.line(
                     "delay %-26s %8.0f claims/s  p50 %7.2f  p99 %7.2f  max %7.2f ms",
                     name,
@@ -96,7 +97,7 @@
     }
 
     /** Holds every message to another host back for a time. Replies are not held back: the delay counts one way. */
-    private record Delayed(Duration oneWay) implements LinkPolicy {
+    private record DelayedLinks(Duration oneWay) implements LinkPolicy {
         @Override
         public boolean isPartitioned(String host) {
             return false;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CostBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CostBench.java
@@ -10,9 +10,9 @@
 final class CostBench implements Bench {
     private static final ImmutableList<Integer> HOSTS = ImmutableList.of(4, 7, 10, 13);
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(10, 20, 40);
-    private static final Duration SETTLE = Duration.ofSeconds(4);
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(4);
     private static final Duration DURATION = Duration.ofSeconds(6);
-    private static final double BYTES_BUDGET = 17_000;
+    private static final double BYTES_PER_SECOND_BUDGET = 17_000;
     private static final double CORE_BUDGET_PERCENT = 3.8;
 
     @Override
@@ -30,14 +30,14 @@
         report.line(
                 "cost: idle system, per host and second, averaged over hosts; stand-ins' CPU is included; seed %d",
                 seed);
-        idle(7, 20, seed);
-        Slope bytesByHosts = new Slope();
-        Slope bytesByUpstreams = new Slope();
-        Slope cpuByHosts = new Slope();
+        measureIdle(7, 20, seed);
+        LinearFit bytesByHosts = new LinearFit();
+        LinearFit bytesByUpstreams = new LinearFit();
+        LinearFit cpuByHosts = new LinearFit();
         double bytes = 0;
         double cpu = 0;
         for (int hosts : HOSTS) {
-            Sample sample = idle(hosts, 20, seed);
+            Sample sample = measureIdle(hosts, 20, seed);
             row(report, hosts, 20, sample);
             bytesByHosts.add(hosts, sample.bytesPerSecond());
             cpuByHosts.add(hosts, sample.corePercent());
@@ -47,21 +47,22 @@
             }
         }
         for (int shards : SHARDS) {
-            Sample sample = idle(5, shards, seed);
+            Sample sample = measureIdle(5, shards, seed);
             row(report, 5, shards, sample);
             bytesByUpstreams.add(2 * shards + 3, sample.bytesPerSecond());
         }
         report.line("bytes/s a host by hosts (20 shards): %s", bytesByHosts);
         report.line("bytes/s a host by upstreams (5 hosts): %s", bytesByUpstreams);
         report.line("%% of a core a host by hosts (20 shards): %s", cpuByHosts);
-        boolean first = report.figure("control bytes/s a host, 7 hosts, idle", bytes, "B/s", BYTES_BUDGET, true);
-        boolean second = report.figure("CPU a host, 7 hosts, idle", cpu, "%", CORE_BUDGET_PERCENT, true);
-        return first && second;
+        boolean bytesWithin =
+                report.checkBound("control bytes/s a host, 7 hosts, idle", bytes, "B/s", BYTES_PER_SECOND_BUDGET, true);
+        boolean cpuWithin = report.checkBound("CPU a host, 7 hosts, idle", cpu, "%", CORE_BUDGET_PERCENT, true);
+        return bytesWithin && cpuWithin;
     }
 
-    private static Sample idle(int hosts, int shards, long seed) throws IOException, InterruptedException {
+    private static Sample measureIdle(int hosts, int shards, long seed) throws IOException, InterruptedException {
         try (BenchSystem system = BenchSystem.start(hosts, shards, 2, 3_000, 500, seed)) {
-            Thread.sleep(SETTLE.toMillis());
+            Thread.sleep(SETTLING_TIME.toMillis());
             long bytes = bytes(system);
             long messages = messages(system);
             long cpuNanos = cpuNanos();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
@@ -27,8 +27,8 @@
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(20, 30, 160);
     private static final ServiceName SERVICE = new ServiceName("bench", "search");
     private static final int ROUNDS = 5;
-    private static final int EVENTS_IN_ROUND = 2_000_000;
-    private static final double BOUND_NANOS = 2_000;
+    private static final int EVENTS_PER_ROUND = 2_000_000;
+    private static final double MAX_NANOS_PER_EVENT = 2_000;
 
     @Override
     public String name() {
@@ -49,8 +49,8 @@
             double worstNanos = 0;
             double bytes = 0;
             for (int round = 0; round <= ROUNDS; round++) {
-                Setup setup = new Setup(shards, seed);
-                long queries = EVENTS_IN_ROUND / (2L * shards);
+                ServiceFixture setup = new ServiceFixture(shards, seed);
+                long queries = EVENTS_PER_ROUND / (2L * shards);
                 long allocated = allocatedBytes();
                 long startNanos = System.nanoTime();
                 for (long query = 0; query < queries; query++) {
@@ -67,7 +67,8 @@
                     "%3d shards: %6.0f to %6.0f ns and %5.0f bytes a leaf event (%d rounds)",
                     shards, bestNanos, worstNanos, bytes, ROUNDS);
             report.point("nanos", shards, worstNanos);
-            within &= report.figure("worst round at " + shards + " shards", worstNanos, "ns", BOUND_NANOS, true);
+            within &= report.checkBound(
+                    "worst round at " + shards + " shards", worstNanos, "ns", MAX_NANOS_PER_EVENT, true);
         }
         return within;
     }
@@ -78,7 +79,7 @@
     }
 
     /** A service with all its replicas known. */
-    private static final class Setup {
+    private static final class ServiceFixture {
         private final int shards;
         private final ServiceTables tables;
         private final ShardMap pinned;
@@ -87,7 +88,7 @@
         private final int checksum = CheckedReply.checksum(payload);
         private long nowNanos;
 
-        Setup(int shards, long seed) {
+        ServiceFixture(int shards, long seed) {
             this.shards = shards;
             this.random = new SplittableRandom(seed);
             UpstreamLimits limits = new UpstreamLimits(2, 25, Duration.ofSeconds(10), 5);
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DrainBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DrainBench.java
@@ -8,8 +8,8 @@
 /** How soon an upstream that is leaving gets no new work, from each of the three signals. */
 final class DrainBench implements Bench {
     private static final int SHARDS = 10;
-    private static final double PER_SECOND = 150;
-    private static final Duration WATCH = Duration.ofSeconds(4);
+    private static final double QUERIES_PER_SECOND = 150;
+    private static final Duration LOAD_DURATION = Duration.ofSeconds(4);
     private static final int ROUNDS = 5;
 
     @Override
@@ -26,59 +26,62 @@
     public boolean run(Report report, long seed) throws IOException, InterruptedException {
         report.line(
                 "drain: 7 hosts, %d shards, %.0f queries/s, %d rounds a signal, seed %d",
-                SHARDS, PER_SECOND, ROUNDS, seed);
+                SHARDS, QUERIES_PER_SECOND, ROUNDS, seed);
         try (BenchSystem system = BenchSystem.start(7, SHARDS, 2, 3_000, 500, seed);
                 Target tier = new TierTarget(system)) {
-            Load.run(tier, PER_SECOND, Duration.ofSeconds(5), 0.5, seed);
-            double upstreamWorst = 0;
-            double platformWorst = 0;
-            double declarationWorst = 0;
+            OpenLoopLoad.run(tier, QUERIES_PER_SECOND, Duration.ofSeconds(5), 0.5, seed);
+            double upstreamWorstMillis = 0;
+            double platformWorstMillis = 0;
+            double declarationWorstMillis = 0;
             long revision = 1;
             for (int round = 0; round < ROUNDS; round++) {
                 StandInUpstream leaving =
                         system.fleet().matching("bench/search/s" + round + "a").get(0);
-                upstreamWorst = Math.max(
-                        upstreamWorst,
+                upstreamWorstMillis = Math.max(
+                        upstreamWorstMillis,
                         measure(
                                 tier,
                                 leaving,
                                 seed + round,
                                 () -> leaving.setBehaviour(leaving.behaviour().withDraining(true))));
                 leaving.setBehaviour(leaving.behaviour().withDraining(false));
-                StandInUpstream named = system.fleet()
+                StandInUpstream listed = system.fleet()
                         .matching("bench/search/s" + (round + 5) + "a")
                         .get(0);
-                String address = named.upstream().address().toString();
-                platformWorst =
-                        Math.max(platformWorst, measure(tier, named, seed + round, () -> system.setPlatform(address)));
-                system.setPlatform("");
+                String address = listed.upstream().address().toString();
+                platformWorstMillis = Math.max(
+                        platformWorstMillis,
+                        measure(tier, listed, seed + round, () -> system.writePlatformList(address)));
+                system.writePlatformList("");
                 StandInUpstream declared =
                         system.fleet().matching("bench/search/s" + round + "b").get(0);
                 String from = "\"address\": \"" + declared.upstream().address() + "\"";
-                String text = system.text().replace(from, "\"leaving\": true, " + from);
+                String text = system.declarationText().replace(from, "\"leaving\": true, " + from);
                 long expected = revision;
                 String change = "leaving-" + round;
-                declarationWorst = Math.max(
-                        declarationWorst,
+                declarationWorstMillis = Math.max(
+                        declarationWorstMillis,
                         measure(tier, declared, seed + round, () -> system.apply(0, change, expected, text)));
-                system.apply(0, "back-" + round, expected + 1, system.text());
+                system.apply(0, "back-" + round, expected + 1, system.declarationText());
                 revision += 2;
             }
-            boolean first =
-                    report.figure("upstream's own signal, worst of all rounds", upstreamWorst, "ms", 2_000, true);
-            boolean second = report.figure("platform's list, worst of all rounds", platformWorst, "ms", 2_000, true);
-            boolean third = report.figure("declaration, worst of all rounds", declarationWorst, "ms", 2_000, true);
-            return first && second && third;
+            boolean upstreamWithin = report.checkBound(
+                    "upstream's own signal, worst of all rounds", upstreamWorstMillis, "ms", 2_000, true);
+            boolean platformWithin =
+                    report.checkBound("platform's list, worst of all rounds", platformWorstMillis, "ms", 2_000, true);
+            boolean declarationWithin =
+                    report.checkBound("declaration, worst of all rounds", declarationWorstMillis, "ms", 2_000, true);
+            return upstreamWithin && platformWithin && declarationWithin;
         }
     }
 
     /** Returns the milliseconds from the signal to the last new call that the upstream got. */
-    private static double measure(Target tier, StandInUpstream upstream, long seed, Signal signal)
+    private static double measure(Target tier, StandInUpstream upstream, long seed, DrainSignal signal)
             throws IOException, InterruptedException {
         AtomicBoolean running = new AtomicBoolean(true);
         Thread load = new Thread(() -> {
             try {
-                Load.run(tier, PER_SECOND, WATCH, 0.5, seed);
+                OpenLoopLoad.run(tier, QUERIES_PER_SECOND, LOAD_DURATION, 0.5, seed);
             } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             } finally {
@@ -92,9 +95,9 @@
         long calls = upstream.calls();
         long lastNanos = signalNanos;
         while (running.get()) {
-            long seen = upstream.calls();
-            if (seen != calls) {
-                calls = seen;
+            long current = upstream.calls();
+            if (current != calls) {
+                calls = current;
                 lastNanos = System.nanoTime();
             }
             Thread.sleep(2);
@@ -105,7 +108,7 @@
 
     /** Says that the upstream is leaving. */
     @FunctionalInterface
-    private interface Signal {
+    private interface DrainSignal {
         void give() throws IOException;
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
@@ -12,11 +12,11 @@
  * none is taken between its choice and its use. Safe for use by many threads.
  */
 public final class FreePorts {
-    private static final int FIRST = 2_000;
-    private static final int COUNT = 13_000;
+    private static final int FIRST_PORT = 2_000;
+    private static final int PORT_COUNT = 13_000;
     private static final int STRIDE = 997;
     private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % COUNT));
+            new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % PORT_COUNT));
 
     private FreePorts() {}
 
@@ -26,13 +26,14 @@
      * @throws IOException if none is free
      */
     public static int next() throws IOException {
-        for (int tried = 0; tried < COUNT; tried++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+        for (int tried = 0; tried < PORT_COUNT; tried++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), PORT_COUNT);
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new IOException("no port from " + FIRST + " to " + (FIRST + COUNT - 1) + " is free; stop other programs");
+        throw new IOException("no port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1)
+                + " is free; stop other programs");
     }
 
     private static boolean isFree(int port) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Slope.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/LinearFit.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /** A straight line through measured points by least squares. Not safe for use by several threads. */
-final class Slope {
+final class LinearFit {
     private final List<double[]> points = new ArrayList<>();
 
     void add(double position, double value) {
@@ -13,29 +13,29 @@
     }
 
     /** Returns by how much the value grows with each unit of position. */
-    double perUnit() {
+    double slope() {
         double meanX = points.stream().mapToDouble(point -> point[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(point -> point[1]).average().orElse(0);
-        double above = 0;
-        double below = 0;
+        double covariance = 0;
+        double variance = 0;
         for (double[] point : points) {
-            above += (point[0] - meanX) * (point[1] - meanY);
-            below += (point[0] - meanX) * (point[0] - meanX);
+            covariance += (point[0] - meanX) * (point[1] - meanY);
+            variance += (point[0] - meanX) * (point[0] - meanX);
         }
-        return below == 0 ? 0 : above / below;
+        return variance == 0 ? 0 : covariance / variance;
     }
 
     /** Returns the value at position 0. */
-    double base() {
+    double intercept() {
         double meanX = points.stream().mapToDouble(point -> point[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(point -> point[1]).average().orElse(0);
-        return meanY - perUnit() * meanX;
+        return meanY - slope() * meanX;
     }
 
     /** Returns the largest distance of a point from the line. */
-    double worstError() {
+    double maxError() {
         return points.stream()
-                .mapToDouble(point -> Math.abs(point[1] - base() - perUnit() * point[0]))
+                .mapToDouble(point -> Math.abs(point[1] - intercept() - slope() * point[0]))
                 .max()
                 .orElse(0);
     }
@@ -45,9 +45,9 @@
         return String.format(
                 Locale.ROOT,
                 "%.3f + %.3f a unit (%d points, worst error %.3f)",
-                base(),
-                perUnit(),
+                intercept(),
+                slope(),
                 points.size(),
-                worstError());
+                maxError());
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Load.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OpenLoopLoad.java
@@ -14,22 +14,22 @@
  *
  * <p>Safe for use by many threads.
  */
-final class Load {
-    private static final long HIGHEST_MICROS = 60_000_000;
-    private static final int DIGITS = 3;
+final class OpenLoopLoad {
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
+    private static final int HISTOGRAM_DIGITS = 3;
     private static final int MAX_OUTSTANDING = 20_000;
 
-    private final Histogram urgentWhole = new SynchronizedHistogram(HIGHEST_MICROS, DIGITS);
-    private final Histogram normalWhole = new SynchronizedHistogram(HIGHEST_MICROS, DIGITS);
-    private final LongAdder urgentAsked = new LongAdder();
-    private final LongAdder normalAsked = new LongAdder();
+    private final Histogram urgentComplete = new SynchronizedHistogram(MAX_LATENCY_MICROS, HISTOGRAM_DIGITS);
+    private final Histogram normalComplete = new SynchronizedHistogram(MAX_LATENCY_MICROS, HISTOGRAM_DIGITS);
+    private final LongAdder urgentSent = new LongAdder();
+    private final LongAdder normalSent = new LongAdder();
     private final LongAdder partial = new LongAdder();
     private final LongAdder refused = new LongAdder();
 
     /** Runs a load to its end and returns what was seen. */
-    static Load run(Target target, double perSecond, Duration duration, double urgentShare, long seed)
+    static OpenLoopLoad run(Target target, double perSecond, Duration duration, double urgentShare, long seed)
             throws InterruptedException {
-        Load load = new Load();
+        OpenLoopLoad load = new OpenLoopLoad();
         SplittableRandom random = new SplittableRandom(seed);
         Semaphore outstanding = new Semaphore(MAX_OUTSTANDING);
         long startNanos = System.nanoTime();
@@ -41,9 +41,9 @@
                 LockSupport.parkNanos(Math.min(200_000, sendAtNanos - System.nanoTime()));
             }
             boolean urgent = random.nextDouble() < urgentShare;
-            (urgent ? load.urgentAsked : load.normalAsked).increment();
+            (urgent ? load.urgentSent : load.normalSent).increment();
             outstanding.acquire();
-            target.ask(urgent, outcome -> {
+            target.send(urgent, outcome -> {
                 load.record(urgent, outcome, System.nanoTime() - sendAtNanos);
                 outstanding.release();
             });
@@ -52,47 +52,53 @@
         return load;
     }
 
-    double millis(double percentile) {
-        Histogram all = urgentWhole.copy();
-        all.add(normalWhole);
+    double latencyMillis(double percentile) {
+        Histogram all = urgentComplete.copy();
+        all.add(normalComplete);
         return all.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    long asked() {
-        return urgentAsked.sum() + normalAsked.sum();
+    long sent() {
+        return urgentSent.sum() + normalSent.sum();
     }
 
-    long whole() {
-        return urgentWhole.getTotalCount() + normalWhole.getTotalCount();
+    long completeCount() {
+        return urgentComplete.getTotalCount() + normalComplete.getTotalCount();
     }
 
-    long notWhole() {
+    long incompleteCount() {
         return partial.sum() + refused.sum();
     }
 
-    double urgentWholeShare() {
-        return urgentAsked.sum() == 0 ? 1 : (double) urgentWhole.getTotalCount() / urgentAsked.sum();
+    double urgentCompleteShare() {
+        return urgentSent.sum() == 0 ? 1 : (double) urgentComplete.getTotalCount() / urgentSent.sum();
     }
 
-    double normalWholeShare() {
-        return normalAsked.sum() == 0 ? 1 : (double) normalWhole.getTotalCount() / normalAsked.sum();
+    double normalCompleteShare() {
+        return normalSent.sum() == 0 ? 1 : (double) normalComplete.getTotalCount() / normalSent.sum();
     }
 
     /** Adds a row of percentiles to a report. */
     void describe(Report report, String name) {
         report.line(
                 "%-26s asked %6d whole %6d  p50 %8.2f  p90 %8.2f  p99 %8.2f  p99.9 %8.2f ms",
-                name, asked(), whole(), millis(50), millis(90), millis(99), millis(99.9));
+                name,
+                sent(),
+                completeCount(),
+                latencyMillis(50),
+                latencyMillis(90),
+                latencyMillis(99),
+                latencyMillis(99.9));
         for (double percentile : new double[] {10, 25, 50, 75, 90, 95, 99, 99.9}) {
-            report.point(name, percentile, millis(percentile));
+            report.point(name, percentile, latencyMillis(percentile));
         }
     }
 
     private void record(boolean urgent, Target.Outcome outcome, long tookNanos) {
         switch (outcome) {
-            case WHOLE ->
-                (urgent ? urgentWhole : normalWhole)
-                        .recordValue(Math.min(HIGHEST_MICROS, Math.max(1, tookNanos / 1_000)));
+            case COMPLETE ->
+                (urgent ? urgentComplete : normalComplete)
+                        .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(1, tookNanos / 1_000)));
             case PARTIAL -> partial.increment();
             default -> refused.increment();
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverheadBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverheadBench.java
@@ -8,7 +8,7 @@
 /** What the tier adds to a query over asking the shards directly, and its CPU for each leaf call. */
 final class OverheadBench implements Bench {
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(10, 30);
-    private static final double PER_SECOND = 40;
+    private static final double QUERIES_PER_SECOND = 40;
     private static final Duration WARM_UP = Duration.ofSeconds(6);
     private static final Duration DURATION = Duration.ofSeconds(8);
     private static final int DEADLINE_MILLIS = 1_000;
@@ -28,31 +28,31 @@
         report.line(
                 "overhead: 4 hosts, %.0f queries/s, service time 4 ms; direct is the naive version, which waits for the"
                         + " slowest shard; CPU includes client and stand-ins in both, seed %d",
-                PER_SECOND, seed);
+                QUERIES_PER_SECOND, seed);
         for (int shards : SHARDS) {
             try (BenchSystem system = BenchSystem.start(4, shards, 2, 4_000, DEADLINE_MILLIS, seed);
                     Target tier = new TierTarget(system);
-                    Target naive = new NaiveTarget(system, Duration.ofMillis(DEADLINE_MILLIS))) {
-                Load.run(naive, PER_SECOND, WARM_UP, 0.5, seed);
-                Load.run(tier, PER_SECOND, WARM_UP, 0.5, seed);
-                long idleNanos = cpuOfIdle();
+                    Target naive = new BaselineTarget(system, Duration.ofMillis(DEADLINE_MILLIS))) {
+                OpenLoopLoad.run(naive, QUERIES_PER_SECOND, WARM_UP, 0.5, seed);
+                OpenLoopLoad.run(tier, QUERIES_PER_SECOND, WARM_UP, 0.5, seed);
+                long idleNanos = idleCpuNanos();
                 long startNanos = cpuNanos();
-                Load direct = Load.run(naive, PER_SECOND, DURATION, 0.5, seed);
+                OpenLoopLoad direct = OpenLoopLoad.run(naive, QUERIES_PER_SECOND, DURATION, 0.5, seed);
                 long betweenNanos = cpuNanos();
-                Load through = Load.run(tier, PER_SECOND, DURATION, 0.5, seed);
+                OpenLoopLoad viaTier = OpenLoopLoad.run(tier, QUERIES_PER_SECOND, DURATION, 0.5, seed);
                 long endNanos = cpuNanos();
                 direct.describe(report, "direct, " + shards + " shards");
-                through.describe(report, "tier, " + shards + " shards");
+                viaTier.describe(report, "tier, " + shards + " shards");
                 double directMicros =
-                        (betweenNanos - startNanos - idleNanos) / 1_000.0 / (direct.asked() * (double) shards);
+                        (betweenNanos - startNanos - idleNanos) / 1_000.0 / (direct.sent() * (double) shards);
                 double tierMicros =
-                        (endNanos - betweenNanos - idleNanos) / 1_000.0 / (through.asked() * (double) shards);
+                        (endNanos - betweenNanos - idleNanos) / 1_000.0 / (viaTier.sent() * (double) shards);
                 report.line(
                         "%d shards: the tier adds %.2f ms at p50, %.2f ms at p99, %.0f us CPU a leaf call"
                                 + " (tier %.0f, direct %.0f)",
                         shards,
-                        through.millis(50) - direct.millis(50),
-                        through.millis(99) - direct.millis(99),
+                        viaTier.latencyMillis(50) - direct.latencyMillis(50),
+                        viaTier.latencyMillis(99) - direct.latencyMillis(99),
                         tierMicros - directMicros,
                         tierMicros,
                         directMicros);
@@ -61,7 +61,7 @@
         return true;
     }
 
-    private static long cpuOfIdle() throws InterruptedException {
+    private static long idleCpuNanos() throws InterruptedException {
         long startNanos = cpuNanos();
         Thread.sleep(DURATION.toMillis());
         return cpuNanos() - startNanos;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathBench.java
@@ -6,13 +6,13 @@
 /** What a call to a leaf costs on the path of a routed query, by the number of shards. */
 final class PathBench implements Bench {
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(20, 90, 225);
-    private static final int CALLS = 20_000;
+    private static final int CALLS_PER_ROUND = 20_000;
     private static final int ROUNDS = 3;
     /**
      * What a call may allocate, stand-in leaf included: 8,340 bytes were measured at 225 shards, the same in every
      * round. A step over all shards with each answer shows here at once.
      */
-    static final int MOST_BYTES = 9_500;
+    static final int MAX_BYTES_PER_CALL = 9_500;
 
     @Override
     public String name() {
@@ -26,19 +26,20 @@
 
     @Override
     public boolean run(Report report, long seed) throws IOException, InterruptedException {
-        PathCost.measure(SHARDS.get(0), CALLS / SHARDS.get(0));
-        double atMostShards = 0;
+        PathCost.measure(SHARDS.get(0), CALLS_PER_ROUND / SHARDS.get(0));
+        double bytesAtMostShards = 0;
         for (int shards : SHARDS) {
             for (int round = 0; round < ROUNDS; round++) {
-                PathCost cost = PathCost.measure(shards, CALLS / shards);
+                PathCost cost = PathCost.measure(shards, CALLS_PER_ROUND / shards);
                 report.line(
                         "%3d shards, %6d calls: %6.1f us of processor time, %7.0f bytes a leaf call",
                         shards, cost.calls(), cost.cpuMicros(), cost.allocatedBytes());
                 report.point("cpu", shards, cost.cpuMicros());
                 report.point("bytes", shards, cost.allocatedBytes());
-                atMostShards = cost.allocatedBytes();
+                bytesAtMostShards = cost.allocatedBytes();
             }
         }
-        return report.figure("bytes a leaf call at the most shards", atMostShards, "B", MOST_BYTES, true);
+        return report.checkBound(
+                "bytes a leaf call at the most shards", bytesAtMostShards, "B", MAX_BYTES_PER_CALL, true);
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathCost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathCost.java
@@ -21,9 +21,9 @@
  */
 public record PathCost(int calls, double cpuMicros, double allocatedBytes) {
     private static final String LOOPBACK = "127.0.0.1";
-    private static final Duration LIMIT = Duration.ofMinutes(2);
-    private static final double NANOS_A_MICRO = 1_000;
-    private static final CallHeaders NAMES = new CallHeaders(
+    private static final Duration TIMEOUT = Duration.ofMinutes(2);
+    private static final double NANOS_PER_MICRO = 1_000;
+    private static final CallHeaders HEADERS = new CallHeaders(
             "Request-Id",
             "Deadline",
             "Expected-Leaf",
@@ -49,19 +49,19 @@
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
             WarmUp run = new WarmUp(
-                    NAMES,
+                    HEADERS,
                     group,
                     LOOPBACK,
                     firstPort,
                     MonotonicClock.system(),
-                    new WarmUp.Size(shards, queries, LIMIT));
+                    new WarmUp.Size(shards, queries, TIMEOUT));
             long cpuNanos = cpuNanos();
             long bytes = bytesAllocatedSoFar();
             run.run();
             int calls = Math.max(1, run.leafCalls());
             return new PathCost(
                     run.leafCalls(),
-                    (cpuNanos() - cpuNanos) / NANOS_A_MICRO / calls,
+                    (cpuNanos() - cpuNanos) / NANOS_PER_MICRO / calls,
                     (double) (bytesAllocatedSoFar() - bytes) / calls);
         } finally {
             group.shutdownGracefully().await();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
@@ -12,11 +12,11 @@
     private static final int SHARDS = 30;
     private static final int SERVICE_MICROS = 4_000;
     private static final int DEADLINE_MILLIS = 1_000;
-    private static final double PER_SECOND = 60;
-    private static final Duration CALM = Duration.ofSeconds(15);
-    private static final Duration OUTAGE = Duration.ofSeconds(10);
-    private static final Duration SLICE = Duration.ofSeconds(5);
-    private static final int CONNECTIONS = 25;
+    private static final double QUERIES_PER_SECOND = 60;
+    private static final Duration CALM_DURATION = Duration.ofSeconds(15);
+    private static final Duration OUTAGE_DURATION = Duration.ofSeconds(10);
+    private static final Duration RECOVERY_SLICE = Duration.ofSeconds(5);
+    private static final int MAX_CONNECTIONS = 25;
 
     @Override
     public String name() {
@@ -32,45 +32,51 @@
     public boolean run(Report report, long seed) throws IOException, InterruptedException {
         report.line(
                 "recovery: 4 hosts, %d shards of 2 replicas with 2 slots, %.0f queries/s, seed %d",
-                SHARDS, PER_SECOND, seed);
+                SHARDS, QUERIES_PER_SECOND, seed);
         try (BenchSystem system = BenchSystem.start(4, SHARDS, 2, SERVICE_MICROS, DEADLINE_MILLIS, seed);
                 Target tier = new TierTarget(system)) {
-            Load.run(tier, PER_SECOND, CALM, 0.5, seed);
-            Load calm = Load.run(tier, PER_SECOND, CALM, 0.5, seed);
+            OpenLoopLoad.run(tier, QUERIES_PER_SECOND, CALM_DURATION, 0.5, seed);
+            OpenLoopLoad calm = OpenLoopLoad.run(tier, QUERIES_PER_SECOND, CALM_DURATION, 0.5, seed);
             List<StandInUpstream> lost = system.fleet().matching("bench/search/").stream()
                     .filter(upstream -> upstream.upstream().name().upstream().endsWith("b"))
                     .toList();
-            Map<QueryCounter, Long> counted = system.counts();
+            Map<QueryCounter, Long> countsBefore = system.counterTotals();
             long connectionsBefore = system.fleet().connectionsOpened();
             lost.forEach(upstream -> upstream.setBehaviour(upstream.behaviour().withDown(true)));
-            Load outage = Load.run(tier, PER_SECOND, OUTAGE, 0.5, seed);
+            OpenLoopLoad outage = OpenLoopLoad.run(tier, QUERIES_PER_SECOND, OUTAGE_DURATION, 0.5, seed);
             lost.forEach(upstream -> upstream.setBehaviour(upstream.behaviour().withDown(false)));
-            Load first = Load.run(tier, PER_SECOND, SLICE, 0.5, seed);
-            Load second = Load.run(tier, PER_SECOND, SLICE, 0.5, seed + 1);
-            system.describeSince(counted, report);
+            OpenLoopLoad first = OpenLoopLoad.run(tier, QUERIES_PER_SECOND, RECOVERY_SLICE, 0.5, seed);
+            OpenLoopLoad second = OpenLoopLoad.run(tier, QUERIES_PER_SECOND, RECOVERY_SLICE, 0.5, seed + 1);
+            system.reportCountersSince(countsBefore, report);
             calm.describe(report, "calm");
             outage.describe(report, "half lost");
             first.describe(report, "first 5 s after return");
             second.describe(report, "next 5 s");
-            Map<QueryCounter, Long> now = system.counts();
-            double extra = since(now, counted, QueryCounter.HEDGE) + since(now, counted, QueryCounter.RETRY);
-            double amplification = 1 + extra / since(now, counted, QueryCounter.FIRST_ATTEMPT);
+            Map<QueryCounter, Long> now = system.counterTotals();
+            double extra =
+                    increase(now, countsBefore, QueryCounter.HEDGE) + increase(now, countsBefore, QueryCounter.RETRY);
+            double amplification = 1 + extra / increase(now, countsBefore, QueryCounter.FIRST_ATTEMPT);
             long opened = system.fleet().connectionsOpened() - connectionsBefore;
             report.line("connections opened in the outage and after: %d to %d upstreams", opened, lost.size());
-            boolean load = report.figure("leaf requests / first attempts", amplification, "", 1.1, true);
-            boolean tail = report.figure(
-                    "p99 from 5 s after the return / calm p99", second.millis(99) / calm.millis(99), "", 1.25, true);
-            boolean limit = report.figure(
+            boolean amplificationWithin =
+                    report.checkBound("leaf requests / first attempts", amplification, "", 1.1, true);
+            boolean latencyWithin = report.checkBound(
+                    "p99 from 5 s after the return / calm p99",
+                    second.latencyMillis(99) / calm.latencyMillis(99),
+                    "",
+                    1.25,
+                    true);
+            boolean connectionsWithin = report.checkBound(
                     "most connections open at any replica",
                     system.fleet().mostConnections("bench/search/"),
                     "",
-                    CONNECTIONS,
+                    MAX_CONNECTIONS,
                     true);
-            return load && tail && limit;
+            return amplificationWithin && latencyWithin && connectionsWithin;
         }
     }
 
-    private static double since(Map<QueryCounter, Long> now, Map<QueryCounter, Long> before, QueryCounter counter) {
+    private static double increase(Map<QueryCounter, Long> now, Map<QueryCounter, Long> before, QueryCounter counter) {
         return now.getOrDefault(counter, 0L) - before.getOrDefault(counter, 0L);
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Report.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Report.java
@@ -33,7 +33,7 @@
     }
 
     /** Adds a figure with its bound, and says whether it is within. */
-    public boolean figure(String what, double value, String unit, double bound, boolean atMost) {
+    public boolean checkBound(String what, double value, String unit, double bound, boolean atMost) {
         boolean within = atMost ? value <= bound : value >= bound;
         line(
                 "%-58s %10.3f %-4s %s %.3f: %s",
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartBench.java
@@ -20,10 +20,10 @@
     static final String STEP = "step";
 
     private static final int ROUNDS = 3;
-    private static final Duration LIMIT = Duration.ofSeconds(30);
-    private static final Path DEPLOYED = Path.of("platform/target/bramblerack-platform.jar");
+    private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(30);
+    private static final Path PLATFORM_JAR = Path.of("platform/target/bramblerack-platform.jar");
     private static final ImmutableList<String> EVENTS = ImmutableList.of("settings_read", "warmed_up", "started");
-    private static final ImmutableList<String> FLAGS = ImmutableList.of(
+    private static final ImmutableList<String> JVM_FLAGS = ImmutableList.of(
             "-Xmx160m",
             "-Xss256k",
             "-XX:+UseSerialGC",
@@ -53,26 +53,27 @@
     public boolean run(Report report, long seed) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("start");
         for (int round = 0; round < ROUNDS; round++) {
-            if (Files.exists(DEPLOYED)) {
-                deployedRole(report, folder);
+            if (Files.exists(PLATFORM_JAR)) {
+                measureDeployedRole(report, folder);
             } else {
                 report.line(
-                        "%s is not built: run the build line of deploy/system.toml for the deployed role", DEPLOYED);
+                        "%s is not built: run the build line of deploy/system.toml for the deployed role",
+                        PLATFORM_JAR);
             }
-            leafCalls(report);
+            measureLeafCalls(report);
         }
         return true;
     }
 
     /** Starts the entry role by the words of the deploy file; no control host answers it. */
-    private static void deployedRole(Report report, Path folder) throws IOException, InterruptedException {
+    private static void measureDeployedRole(Report report, Path folder) throws IOException, InterruptedException {
         int firstPort = FreePorts.next();
         Path settings = folder.resolve("settings.json");
         Files.writeString(settings, SETTINGS.formatted(firstPort, firstPort, firstPort + 6, firstPort + 7));
         List<String> command = new ArrayList<>(deployedCommand());
         command.add(1, "-Dbramblerack.settings=" + settings);
         ProcessBuilder builder = new ProcessBuilder(command);
-        follow(builder, EVENTS.get(EVENTS.size() - 1), (process, line) -> {
+        readOutput(builder, EVENTS.get(EVENTS.size() - 1), (process, line) -> {
             for (String event : EVENTS) {
                 if (line.contains("\"event\":\"" + event + "\"")) {
                     report.line("entry role, %-14s %6d ms of processor time", event, cpuMillis(process.toHandle()));
@@ -92,12 +93,12 @@
         throw new IOException("deploy/system.toml has no run line in [roles.entry]; add one");
     }
 
-    private static void leafCalls(Report report) throws IOException, InterruptedException {
+    private static void measureLeafCalls(Report report) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), StartProbe.class.getName()));
-        follow(new ProcessBuilder(command), "", (process, line) -> {
+        readOutput(new ProcessBuilder(command), "", (process, line) -> {
             List<String> words = Splitter.on(' ').splitToList(line);
             if (words.get(0).equals(STEP)) {
                 report.line("%5s leaf calls from cold code %6s ms of processor time", words.get(1), words.get(2));
@@ -107,19 +108,19 @@
     }
 
     /** Tells of each line that a process prints, until one contains the last word or the process ends. */
-    private static void follow(ProcessBuilder builder, String lastWord, LineTaker taker)
+    private static void readOutput(ProcessBuilder builder, String lastEvent, LineHandler handler)
             throws IOException, InterruptedException {
         Process process = builder.redirectErrorStream(true).start();
         try (BufferedReader lines = process.inputReader()) {
             String line = lines.readLine();
             while (line != null) {
-                taker.take(process, line);
-                boolean last = !lastWord.isEmpty() && line.contains("\"event\":\"" + lastWord + "\"");
+                handler.take(process, line);
+                boolean last = !lastEvent.isEmpty() && line.contains("\"event\":\"" + lastEvent + "\"");
                 line = last ? null : lines.readLine();
             }
         } finally {
             process.destroy();
-            if (!process.waitFor(LIMIT.toSeconds(), TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         }
@@ -130,7 +131,7 @@
         return process.info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
 
-    private interface LineTaker {
+    private interface LineHandler {
         void take(Process process, String line);
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Target.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Target.java
@@ -7,7 +7,7 @@
     /** What came of a query. */
     enum Outcome {
         /** Whole and in time. */
-        WHOLE,
+        COMPLETE,
         /** Answered without some shard. */
         PARTIAL,
         /** Refused, or not answered in time. */
@@ -15,7 +15,7 @@
     }
 
     /** Asks a query; the outcome is given once. */
-    void ask(boolean urgent, Consumer<Outcome> done);
+    void send(boolean urgent, Consumer<Outcome> done);
 
     @Override
     void close();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/TierTarget.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/TierTarget.java
@@ -9,18 +9,18 @@
 /** The tier, asked over HTTP through its hosts in turn. */
 final class TierTarget implements Target {
     private static final long TIMEOUT_MILLIS = 10_000;
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
 
     private final BenchSystem system;
-    private final AtomicLong next = new AtomicLong();
+    private final AtomicLong queryCounter = new AtomicLong();
 
     TierTarget(BenchSystem system) {
         this.system = system;
     }
 
     @Override
-    public void ask(boolean urgent, Consumer<Outcome> done) {
-        long number = next.incrementAndGet();
+    public void send(boolean urgent, Consumer<Outcome> done) {
+        long number = queryCounter.incrementAndGet();
         int host = (int) (number % system.hosts().size());
         JsonObject body = new JsonObject()
                 .put("requestId", "q" + number)
@@ -40,11 +40,11 @@
     }
 
     private static Outcome outcomeOf(HttpResponse<Buffer> response) {
-        if (response.statusCode() != OK) {
+        if (response.statusCode() != HTTP_OK) {
             return Outcome.REFUSED;
         }
         JsonObject coverage = response.bodyAsJsonObject().getJsonObject("coverage");
         boolean whole = coverage.getInteger("covered").equals(coverage.getInteger("shards"));
-        return whole ? Outcome.WHOLE : Outcome.PARTIAL;
+        return whole ? Outcome.COMPLETE : Outcome.PARTIAL;
     }
 }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/PathCostTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/PathCostTest.java
@@ -17,6 +17,6 @@
         PathCost.measure(SHARDS, 10);
         PathCost cost = PathCost.measure(SHARDS, QUERIES);
         assertThat(cost.calls()).isAtLeast(SHARDS * QUERIES / 2);
-        assertThat(cost.allocatedBytes()).isLessThan((double) PathBench.MOST_BYTES);
+        assertThat(cost.allocatedBytes()).isLessThan((double) PathBench.MAX_BYTES_PER_CALL);
     }
 }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
@@ -16,52 +16,52 @@
 
 /** Whole systems on loopback under cuts, kills and planned stops. Conditions are awaited; nothing is timed. */
 final class SystemFaultTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     /** Hosts h1 and h3 stand in the second zone; the voters are h0, h1 and h2. */
-    private final Set<String> cutOff = ConcurrentHashMap.newKeySet();
+    private final Set<String> partitionedHosts = ConcurrentHashMap.newKeySet();
 
     @Test
     void aPlannedStopCutsOffNothingInFlight() throws Exception {
         try (BenchSystem system = BenchSystem.start(2, 4, 2, 400_000, 5_000, 1)) {
-            CompletableFuture<HttpResponse<Buffer>> query = ask(system, 0, "in-flight");
-            CompletableFuture<HttpResponse<Buffer>> operation = operate(system, 0, "in-flight");
+            CompletableFuture<HttpResponse<Buffer>> query = sendQuery(system, 0, "in-flight");
+            CompletableFuture<HttpResponse<Buffer>> operation = sendOperation(system, 0, "in-flight");
             await(() -> system.fleet().ledger().calls() >= 5);
-            system.hosts().get(0).stop(Duration.ZERO, PATIENCE);
+            system.hosts().get(0).stop(Duration.ZERO, TIMEOUT);
             assertThat(coverage(query.get())).isEqualTo("4/4");
             assertThat(operation.get().bodyAsJsonObject().getString("outcome")).isEqualTo("ran");
             system.hosts().remove(0);
-            await(() -> "4/4".equals(coverage(ask(system, 0, "after").join())));
+            await(() -> "4/4".equals(coverage(sendQuery(system, 0, "after").join())));
         }
     }
 
     @Test
     void aCutZoneServesWhatItReachesAndRefusesWhatNeedsAQuorum() throws Exception {
-        try (BenchSystem system = BenchSystem.start(4, 4, 2, 2_000, 2_000, 1, this::linksOf)) {
-            cutOff.addAll(Set.of("h1", "h3"));
-            await(() -> refusal(operate(system, 3, "cut").join()).equals("no-quorum"));
-            await(() -> "4/4".equals(coverage(ask(system, 3, "cut").join())));
-            await(() -> "4/4".equals(coverage(ask(system, 0, "cut").join())));
-            await(() -> operate(system, 0, "other-side").join().statusCode() == 200);
-            JsonObject refused = system.apply(3, "cut", 1, system.text());
+        try (BenchSystem system = BenchSystem.start(4, 4, 2, 2_000, 2_000, 1, this::linkPolicyOf)) {
+            partitionedHosts.addAll(Set.of("h1", "h3"));
+            await(() -> refusal(sendOperation(system, 3, "cut").join()).equals("no-quorum"));
+            await(() -> "4/4".equals(coverage(sendQuery(system, 3, "cut").join())));
+            await(() -> "4/4".equals(coverage(sendQuery(system, 0, "cut").join())));
+            await(() -> sendOperation(system, 0, "other-side").join().statusCode() == 200);
+            JsonObject refused = system.apply(3, "cut", 1, system.declarationText());
             assertThat(refused.getJsonObject("refusal").getString("ran")).isEqualTo("not-run");
             assertThat(system.fleet().ledger().runsOf("cut")).isEqualTo(0);
-            cutOff.clear();
-            await(() -> operate(system, 3, "cut").join().statusCode() == 200);
+            partitionedHosts.clear();
+            await(() -> sendOperation(system, 3, "cut").join().statusCode() == 200);
             assertThat(system.fleet().ledger().runsOf("cut")).isEqualTo(1);
         }
     }
 
     @Test
     void aHostThatStartsWhileCutOffTakesTheRevisionOfItsZone() throws Exception {
-        try (BenchSystem system = BenchSystem.start(4, 4, 2, 2_000, 2_000, 1, this::linksOf)) {
-            cutOff.addAll(Set.of("h1", "h3"));
-            system.apply(0, "unheard", 1, system.text());
+        try (BenchSystem system = BenchSystem.start(4, 4, 2, 2_000, 2_000, 1, this::linkPolicyOf)) {
+            partitionedHosts.addAll(Set.of("h1", "h3"));
+            system.apply(0, "unheard", 1, system.declarationText());
             system.kill(3);
             system.startHost(3);
             await(() -> system.hosts().get(3).revision() == 1);
-            await(() -> "4/4".equals(coverage(ask(system, 3, "zone").join())));
-            cutOff.clear();
+            await(() -> "4/4".equals(coverage(sendQuery(system, 3, "zone").join())));
+            partitionedHosts.clear();
             await(() -> system.hosts().get(3).revision() == 2);
         }
     }
@@ -69,14 +69,14 @@
     @Test
     void aResendThroughEveryHostRunsOnceWhileTheLeaderIsKilled() throws Exception {
         try (BenchSystem system = BenchSystem.start(4, 2, 2, 50_000, 2_000, 1)) {
-            CompletableFuture<HttpResponse<Buffer>> first = operate(system, 3, "once");
+            CompletableFuture<HttpResponse<Buffer>> first = sendOperation(system, 3, "once");
             await(() -> system.fleet().ledger().runsOf("once") == 1);
             int leader = Integer.parseInt(system.status(3).getString("leader").substring(1));
             system.kill(leader);
             first.join();
             int last = system.hosts().size() - 1;
-            await(() -> isSettled(operate(system, last, "once").join()));
-            await(() -> isSettled(operate(system, 0, "once").join()));
+            await(() -> isSettled(sendOperation(system, last, "once").join()));
+            await(() -> isSettled(sendOperation(system, 0, "once").join()));
             assertThat(system.fleet().ledger().runsOf("once")).isEqualTo(1);
         }
     }
@@ -86,11 +86,11 @@
         return response.statusCode() == 200 || refusal(response).equals("outcome-unknown");
     }
 
-    private LinkPolicy linksOf(String self) {
+    private LinkPolicy linkPolicyOf(String self) {
         return new LinkPolicy() {
             @Override
             public boolean isPartitioned(String host) {
-                return cutOff.contains(self) != cutOff.contains(host);
+                return partitionedHosts.contains(self) != partitionedHosts.contains(host);
             }
 
             @Override
@@ -100,7 +100,7 @@
         };
     }
 
-    private static CompletableFuture<HttpResponse<Buffer>> ask(BenchSystem system, int host, String requestId) {
+    private static CompletableFuture<HttpResponse<Buffer>> sendQuery(BenchSystem system, int host, String requestId) {
         JsonObject body = new JsonObject()
                 .put("requestId", requestId)
                 .put("class", "urgent")
@@ -108,7 +108,8 @@
         return post(system, host, "/v1/query/bench/search", body);
     }
 
-    private static CompletableFuture<HttpResponse<Buffer>> operate(BenchSystem system, int host, String requestId) {
+    private static CompletableFuture<HttpResponse<Buffer>> sendOperation(
+            BenchSystem system, int host, String requestId) {
         JsonObject body = new JsonObject().put("requestId", requestId).put("arguments", 1);
         return post(system, host, "/v1/operation/bench/pool/run", body);
     }
@@ -137,7 +138,7 @@
         while (!condition.getAsBoolean()) {
             assertWithMessage("waited in vain")
                     .that(System.nanoTime() - startNanos)
-                    .isLessThan(PATIENCE.toNanos());
+                    .isLessThan(TIMEOUT.toNanos());
             Thread.sleep(20);
         }
     }
