--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BaselineTarget.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BaselineTarget.java
@@ -17,8 +17,9 @@
 import org.bramblerack.version.Upstream;
 
 /**
- * The naive version: asks the first replica of every shard, waits for all, and on failure asks the other in turn until
- * the deadline. It knows no priority, queue, budget or hedge, and connects to every upstream itself.
+ * A baseline without the tier: calls the first replica of every shard, waits for all replies, and after a failure
+ * retries the other replicas in turn until the deadline. It has no priorities, queues, retry budget or hedging, and
+ * connects to every upstream itself.
  */
 final class BaselineTarget implements Target {
     private static final int MAX_CONNECTIONS = 25;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
@@ -33,9 +33,9 @@
 import org.bramblerack.version.DeclarationReader;
 
 /**
- * A small system in this process: hosts, stand-in upstreams, and a client, on loopback.
+ * A small system that runs in this process on loopback: hosts, stand-in upstreams and an HTTP client.
  *
- * <p>Safe for use by many threads once it is started. Close it after use.
+ * <p>Safe for use by many threads once started. {@link #close} stops the hosts and deletes their files.
  */
 final class BenchSystem implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -68,7 +68,10 @@
                 vertx, new WebClientOptions().setMaxPoolSize(2_000).setKeepAliveTimeout(30));
     }
 
-    /** Starts hosts, stand-ins and the configuration, and waits until queries are whole. */
+    /**
+     * Starts stand-ins and hosts, applies the declaration, and waits until every host knows an upstream for every
+     * shard.
+     */
     static BenchSystem start(int hosts, int shards, int slots, int serviceMicros, int deadlineMillis, long seed)
             throws IOException, InterruptedException {
         return start(hosts, shards, slots, serviceMicros, deadlineMillis, seed, host -> LinkPolicy.OPEN);
@@ -100,7 +103,7 @@
         return system;
     }
 
-    /** Writes the platform's list, with one leaving address if it is not empty. */
+    /** Replaces the platform's list of hosts by one with the leaving address, or by an empty list if that is empty. */
     void writePlatformList(String leavingAddress) throws IOException {
         String entry =
                 leavingAddress.isEmpty() ? "" : "{\"address\": \"" + leavingAddress + "\", \"state\": \"leaving\"}";
@@ -137,7 +140,7 @@
         return HostAndPort.fromParts("127.0.0.1", hosts.get(host).callerPort());
     }
 
-    /** Sends a declaration and returns the reply. */
+    /** Sends a declaration to a host and returns the reply's body. */
     JsonObject apply(int host, String changeId, long expected, String declarationText) {
         HttpResponse<Buffer> response = client.put(
                         address(host).getPort(), address(host).getHost(), "/v1/declaration/" + Topology.PARTNER)
@@ -158,7 +161,7 @@
                 .bodyAsJsonObject();
     }
 
-    /** Returns how often the hosts counted each thing on the query path. */
+    /** Returns the sum of each query counter over all running hosts. */
     Map<QueryCounter, Long> counterTotals() {
         Map<QueryCounter, Long> counts = new EnumMap<>(QueryCounter.class);
         for (QueryCounter counter : QueryCounter.values()) {
@@ -170,7 +173,7 @@
         return counts;
     }
 
-    /** Adds a line with what was counted since earlier counts. */
+    /** Adds a line to the report with the increase of each query counter since an earlier reading. */
     void reportCountersSince(Map<QueryCounter, Long> before, Report report) {
         StringBuilder text = new StringBuilder("counted:");
         counterTotals().forEach((counter, count) -> {
@@ -182,7 +185,7 @@
         report.line("%s", text);
     }
 
-    /** Waits until every live host has a revision in force, by what each says of itself. */
+    /** Waits until every running host has at least the given revision in force. */
     void awaitInForce(long revision) throws InterruptedException {
         long startNanos = System.nanoTime();
         while (System.nanoTime() - startNanos < TIMEOUT.toNanos()) {
@@ -195,20 +198,20 @@
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
         }
-        throw new IllegalStateException("revision " + revision + " did not come into force");
+        throw new IllegalStateException("revision " + revision + " did not come into force on every host in time");
     }
 
     void awaitLeader() throws InterruptedException {
         long startNanos = System.nanoTime();
         while (!status(hosts.size() - 1).getBoolean("quorum", false)) {
             if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
-                throw new IllegalStateException("no leader was elected");
+                throw new IllegalStateException("no control leader was elected in time");
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
-    /** Ends a host without warning, and forgets it. */
+    /** Stops a host abruptly, as a crash does, and removes it from {@link #hosts}. */
     void kill(int host) {
         hosts.remove(host).kill();
     }
@@ -224,7 +227,7 @@
                 Files.delete(file);
             }
         } catch (IOException left) {
-            throw new IllegalStateException("cannot clean up " + folder + "; delete it", left);
+            throw new IllegalStateException("cannot delete " + folder + "; delete it by hand", left);
         }
     }
 
@@ -235,7 +238,7 @@
         }
     }
 
-    /** Starts a host, again if it was killed before. */
+    /** Starts a host, or restarts one that was killed, and inserts it into {@link #hosts} at its index. */
     void startHost(int host) throws IOException, InterruptedException {
         HostProcess process =
                 new HostProcess(SettingsReader.read(topology.settings(host)).get(), linkPolicies.apply("h" + host));
@@ -249,7 +252,8 @@
             long startNanos = System.nanoTime();
             while (shardsServed(host) < shards) {
                 if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
-                    throw new IllegalStateException("host " + host + " does not know every shard");
+                    throw new IllegalStateException(
+                            "host " + host + " did not learn an upstream for every shard in time");
                 }
                 Thread.sleep(POLL_INTERVAL.toMillis());
             }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Benches.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Benches.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** All benchmarks. */
+/** The benchmarks that the {@code bench} subcommand offers. */
 public final class Benches {
     private static final ImmutableList<Bench> ALL = ImmutableList.of(
             new StragglersBench(),
@@ -20,7 +20,6 @@
 
     private Benches() {}
 
-    /** Returns all benchmarks. */
     public static ImmutableList<Bench> all() {
         return ALL;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CapacityBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CapacityBench.java
@@ -1,6 +1,6 @@
 package org.bramblerack.cli.bench;
 
-/** Prints the tables of the capacity page from the measured slopes. */
+/** Prints the tables of {@code docs/CAPACITY.md} that {@link CapacityModel} computes. */
 final class CapacityBench implements Bench {
     @Override
     public String name() {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CapacityModel.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CapacityModel.java
@@ -4,10 +4,9 @@
 import java.util.Locale;
 
 /**
- * Works out, from measured slopes, what each role costs at the planned size.
+ * Computes the load and cost of each role at the planned fleet size from the unit costs in {@link MeasuredSlopes}.
  *
- * <p>The slopes are those of {@link MeasuredSlopes}; the sizes are the users'. Immutable and safe for use by many
- * threads.
+ * <p>Stateless and safe for use by many threads.
  */
 public final class CapacityModel {
     private static final double NODES = 1_700;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ChangesBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ChangesBench.java
@@ -6,7 +6,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Changes of the configuration: accepted, in force on seven hosts, with the leader killed, and a restart after many.
+ * Measures configuration changes: the time until one is accepted and until it is in force on all hosts, the same while
+ * the leader is killed, and the restart of a voter whose log holds many changes.
  */
 final class ChangesBench implements Bench {
     private static final int HOSTS = 7;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
@@ -14,7 +14,7 @@
 import org.bramblerack.wire.Command;
 import org.bramblerack.wire.CommandResult;
 
-/** Claims of once-only requests: how many a second, and what one adds at two delays between hosts. */
+/** Measures the rate and latency of claims for once-only requests at several network delays between hosts. */
 final class ClaimsBench implements Bench {
     private static final Duration DURATION = Duration.ofSeconds(8);
     private static final int CONCURRENT_CLAIMS = 256;
@@ -96,7 +96,7 @@
                 .build();
     }
 
-    /** Holds every message to another host back for a time. Replies are not held back: the delay counts one way. */
+    /** Delays every request to another host. Replies are not delayed, so a round trip takes one delay. */
     private record DelayedLinks(Duration oneWay) implements LinkPolicy {
         @Override
         public boolean isPartitioned(String host) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CostBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/CostBench.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.bramblerack.daemon.host.HostProcess;
 
-/** What control costs a host when nothing happens and while the configuration changes. */
+/** Measures the traffic and CPU time of membership and control on an idle host, by number of hosts and upstreams. */
 final class CostBench implements Bench {
     private static final ImmutableList<Integer> HOSTS = ImmutableList.of(4, 7, 10, 13);
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(10, 20, 40);
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DecisionsBench.java
@@ -22,7 +22,7 @@
 import org.bramblerack.version.UpstreamLimits;
 import org.bramblerack.version.UpstreamName;
 
-/** The decisions of a query alone, without any input or output: time and allocation for each leaf event. */
+/** Measures the time and allocation of {@link Query} for each leaf event, without any I/O. */
 final class DecisionsBench implements Bench {
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(20, 30, 160);
     private static final ServiceName SERVICE = new ServiceName("bench", "search");
@@ -78,7 +78,7 @@
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
-    /** A service with all its replicas known. */
+    /** A service with two replicas of each shard that all serve the same index version. */
     private static final class ServiceFixture {
         private final int shards;
         private final ServiceTables tables;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DrainBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/DrainBench.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.bramblerack.standin.StandInUpstream;
 
-/** How soon an upstream that is leaving gets no new work, from each of the three signals. */
+/** Measures the time until a leaving upstream receives no new calls, for each of the three drain signals. */
 final class DrainBench implements Bench {
     private static final int SHARDS = 10;
     private static final double QUERIES_PER_SECOND = 150;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Returns the milliseconds from the signal to the last new call that the upstream got. */
+    /** Returns the milliseconds from the signal to the last new call that the upstream received. */
     private static double measure(Target tier, StandInUpstream upstream, long seed, DrainSignal signal)
             throws IOException, InterruptedException {
         AtomicBoolean running = new AtomicBoolean(true);
@@ -106,7 +106,7 @@
         return (lastNanos - signalNanos) / 1e6;
     }
 
-    /** Says that the upstream is leaving. */
+    /** Announces by one of the three signals that an upstream is leaving. */
     @FunctionalInterface
     private interface DrainSignal {
         void give() throws IOException;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Finds ports of loopback that nothing listens on.
+ * Finds loopback ports that nothing listens on.
  *
- * <p>They lie below 15,000, so below every common range from which systems give ports to outgoing connections, so that
- * none is taken between its choice and its use. Safe for use by many threads.
+ * <p>All are below 15,000, under the usual ranges of ephemeral ports, so that no outgoing connection takes a port
+ * before its use. Safe for use by many threads.
  */
 public final class FreePorts {
     private static final int FIRST_PORT = 2_000;
@@ -33,7 +33,7 @@
             }
         }
         throw new IOException("no port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1)
-                + " is free; stop other programs");
+                + " is free; stop programs that listen on these ports");
     }
 
     private static boolean isFree(int port) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/LinearFit.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/LinearFit.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A straight line through measured points by least squares. Not safe for use by several threads. */
+/** A least-squares line through data points. Not safe for use by several threads. */
 final class LinearFit {
     private final List<double[]> points = new ArrayList<>();
 
@@ -12,7 +12,7 @@
         points.add(new double[] {position, value});
     }
 
-    /** Returns by how much the value grows with each unit of position. */
+    /** Returns the slope, or 0 if all points have the same position. */
     double slope() {
         double meanX = points.stream().mapToDouble(point -> point[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(point -> point[1]).average().orElse(0);
@@ -25,14 +25,13 @@
         return variance == 0 ? 0 : covariance / variance;
     }
 
-    /** Returns the value at position 0. */
     double intercept() {
         double meanX = points.stream().mapToDouble(point -> point[0]).average().orElse(0);
         double meanY = points.stream().mapToDouble(point -> point[1]).average().orElse(0);
         return meanY - slope() * meanX;
     }
 
-    /** Returns the largest distance of a point from the line. */
+    /** Returns the largest absolute residual, or 0 if there are no points. */
     double maxError() {
         return points.stream()
                 .mapToDouble(point -> Math.abs(point[1] - intercept() - slope() * point[0]))
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/MeasuredSlopes.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/MeasuredSlopes.java
@@ -1,27 +1,22 @@
 package org.bramblerack.cli.bench;
 
-/**
- * The slopes that {@link CapacityModel} works with, as measured by the benchmarks named, on 8 cores, seed 1, on
- * 2026-12-02.
- */
+/** Unit costs that {@link CapacityModel} extrapolates from; each names the benchmark that prints it. */
 final class MeasuredSlopes {
-    /**
-     * Nanoseconds of a query's decisions for each leaf event: the worst round of {@code bench decisions}, 160 shards.
-     */
+    /** Nanoseconds of a query's state machine for each leaf event: {@code bench decisions}, 160 shards. */
     static final double DECISION_NANOS = 277;
 
     /**
-     * Microseconds of CPU that the tier adds to a leaf call, both hosts together: {@code bench overhead}, 30 shards.
+     * CPU microseconds that the tier adds to a leaf call, on both hosts together: {@code bench overhead}, 30 shards.
      */
     static final double TIER_CPU_MICROS_PER_CALL = 366;
 
-    /** Claims a second of one log of three voters, 256 at a time: {@code bench claims}, no delay. */
+    /** Claims a second on one log of three voters, 256 concurrent: {@code bench claims}, no delay. */
     static final double CLAIMS_PER_SECOND = 18_361;
 
-    /** Bytes a second that an idle host sends for control, whatever the number of hosts: {@code bench cost}. */
+    /** Control bytes a second that an idle host sends independently of the number of hosts: {@code bench cost}. */
     static final double CONTROL_BYTES_BASE = 64.35;
 
-    /** Bytes a second that it sends for each other host: {@code bench cost}, 4 points. */
+    /** Control bytes a second that an idle host sends for each host of the fleet: {@code bench cost}. */
     static final double CONTROL_BYTES_PER_HOST = 54.82;
 
     private MeasuredSlopes() {}
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OpenLoopLoad.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OpenLoopLoad.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * An open load: queries are sent at the times of a Poisson process, whether earlier ones were answered or not, and
- * latency counts from the time at which a query was due.
+ * An open-loop load and its results: queries are sent at the times of a Poisson process, whether or not earlier ones
+ * were answered, and latency counts from the time at which a query was due.
  *
  * <p>Safe for use by many threads.
  */
@@ -26,7 +26,7 @@
     private final LongAdder partial = new LongAdder();
     private final LongAdder refused = new LongAdder();
 
-    /** Runs a load to its end and returns what was seen. */
+    /** Sends queries for the given duration, waits for all outcomes, and returns the results. */
     static OpenLoopLoad run(Target target, double perSecond, Duration duration, double urgentShare, long seed)
             throws InterruptedException {
         OpenLoopLoad load = new OpenLoopLoad();
@@ -78,7 +78,7 @@
         return normalSent.sum() == 0 ? 1 : (double) normalComplete.getTotalCount() / normalSent.sum();
     }
 
-    /** Adds a row of percentiles to a report. */
+    /** Adds a line with counts and latency percentiles, and the points of the latency distribution, to a report. */
     void describe(Report report, String name) {
         report.line(
                 "%-26s asked %6d whole %6d  p50 %8.2f  p90 %8.2f  p99 %8.2f  p99.9 %8.2f ms",
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverheadBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverheadBench.java
@@ -5,7 +5,7 @@
 import java.lang.management.ManagementFactory;
 import java.time.Duration;
 
-/** What the tier adds to a query over asking the shards directly, and its CPU for each leaf call. */
+/** Measures the latency and CPU time that the tier adds compared with calling the shards directly. */
 final class OverheadBench implements Bench {
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(10, 30);
     private static final double QUERIES_PER_SECOND = 40;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverloadBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/OverloadBench.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.time.Duration;
 
-/** Twice the load that the upstreams can carry. */
+/** Measures goodput, the urgent class and wasted work at loads of up to twice the upstreams' capacity. */
 final class OverloadBench implements Bench {
     private static final int SHARDS = 10;
     private static final int SERVICE_MICROS = 20_000;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathBench.java
@@ -3,14 +3,14 @@
 import com.google.common.collect.ImmutableList;
 import java.io.IOException;
 
-/** What a call to a leaf costs on the path of a routed query, by the number of shards. */
+/** Measures the CPU time and allocation of a leaf call of a routed query, by number of shards. */
 final class PathBench implements Bench {
     private static final ImmutableList<Integer> SHARDS = ImmutableList.of(20, 90, 225);
     private static final int CALLS_PER_ROUND = 20_000;
     private static final int ROUNDS = 3;
     /**
-     * What a call may allocate, stand-in leaf included: 8,340 bytes were measured at 225 shards, the same in every
-     * round. A step over all shards with each answer shows here at once.
+     * The bound on the bytes allocated for a leaf call, stand-in leaf included. Code that visits all shards on each
+     * reply exceeds it.
      */
     static final int MAX_BYTES_PER_CALL = 9_500;
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathCost.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/PathCost.java
@@ -11,13 +11,13 @@
 import org.bramblerack.process.MonotonicClock;
 
 /**
- * What one call to a leaf costs on the path of a routed query, stand-in leafs and callers in the same process included.
+ * The cost of a leaf call of a routed query, including stand-in leaves and callers, which run in the same process.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param calls how many calls were made
- * @param cpuMicros the processor time of the process for each, in microseconds
- * @param allocatedBytes what was allocated for each
+ * @param calls the number of leaf calls made
+ * @param cpuMicros the CPU time of the process for each call, in microseconds
+ * @param allocatedBytes the bytes allocated on the heap for each call
  */
 public record PathCost(int calls, double cpuMicros, double allocatedBytes) {
     private static final String LOOPBACK = "127.0.0.1";
@@ -37,10 +37,10 @@
             "Team");
 
     /**
-     * Serves queries one after the other and measures.
+     * Serves queries one after the other and returns the cost of their leaf calls.
      *
      * @throws IOException if no port is free
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public static PathCost measure(int shards, int queries) throws IOException, InterruptedException {
         int firstPort = FreePorts.next();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
@@ -7,7 +7,9 @@
 import org.bramblerack.request.QueryCounter;
 import org.bramblerack.standin.StandInUpstream;
 
-/** Half of the replicas are lost for ten seconds and come back. */
+/**
+ * Measures load amplification and tail latency while half of the replicas are down for 10 s, and after their return.
+ */
 final class RecoveryBench implements Bench {
     private static final int SHARDS = 30;
     private static final int SERVICE_MICROS = 4_000;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartBench.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The processor time of a start: of the entry role as it is deployed, from exec to settings read and to warm, and of a
- * process with the same flags from its first leaf call on, stand-in leafs and callers included.
+ * Measures the CPU time of a start: of the entry role as deployed, from exec until it is warmed up, and of a process
+ * with the same JVM flags over its first leaf calls, including stand-in leaves and callers.
  */
 final class StartBench implements Bench {
-    /** Begins the lines that the child process prints for this one. */
+    /** The first word of each result line that {@link StartProbe} prints. */
     static final String STEP = "step";
 
     private static final int ROUNDS = 3;
@@ -65,7 +65,7 @@
         return true;
     }
 
-    /** Starts the entry role by the words of the deploy file; no control host answers it. */
+    /** Runs the entry role by the command line of {@code deploy/system.toml}, without any control host. */
     private static void measureDeployedRole(Report report, Path folder) throws IOException, InterruptedException {
         int firstPort = FreePorts.next();
         Path settings = folder.resolve("settings.json");
@@ -107,7 +107,7 @@
         });
     }
 
-    /** Tells of each line that a process prints, until one contains the last word or the process ends. */
+    /** Passes each output line of a process to the handler, until the last event is logged or the process ends. */
     private static void readOutput(ProcessBuilder builder, String lastEvent, LineHandler handler)
             throws IOException, InterruptedException {
         Process process = builder.redirectErrorStream(true).start();
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Returns the processor time that a process has used, in steps of the kernel's clock, often 10 ms. */
+    /** Returns the CPU time that a process has used, at the resolution of the kernel's accounting (often 10 ms). */
     static long cpuMillis(ProcessHandle process) {
         return process.info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartProbe.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StartProbe.java
@@ -3,15 +3,15 @@
 import com.google.common.collect.ImmutableList;
 import java.io.IOException;
 
-/** The child process of {@link StartBench}: serves queries from cold code on and prints what that took. */
+/** The child process of {@link StartBench}: serves queries from a cold JVM and prints the CPU time used. */
 public final class StartProbe {
     private static final int SHARDS = 45;
-    /** The queries of each step: the first answer, then up to the 400th and the 4,000th leaf call. */
+    /** The number of queries of each step. */
     private static final ImmutableList<Integer> QUERIES = ImmutableList.of(1, 10, 100);
 
     private StartProbe() {}
 
-    /** Prints a line with the number of leaf calls and the processor time in milliseconds for each step. */
+    /** Prints for each step the total of leaf calls so far and the CPU time used so far in milliseconds. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         int calls = 0;
         for (int queries : QUERIES) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StragglersBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/StragglersBench.java
@@ -6,7 +6,7 @@
 import org.bramblerack.request.QueryCounter;
 import org.bramblerack.standin.StandInUpstream;
 
-/** One in a hundred leaf replies takes 20 times as long. */
+/** Measures tail latency and extra load when 1% of leaf replies take 20 times as long. */
 final class StragglersBench implements Bench {
     private static final int SHARDS = 30;
     private static final int SERVICE_MICROS = 4_000;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Target.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Target.java
@@ -2,19 +2,21 @@
 
 import java.util.function.Consumer;
 
-/** What a load is sent to. Implementations must be safe for use by many threads. */
+/**
+ * A system that answers the queries of an {@link OpenLoopLoad}. Implementations must be safe for use by many threads.
+ */
 interface Target extends AutoCloseable {
-    /** What came of a query. */
+    /** The outcome of a query. */
     enum Outcome {
-        /** Whole and in time. */
+        /** Answered in time from every shard. */
         COMPLETE,
-        /** Answered without some shard. */
+        /** Answered in time, with at least one shard missing. */
         PARTIAL,
-        /** Refused, or not answered in time. */
+        /** Refused, failed, or not answered in time. */
         REFUSED
     }
 
-    /** Asks a query; the outcome is given once. */
+    /** Sends a query and calls {@code done} once with its outcome. */
     void send(boolean urgent, Consumer<Outcome> done);
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/TierTarget.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/TierTarget.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** The tier, asked over HTTP through its hosts in turn. */
+/** Sends queries to the tier over HTTP, through its hosts in turn. */
 final class TierTarget implements Target {
     private static final long TIMEOUT_MILLIS = 10_000;
     private static final int HTTP_OK = 200;
@@ -36,7 +36,7 @@
 
     @Override
     public void close() {
-        // The system is closed by its owner.
+        // The owner of the system closes it.
     }
 
     private static Outcome outcomeOf(HttpResponse<Buffer> response) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Topology.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/Topology.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * The texts of the settings and of the declaration of a benchmark's small system.
+ * Generates the host settings and the declaration of a {@link BenchSystem}.
  *
  * <p>Immutable and safe for use by many threads.
  */
@@ -36,7 +36,7 @@
         return new Topology(hosts, zones, voters, folder);
     }
 
-    /** Returns the file of the platform's list. */
+    /** Returns the path of the platform's list of hosts. */
     Path platformFile() {
         return folder.resolve("platform.json");
     }
@@ -74,7 +74,7 @@
         return text.append("] }").toString();
     }
 
-    /** Returns a declaration of one sharded service of two replicas and one pool of three upstreams. */
+    /** Returns a declaration of a sharded service with two replicas of each shard and a pool of three upstreams. */
     String declaration(int shards, int slots, int deadlineMillis) throws IOException {
         List<Integer> ports = freePorts(2 * shards + 3);
         StringBuilder text = new StringBuilder("{ \"formatVersion\": 1, \"partner\": \"bench\", \"services\": [");
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/package-info.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Benchmarks: each prints what it ran under, a table, and writes the table to a file. None of them is a test. */
+/** Benchmarks of the {@code bench} subcommand, which print their results and write them to files. */
 @NullMarked
 package org.bramblerack.cli.bench;
 
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/PathCostTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/PathCostTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the path of a query allocates for each of its 225 shards, the count of which does not depend on the machine's
- * speed: a look at every shard with each answer, which was made once, allocated 11,790 bytes a call.
+ * Guards against work proportional to the number of shards on each leaf reply, by the bytes allocated for a leaf call,
+ * which don't depend on the machine's speed.
  */
 final class PathCostTest {
     private static final int SHARDS = 225;
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
@@ -14,11 +14,11 @@
 import org.bramblerack.daemon.peer.LinkPolicy;
 import org.junit.jupiter.api.Test;
 
-/** Whole systems on loopback under cuts, kills and planned stops. Conditions are awaited; nothing is timed. */
+/** Runs systems on loopback through network partitions, killed hosts and planned stops; asserts no latencies. */
 final class SystemFaultTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
-    /** Hosts h1 and h3 stand in the second zone; the voters are h0, h1 and h2. */
+    /** Hosts on the minority side of a partition. The second zone has h1 and h3; the voters are h0, h1 and h2. */
     private final Set<String> partitionedHosts = ConcurrentHashMap.newKeySet();
 
     @Test
@@ -81,7 +81,7 @@
         }
     }
 
-    /** If the killed host held the upstream's connections, its reply is lost and the outcome is truthfully unknown. */
+    /** Returns whether the outcome is final; it is unknown if the killed host held the connection to the upstream. */
     private static boolean isSettled(HttpResponse<Buffer> response) {
         return response.statusCode() == 200 || refusal(response).equals("outcome-unknown");
     }
@@ -136,7 +136,7 @@
     private static void await(BooleanSupplier condition) throws InterruptedException {
         long startNanos = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            assertWithMessage("waited in vain")
+            assertWithMessage("condition not met in time")
                     .that(System.nanoTime() - startNanos)
                     .isLessThan(TIMEOUT.toNanos());
             Thread.sleep(20);
