--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
@@ -70,7 +70,7 @@
                     true);
             boolean connectionsWithin = report.checkBound(
                     "most connections open at any replica",
-                    system.fleet().mostConnections("bench/search/"),
+                    system.fleet().maxConnections("bench/search/"),
                     "",
                     MAX_CONNECTIONS,
                     true);
