--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
@@ -18,7 +18,7 @@
 
 /** Applies a partner's declaration as a whole and waits until it is in force. */
 final class ApplyCommand implements Command {
-    private static final Duration ASK_EVERY = Duration.ofMillis(200);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
     private static final String DEFAULT_WAIT_MILLIS = "15000";
 
     @Override
@@ -53,18 +53,18 @@
         String partner = line.getOptionValue("partner");
         String credential =
                 TextFiles.read(Path.of(line.getOptionValue("credential-file"))).strip();
-        String file = Arguments.only(line, "DECLARATION");
+        String file = Arguments.singleArgument(line, "DECLARATION");
         String text = TextFiles.read(Path.of(file));
         Duration wait = Arguments.millis(line, "wait-ms", DEFAULT_WAIT_MILLIS);
         String changeId = line.getOptionValue("change-id", UUID.randomUUID().toString());
         try (ApiClient client = new ApiClient()) {
             String expected = line.getOptionValue("expect");
             if (expected == null) {
-                ApiClient.Reply present = client.get(host, "/v1/declaration/" + partner);
-                if (!present.isOk()) {
-                    return refused(file, present, out);
+                ApiClient.Reply current = client.get(host, "/v1/declaration/" + partner);
+                if (!current.isOk()) {
+                    return printRefusal(file, current, out);
                 }
-                expected = present.json().getLong("revision").toString();
+                expected = current.json().getLong("revision").toString();
             }
             out.println("change " + changeId + " on revision " + expected);
             Map<String, String> headers = Map.of(
@@ -76,7 +76,7 @@
                     expected);
             ApiClient.Reply reply = client.put(host, "/v1/declaration/" + partner, headers, text);
             if (!reply.isOk()) {
-                return refused(file, reply, out);
+                return printRefusal(file, reply, out);
             }
             long revision = reply.json().getLong("revision");
             out.println("accepted as revision " + revision);
@@ -87,28 +87,28 @@
     private static ExitCode awaitInForce(
             ApiClient client, HostAndPort host, long revision, Duration wait, PrintStream out)
             throws IOException, InterruptedException {
-        long giveUpNanos = System.nanoTime() + wait.toNanos();
+        long deadlineNanos = System.nanoTime() + wait.toNanos();
         while (true) {
             JsonArray hosts = client.get(host, "/v1/status").json().getJsonArray("hosts", new JsonArray());
-            List<String> behind = new ArrayList<>();
+            List<String> lagging = new ArrayList<>();
             for (int position = 0; position < hosts.size(); position++) {
-                JsonObject each = hosts.getJsonObject(position);
-                if (each.getLong("revision") < revision) {
-                    behind.add(each.getString("name"));
+                JsonObject hostStatus = hosts.getJsonObject(position);
+                if (hostStatus.getLong("revision") < revision) {
+                    lagging.add(hostStatus.getString("name"));
                 }
             }
-            boolean done = behind.isEmpty() && !hosts.isEmpty();
-            if (done || System.nanoTime() - giveUpNanos >= 0) {
-                int inForce = hosts.size() - behind.size();
+            boolean done = lagging.isEmpty() && !hosts.isEmpty();
+            if (done || System.nanoTime() - deadlineNanos >= 0) {
+                int inForce = hosts.size() - lagging.size();
                 out.println("in force on " + inForce + " of " + hosts.size() + " hosts"
-                        + (done ? "" : ", not yet confirmed by " + String.join(", ", behind)));
+                        + (done ? "" : ", not yet confirmed by " + String.join(", ", lagging)));
                 return done ? ExitCode.OK : ExitCode.REFUSED;
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
-    private static ExitCode refused(String file, ApiClient.Reply reply, PrintStream out) {
+    private static ExitCode printRefusal(String file, ApiClient.Reply reply, PrintStream out) {
         JsonArray faults = reply.json().getJsonArray("faults", new JsonArray());
         for (int position = 0; position < faults.size(); position++) {
             JsonObject fault = faults.getJsonObject(position);
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
@@ -10,12 +10,12 @@
 final class Arguments {
     private Arguments() {}
 
-    static Duration millis(CommandLine line, String option, String fallback) throws ParseException {
-        return Duration.ofMillis(number(line, option, fallback));
+    static Duration millis(CommandLine line, String option, String defaultValue) throws ParseException {
+        return Duration.ofMillis(nonNegativeLong(line, option, defaultValue));
     }
 
-    static long number(CommandLine line, String option, String fallback) throws ParseException {
-        String text = line.getOptionValue(option, fallback);
+    static long nonNegativeLong(CommandLine line, String option, String defaultValue) throws ParseException {
+        String text = line.getOptionValue(option, defaultValue);
         Long value = Longs.tryParse(text);
         if (value == null || value < 0) {
             throw new ParseException("--" + option + " " + text + " is not a whole number of at least 0");
@@ -36,9 +36,9 @@
         throw new ParseException("--" + option + " " + text + " is not an address such as 127.0.0.1:8101");
     }
 
-    static String only(CommandLine line, String what) throws ParseException {
+    static String singleArgument(CommandLine line, String argumentName) throws ParseException {
         if (line.getArgList().size() != 1) {
-            throw new ParseException("give one " + what);
+            throw new ParseException("give one " + argumentName);
         }
         return line.getArgList().get(0);
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/BenchCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/BenchCommand.java
@@ -43,15 +43,15 @@
             Benches.all().forEach(bench -> out.printf("%-12s %s%n", bench.name(), bench.summary()));
             return ExitCode.OK;
         }
-        String name = Arguments.only(line, "NAME");
+        String name = Arguments.singleArgument(line, "NAME");
         Optional<Bench> bench =
                 Benches.all().stream().filter(each -> each.name().equals(name)).findFirst();
         if (bench.isEmpty()) {
             throw new ParseException("there is no benchmark " + name + "; ./bramblerack bench lists them");
         }
         Report report = new Report(out);
-        boolean within = bench.get().run(report, Arguments.number(line, "seed", DEFAULT_SEED));
+        boolean withinBounds = bench.get().run(report, Arguments.nonNegativeLong(line, "seed", DEFAULT_SEED));
         report.write(Path.of(line.getOptionValue("results", "bench-results")), name);
-        return within ? ExitCode.OK : ExitCode.REFUSED;
+        return withinBounds ? ExitCode.OK : ExitCode.REFUSED;
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
@@ -37,29 +37,29 @@
 
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException {
-        String name = Arguments.only(line, "FILE");
+        String name = Arguments.singleArgument(line, "FILE");
         String text = TextFiles.read(Path.of(name));
         boolean isSettings = isSettings(text);
-        Either<ImmutableList<ValidationError>, String> checked = isSettings
+        Either<ImmutableList<ValidationError>, String> result = isSettings
                 ? SettingsReader.read(text).map(settings -> "settings of host " + settings.host())
                 : DeclarationReader.read(text)
                         .map(declaration -> "declaration of " + declaration.partner() + " with "
                                 + declaration.services().size() + " services");
-        if (checked.isLeft()) {
-            Faults.print(name, checked.getLeft(), out);
+        if (result.isLeft()) {
+            ValidationErrors.print(name, result.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        out.println(name + ": no faults, " + checked.get());
+        out.println(name + ": no faults, " + result.get());
         return ExitCode.OK;
     }
 
     /** A file that names a host or roles is meant as settings; anything else as a declaration. */
     private static boolean isSettings(String text) {
-        boolean[] found = new boolean[1];
+        boolean[] settingsFound = new boolean[1];
         var unused = DocumentReader.read(text, fields -> {
-            found[0] = fields.has("host") || fields.has("roles");
-            return found;
+            settingsFound[0] = fields.has("host") || fields.has("roles");
+            return settingsFound;
         });
-        return found[0];
+        return settingsFound[0];
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
@@ -47,26 +47,27 @@
         List<String> processes = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (String partner : PARTNERS) {
-            String control = "127.0.0.1:" + FreePorts.next();
+            String controlAddress = "127.0.0.1:" + FreePorts.next();
             Path declaration = folder.resolve(partner + ".json");
             TextFiles.write(declaration, withFreePorts(TextFiles.read(examples.resolve(partner + ".json"))));
             TextFiles.write(folder.resolve(partner + ".credential"), credential(partner) + "\n");
-            processes.add("stand-in-" + partner + " stand-in --declaration " + declaration + " --control " + control);
-            addresses.add("stand-in-" + partner + " " + control);
+            processes.add(
+                    "stand-in-" + partner + " stand-in --declaration " + declaration + " --control " + controlAddress);
+            addresses.add("stand-in-" + partner + " " + controlAddress);
         }
         Map<String, Integer> peerPorts = new HashMap<>();
         for (PlannedHost host : HOSTS) {
             peerPorts.put(host.name(), FreePorts.next());
         }
         for (PlannedHost host : HOSTS) {
-            String caller = "127.0.0.1:" + FreePorts.next();
+            String callerAddress = "127.0.0.1:" + FreePorts.next();
             Path settings = folder.resolve(host.name() + ".json");
-            TextFiles.write(settings, settings(host, caller, peerPorts));
+            TextFiles.write(settings, settings(host, callerAddress, peerPorts));
             if (host.control()) {
                 new FileLogStore(dataFolder(host).resolve("control")).initialize();
             }
             processes.add(host.name() + " serve --lag-ms 500 --settings " + settings);
-            addresses.add(host.name() + " " + caller);
+            addresses.add(host.name() + " " + callerAddress);
         }
         TextFiles.write(folder.resolve("processes"), String.join("\n", processes) + "\n");
         TextFiles.write(folder.resolve("addresses"), String.join("\n", addresses) + "\n");
@@ -76,7 +77,7 @@
         return "demonstration-credential-of-" + partner;
     }
 
-    private String settings(PlannedHost host, String caller, Map<String, Integer> peerPorts) {
+    private String settings(PlannedHost host, String callerAddress, Map<String, Integer> peerPorts) {
         StringBuilder text = new StringBuilder();
         text.append("// Settings of ").append(host.name()).append(" in the demonstration.\n{\n");
         text.append("  \"formatVersion\": 1,\n");
@@ -86,7 +87,7 @@
         text.append("  \"roles\": [\"entry\"")
                 .append(host.control() ? ", \"control\"" : "")
                 .append("],\n");
-        text.append("  \"callerAddress\": \"").append(caller).append("\",\n");
+        text.append("  \"callerAddress\": \"").append(callerAddress).append("\",\n");
         text.append("  \"peerAddress\": \"127.0.0.1:")
                 .append(peerPorts.get(host.name()))
                 .append("\",\n");
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
@@ -15,8 +15,8 @@
     private static final String FRAUD = "sagarmatha/dispute-fraud";
     private static final String CATALOGUE = "spinifex/catalogue";
     private static final String WALLET = "sagarmatha/wallet";
-    private static final int QUERIES = 40;
-    private static final int WARM_UP_QUERIES = 200;
+    private static final int QUERY_COUNT = 40;
+    private static final int WARM_UP_QUERY_COUNT = 200;
     private static final long DRAIN_MILLIS = 2_000;
 
     @Override
@@ -63,101 +63,116 @@
     }
 
     private static void awaitHosts(Demonstration demo) throws InterruptedException {
-        demo.title("Seven hosts in six availability zones, three of them control hosts, and both partners' upstreams");
-        long tookMillis = demo.await(() -> isQuorate(demo, "sag-4") && isQuorate(demo, "spx-3"));
+        demo.printTitle(
+                "Seven hosts in six availability zones, three of them control hosts, and both partners' upstreams");
+        long tookMillis = demo.await(() -> hasQuorum(demo, "sag-4") && hasQuorum(demo, "spx-3"));
         demo.check(tookMillis >= 0, "the control hosts elected a leader");
     }
 
     private static void applyDeclarations(Demonstration demo) throws IOException, InterruptedException {
-        demo.title("Operators apply their declarations, each through another host");
-        String good = TextFiles.read(demo.folder().resolve("sagarmatha.json"));
-        ApiClient.Reply broken =
-                demo.apply("sag-1", "sagarmatha", "demo-0", 0, good.replace("\"slots\": 2", "\"slot\": 2"));
-        JsonArray faults = broken.json().getJsonArray("faults", new JsonArray());
+        demo.printTitle("Operators apply their declarations, each through another host");
+        String declaration = TextFiles.read(demo.folder().resolve("sagarmatha.json"));
+        ApiClient.Reply invalid =
+                demo.apply("sag-1", "sagarmatha", "demo-0", 0, declaration.replace("\"slots\": 2", "\"slot\": 2"));
+        JsonArray faults = invalid.json().getJsonArray("faults", new JsonArray());
         for (int position = 0; position < Math.min(2, faults.size()); position++) {
             JsonObject fault = faults.getJsonObject(position);
-            demo.show("line " + fault.getInteger("line") + ", " + fault.getString("field") + ": "
+            demo.printDetail("line " + fault.getInteger("line") + ", " + fault.getString("field") + ": "
                     + fault.getString("problem") + "; " + fault.getString("remedy"));
         }
         demo.check(
-                broken.refusal().equals("invalid-declaration"), "a broken copy is refused with every fault and line");
-        String other = TextFiles.read(demo.folder().resolve("spinifex.json"));
-        long first = demo.apply("sag-2", "sagarmatha", "demo-1", 0, good).json().getLong("revision", -1L);
-        long second = demo.apply("spx-2", "spinifex", "demo-2", 0, other).json().getLong("revision", -1L);
-        demo.check(first > 0 && second > first, "both are accepted, as revisions " + first + " and " + second);
-        long again = demo.apply("spx-1", "sagarmatha", "demo-1", 0, good).json().getLong("revision", -1L);
-        demo.check(again == first, "a resend of the first change through another host gives its first result");
-        ApiClient.Reply late = demo.apply("sag-1", "sagarmatha", "demo-3", 0, good);
-        demo.check(late.refusal().equals("revision-conflict"), "an operator who raced on the old revision is told so");
-        long tookMillis = demo.await(() -> revisionOf(demo) >= second);
-        demo.check(tookMillis >= 0, "revision " + second + " is in force on all 7 hosts after " + tookMillis + " ms");
+                invalid.refusal().equals("invalid-declaration"), "a broken copy is refused with every fault and line");
+        String otherDeclaration = TextFiles.read(demo.folder().resolve("spinifex.json"));
+        long firstRevision = demo.apply("sag-2", "sagarmatha", "demo-1", 0, declaration)
+                .json()
+                .getLong("revision", -1L);
+        long secondRevision = demo.apply("spx-2", "spinifex", "demo-2", 0, otherDeclaration)
+                .json()
+                .getLong("revision", -1L);
+        demo.check(
+                firstRevision > 0 && secondRevision > firstRevision,
+                "both are accepted, as revisions " + firstRevision + " and " + secondRevision);
+        long resentRevision = demo.apply("spx-1", "sagarmatha", "demo-1", 0, declaration)
+                .json()
+                .getLong("revision", -1L);
+        demo.check(
+                resentRevision == firstRevision,
+                "a resend of the first change through another host gives its first result");
+        ApiClient.Reply conflicting = demo.apply("sag-1", "sagarmatha", "demo-3", 0, declaration);
+        demo.check(
+                conflicting.refusal().equals("revision-conflict"),
+                "an operator who raced on the old revision is told so");
+        long tookMillis = demo.await(() -> leastRevision(demo) >= secondRevision);
+        demo.check(
+                tookMillis >= 0,
+                "revision " + secondRevision + " is in force on all 7 hosts after " + tookMillis + " ms");
     }
 
     private static void wholeQuery(Demonstration demo) throws IOException, InterruptedException {
-        demo.title("A query goes to every shard and comes back whole, from one index version");
-        demo.await(() -> isWhole(ask(demo, "spx-3", FRAUD, "dispute-history")));
-        for (int number = 0; number < QUERIES; number++) {
+        demo.printTitle("A query goes to every shard and comes back whole, from one index version");
+        demo.await(() -> isWhole(queryUnchecked(demo, "spx-3", FRAUD, "dispute-history")));
+        for (int number = 0; number < QUERY_COUNT; number++) {
             demo.query("sag-1", FRAUD, "dispute-history", "demo-warm-first-" + number);
             demo.query("sag-4", CATALOGUE, "collector", "demo-warm-other-" + number);
         }
         ApiClient.Reply reply = demo.query("sag-1", FRAUD, "fraud-screening", "demo-query-1");
-        demo.show(summary(reply));
+        demo.printDetail(summary(reply));
         demo.check(isWhole(reply) && version(reply) == 7, "fraud screening: 20 of 20 shards of index version 7");
         ApiClient.Reply other = demo.query("sag-4", CATALOGUE, "counter", "demo-query-2");
-        demo.show(summary(other));
+        demo.printDetail(summary(other));
         demo.check(isWhole(other), "the other partner's catalogue, asked through a host of the first, is whole");
     }
 
     private static void stragglingShard(Demonstration demo) throws IOException {
-        demo.title("One replica of a shard takes 300 ms instead of 3 ms");
-        for (int number = 0; number < WARM_UP_QUERIES; number++) {
+        demo.printTitle("One replica of a shard takes 300 ms instead of 3 ms");
+        for (int number = 0; number < WARM_UP_QUERY_COUNT; number++) {
             demo.query("sag-3", FRAUD, "dispute-history", "demo-warm-" + number);
         }
         JsonObject slow =
                 new JsonObject().put("upstream", FRAUD + "/dispute-04a").put("set", "straggle");
-        demo.behave("sagarmatha", slow.put("percent", 100.0).put("factor", 100));
+        demo.setBehaviour("sagarmatha", slow.put("percent", 100.0).put("factor", 100));
         long slowest = 0;
         boolean whole = true;
-        for (int number = 0; number < QUERIES; number++) {
+        for (int number = 0; number < QUERY_COUNT; number++) {
             long startNanos = System.nanoTime();
             whole &= isWhole(demo.query("sag-3", FRAUD, "dispute-history", "demo-slow-" + number));
             slowest = Math.max(slowest, (System.nanoTime() - startNanos) / 1_000_000);
         }
-        demo.check(whole, QUERIES + " queries are whole, the slowest took " + slowest + " ms");
+        demo.check(whole, QUERY_COUNT + " queries are whole, the slowest took " + slowest + " ms");
         demo.check(slowest < 200, "none waited for the straggler: its shard was asked at the other replica");
-        demo.behave("sagarmatha", slow.put("value", false));
+        demo.setBehaviour("sagarmatha", slow.put("value", false));
     }
 
     private static void lostShard(Demonstration demo) throws IOException {
-        demo.title("Both replicas of shard 3 are lost");
-        for (int number = 0; number < QUERIES; number++) {
+        demo.printTitle("Both replicas of shard 3 are lost");
+        for (int number = 0; number < QUERY_COUNT; number++) {
             demo.query("sag-2", FRAUD, "dispute-history", "demo-warm-fraud-" + number);
             demo.query("spx-1", CATALOGUE, "collector", "demo-warm-catalogue-" + number);
         }
         JsonObject lost =
                 new JsonObject().put("upstream", FRAUD + "/dispute-03").put("set", "down");
-        demo.behave("sagarmatha", lost);
+        demo.setBehaviour("sagarmatha", lost);
         ApiClient.Reply partial = demo.query("sag-2", FRAUD, "fraud-screening", "demo-lost-1");
-        demo.show(summary(partial));
+        demo.printDetail(summary(partial));
         demo.check(
                 partial.isOk() && missing(partial).equals("[3]"),
                 "fraud screening prefers time: a partial answer that names the missing shard");
-        demo.behave("sagarmatha", lost.put("value", false));
+        demo.setBehaviour("sagarmatha", lost.put("value", false));
         JsonObject other =
                 new JsonObject().put("upstream", CATALOGUE + "/catalogue-03").put("set", "down");
-        demo.behave("spinifex", other);
+        demo.setBehaviour("spinifex", other);
         ApiClient.Reply refused = demo.query("spx-1", CATALOGUE, "counter", "demo-lost-2");
-        demo.show(summary(refused));
+        demo.printDetail(summary(refused));
         demo.check(
                 refused.refusal().equals("incomplete"),
                 "the catalogue prefers coverage: a truthful refusal that says when to come back");
-        demo.behave("spinifex", other.put("value", false));
+        demo.setBehaviour("spinifex", other.put("value", false));
     }
 
     private static void onceOnly(Demonstration demo) throws IOException {
-        demo.title("A top-up that may run only once is sent through one host and resent through two others");
+        demo.printTitle("A top-up that may run only once is sent through one host and resent through two others");
         ApiClient.Reply first = demo.operation("sag-2", WALLET, "top-up", "demo-top-up");
-        demo.show(first.json().encode());
+        demo.printDetail(first.json().encode());
         ApiClient.Reply second = demo.operation("sag-4", WALLET, "top-up", "demo-top-up");
         ApiClient.Reply third = demo.operation("spx-2", WALLET, "top-up", "demo-top-up");
         boolean replayed =
@@ -171,67 +186,67 @@
     }
 
     private static void drainingUpstream(Demonstration demo) throws IOException, InterruptedException {
-        demo.title("A replica says that it is leaving");
+        demo.printTitle("A replica says that it is leaving");
         String upstream = FRAUD + "/dispute-07b";
         JsonObject drain = new JsonObject().put("upstream", upstream).put("set", "draining");
-        demo.behave("sagarmatha", drain);
+        demo.setBehaviour("sagarmatha", drain);
         Thread.sleep(DRAIN_MILLIS);
         long before = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
         boolean whole = true;
-        for (int number = 0; number < QUERIES; number++) {
+        for (int number = 0; number < QUERY_COUNT; number++) {
             String host = number % 2 == 0 ? "sag-1" : "spx-2";
             whole &= isWhole(demo.query(host, FRAUD, "dispute-history", "demo-drain-" + number));
         }
         long after = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
-        demo.check(after == before, "2 s later it gets none of " + QUERIES + " queries' work");
+        demo.check(after == before, "2 s later it gets none of " + QUERY_COUNT + " queries' work");
         demo.check(whole, "and every query is still whole");
-        demo.behave("sagarmatha", drain.put("value", false));
+        demo.setBehaviour("sagarmatha", drain.put("value", false));
     }
 
     private static void movingVersion(Demonstration demo) throws IOException, InterruptedException {
-        demo.title("The index moves from version 7 to 8 while queries run");
-        demo.version(
+        demo.printTitle("The index moves from version 7 to 8 while queries run");
+        demo.setIndexVersion(
                 "sagarmatha", new JsonObject().put("service", "dispute-fraud").put("indexVersion", 8));
         boolean mixed = false;
-        for (int number = 0; number < QUERIES; number++) {
+        for (int number = 0; number < QUERY_COUNT; number++) {
             mixed |= isMixed(demo.query("sag-1", FRAUD, "dispute-history", "demo-version-" + number));
         }
-        JsonObject drop = new JsonObject()
+        JsonObject replacement = new JsonObject()
                 .put("service", "dispute-fraud")
                 .put("indexVersion", 8)
                 .put("instead", 7);
-        demo.version("sagarmatha", drop);
-        for (int number = 0; number < QUERIES; number++) {
+        demo.setIndexVersion("sagarmatha", replacement);
+        for (int number = 0; number < QUERY_COUNT; number++) {
             mixed |= isMixed(demo.query("sag-3", FRAUD, "dispute-history", "demo-version-again-" + number));
         }
         demo.check(!mixed, "no answer mixes versions");
-        long tookMillis = demo.await(() -> version(ask(demo, "spx-1", FRAUD, "dispute-history")) == 8);
+        long tookMillis = demo.await(() -> version(queryUnchecked(demo, "spx-1", FRAUD, "dispute-history")) == 8);
         demo.check(tookMillis >= 0, "answers now reflect version 8");
     }
 
     private static void refusals(Demonstration demo) throws IOException {
-        demo.title("What cannot be done is refused with a reason, a remedy, and whether it ran");
+        demo.printTitle("What cannot be done is refused with a reason, a remedy, and whether it ran");
         ApiClient.Reply unknown = demo.query("sag-1", FRAUD, "no-such-class", "demo-refused-1");
-        demo.show(unknown.json().encode());
+        demo.printDetail(unknown.json().encode());
         demo.check(unknown.refusal().equals("unknown-class"), "an unknown class");
         ApiClient.Reply mismatch = demo.operation("sag-1", "sagarmatha/remittance", "top-up", "demo-refused-2");
         demo.check(mismatch.refusal().equals("unknown-operation"), "an operation that another service has");
-        ApiClient.Reply stranger = demo.apply("sag-1", "nobody", "demo-4", 0, "{}");
-        demo.check(stranger.refusal().equals("unauthorized"), "a change without a credential");
+        ApiClient.Reply unauthorized = demo.apply("sag-1", "nobody", "demo-4", 0, "{}");
+        demo.check(unauthorized.refusal().equals("unauthorized"), "a change without a credential");
     }
 
     private static void killedLeader(Demonstration demo) throws IOException, InterruptedException {
-        demo.title("The leading control host is killed, and the other partner changes its declaration");
+        demo.printTitle("The leading control host is killed, and the other partner changes its declaration");
         String leader = demo.get("spx-3", "/v1/status").json().getString("leader");
-        demo.show("killing " + leader);
+        demo.printDetail("killing " + leader);
         ProcessHandle.of(demo.processId(leader)).ifPresent(ProcessHandle::destroyForcibly);
         String host = leader.equals("sag-1") ? "sag-2" : "sag-4";
-        String text = TextFiles.read(demo.folder().resolve("spinifex.json"))
+        String declaration = TextFiles.read(demo.folder().resolve("spinifex.json"))
                 .replace("\"deadlineMs\": 500", "\"deadlineMs\": 550");
         long startNanos = System.nanoTime();
         long[] revision = {-1};
         demo.await(() -> {
-            revision[0] = tryApply(demo, host, text);
+            revision[0] = applyUnchecked(demo, host, declaration);
             return revision[0] > 0;
         });
         long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
@@ -241,23 +256,23 @@
         demo.check(isWhole(demo.query(host, FRAUD, "dispute-history", "demo-after-kill")), "and queries are whole");
     }
 
-    private static long tryApply(Demonstration demo, String host, String text) {
+    private static long applyUnchecked(Demonstration demo, String host, String declaration) {
         try {
-            return demo.apply(host, "spinifex", "demo-5", 2, text).json().getLong("revision", -1L);
+            return demo.apply(host, "spinifex", "demo-5", 2, declaration).json().getLong("revision", -1L);
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
     }
 
-    private static boolean isQuorate(Demonstration demo, String host) {
+    private static boolean hasQuorum(Demonstration demo, String host) {
         try {
             return demo.get(host, "/v1/status").json().getBoolean("quorum", false);
-        } catch (IOException notYet) {
+        } catch (IOException unreachable) {
             return false;
         }
     }
 
-    private static long revisionOf(Demonstration demo) {
+    private static long leastRevision(Demonstration demo) {
         try {
             return demo.leastRevision("spx-3");
         } catch (IOException failure) {
@@ -265,7 +280,8 @@
         }
     }
 
-    private static ApiClient.Reply ask(Demonstration demo, String host, String service, String requestClass) {
+    private static ApiClient.Reply queryUnchecked(
+            Demonstration demo, String host, String service, String requestClass) {
         try {
             return demo.query(host, service, requestClass, "demo-ask");
         } catch (IOException failure) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
@@ -22,10 +22,10 @@
  */
 final class Demonstration {
     /** How often a change is sent before the demonstration takes its answer as it is: an election or two long. */
-    private static final int MOST_SENDS = 5;
+    private static final int MAX_SENDS = 5;
 
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final Duration ASK_EVERY = Duration.ofMillis(100);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Path folder;
     private final ApiClient client;
@@ -47,20 +47,20 @@
         return folder;
     }
 
-    void title(String text) {
+    void printTitle(String text) {
         out.println();
         out.println(text);
     }
 
-    void show(String text) {
+    void printDetail(String text) {
         out.println("    " + text);
     }
 
     /** Records whether something held. */
-    void check(boolean held, String what) {
-        out.println((held ? "  ok    " : "  FAIL  ") + what);
+    void check(boolean held, String expectation) {
+        out.println((held ? "  ok    " : "  FAIL  ") + expectation);
         if (!held) {
-            failures.add(what);
+            failures.add(expectation);
         }
     }
 
@@ -86,28 +86,29 @@
         return client.post(address(host), "/v1/operation/" + service + "/" + operation, body);
     }
 
-    ApiClient.Reply apply(String host, String partner, String changeId, long expected, String text) throws IOException {
+    ApiClient.Reply apply(String host, String partner, String changeId, long expectedRevision, String declaration)
+            throws IOException {
         Map<String, String> headers = Map.of(
                 "Authorization",
                 "Bearer " + DemoPlan.credential(partner),
                 OperatorApi.CHANGE_ID_HEADER,
                 changeId,
                 OperatorApi.EXPECTED_REVISION_HEADER,
-                Long.toString(expected));
-        ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, text);
+                Long.toString(expectedRevision));
+        ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
         // A leader that loses its place leaves a change without a clear answer; sent again, it gets its first result.
-        for (int sent = 1; sent < MOST_SENDS && reply.refusal().equals(RefusalKind.CHANGE_UNKNOWN.code()); sent++) {
-            reply = client.put(address(host), "/v1/declaration/" + partner, headers, text);
+        for (int sends = 1; sends < MAX_SENDS && reply.refusal().equals(RefusalKind.CHANGE_UNKNOWN.code()); sends++) {
+            reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
         }
         return reply;
     }
 
     /** Sets how the stand-ins behave whose full name begins with a text. */
-    void behave(String partner, JsonObject change) throws IOException {
+    void setBehaviour(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/behaviour", change);
     }
 
-    void version(String partner, JsonObject change) throws IOException {
+    void setIndexVersion(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/version", change);
     }
 
@@ -128,11 +129,11 @@
     /** Waits until a condition holds; returns the time that took, or empty-handed a negative time. */
     long await(BooleanSupplier condition) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while (System.nanoTime() - startNanos < PATIENCE.toNanos()) {
+        while (System.nanoTime() - startNanos < AWAIT_TIMEOUT.toNanos()) {
             if (condition.getAsBoolean()) {
                 return Duration.ofNanos(System.nanoTime() - startNanos).toMillis();
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         return -1;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
@@ -17,9 +17,9 @@
 final class ExperimentCommand implements Command {
     private static final String JOBS = "jobs";
     /** More runs at a time than this would only wait for one another. */
-    private static final int MOST_JOBS = 1_024;
+    private static final int MAX_JOBS = 1_024;
 
-    private static final String FOLDER = "out";
+    private static final String OUT = "out";
 
     @Override
     public String name() {
@@ -46,7 +46,7 @@
                         .desc("runs at a time; half of the processors if left out")
                         .get())
                 .addOption(Option.builder()
-                        .longOpt(FOLDER)
+                        .longOpt(OUT)
                         .hasArg()
                         .argName("FOLDER")
                         .desc("where to write report.json, report.csv and report.html")
@@ -55,17 +55,17 @@
 
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException, InterruptedException {
-        String name = Arguments.only(line, "FILE");
-        int half = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
-        int jobs = (int) Math.max(1, Math.min(MOST_JOBS, Arguments.number(line, JOBS, Integer.toString(half))));
-        Optional<Path> folder =
-                line.hasOption(FOLDER) ? Optional.of(Path.of(line.getOptionValue(FOLDER))) : Optional.empty();
-        Either<ImmutableList<ValidationError>, Boolean> held =
+        String name = Arguments.singleArgument(line, "FILE");
+        int defaultJobs = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
+        int jobs = (int)
+                Math.max(1, Math.min(MAX_JOBS, Arguments.nonNegativeLong(line, JOBS, Integer.toString(defaultJobs))));
+        Optional<Path> folder = line.hasOption(OUT) ? Optional.of(Path.of(line.getOptionValue(OUT))) : Optional.empty();
+        Either<ImmutableList<ValidationError>, Boolean> result =
                 Experiments.run(TextFiles.read(Path.of(name)), jobs, folder, out);
-        if (held.isLeft()) {
-            Faults.print(name, held.getLeft(), out);
+        if (result.isLeft()) {
+            ValidationErrors.print(name, result.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        return held.get() ? ExitCode.OK : ExitCode.REFUSED;
+        return result.get() ? ExitCode.OK : ExitCode.REFUSED;
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
@@ -41,7 +41,7 @@
         String file = line.getOptionValue("settings");
         Either<ImmutableList<ValidationError>, Settings> settings = SettingsReader.read(TextFiles.read(Path.of(file)));
         if (settings.isLeft()) {
-            Faults.print(file, settings.getLeft(), out);
+            ValidationErrors.print(file, settings.getLeft(), out);
             return ExitCode.REFUSED;
         }
         if (!settings.get().hasRole(Role.CONTROL)) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Main.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Main.java
@@ -63,16 +63,16 @@
         try {
             CommandLine line = new DefaultParser().parse(command.options(), arguments);
             return command.run(line, out);
-        } catch (ParseException wrong) {
-            out.println(wrong.getMessage() + "; see " + PROGRAM + " " + command.name() + " --help");
+        } catch (ParseException invalid) {
+            out.println(invalid.getMessage() + "; see " + PROGRAM + " " + command.name() + " --help");
             return ExitCode.USAGE;
-        } catch (IOException unreadable) {
-            out.println("cannot go on: " + unreadable.getMessage());
+        } catch (IOException failure) {
+            out.println("cannot go on: " + failure.getMessage());
             return ExitCode.UNAVAILABLE;
-        } catch (RuntimeException fault) {
-            out.println("failed: " + fault + "; this is a fault of the program, please report it");
+        } catch (RuntimeException defect) {
+            out.println("failed: " + defect + "; this is a fault of the program, please report it");
             return ExitCode.UNAVAILABLE;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return ExitCode.UNAVAILABLE;
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/QueryCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/QueryCommand.java
@@ -65,7 +65,7 @@
     private static JsonObject body(CommandLine line, String requestId, String field) throws ParseException {
         JsonObject body = new JsonObject().put("requestId", requestId).put(field, line.getOptionValue("body", ""));
         if (line.hasOption("deadline-ms")) {
-            body.put("deadlineMs", Arguments.number(line, "deadline-ms", "0"));
+            body.put("deadlineMs", Arguments.nonNegativeLong(line, "deadline-ms", "0"));
         }
         return body;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
@@ -20,8 +20,8 @@
 
 /** Runs one host until it is asked to end. */
 final class ServeCommand implements Command {
-    private static final String DEFAULT_LAG_MILLIS = "3000";
-    private static final String DEFAULT_LIMIT_MILLIS = "30000";
+    private static final String DEFAULT_LEAVING_MILLIS = "3000";
+    private static final String DEFAULT_DRAIN_LIMIT_MILLIS = "30000";
 
     @Override
     public String name() {
@@ -49,18 +49,18 @@
 
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException, InterruptedException {
-        String log = line.getOptionValue("log", "text");
-        if (log.equals("json")) {
+        String logFormat = line.getOptionValue("log", "text");
+        if (logFormat.equals("json")) {
             LogSetup.useJson();
-        } else if (!log.equals("text")) {
-            throw new ParseException("--log " + log + " is not a form; give text or json");
+        } else if (!logFormat.equals("text")) {
+            throw new ParseException("--log " + logFormat + " is not a form; give text or json");
         }
-        Duration lag = Arguments.millis(line, "lag-ms", DEFAULT_LAG_MILLIS);
-        Duration limit = Arguments.millis(line, "limit-ms", DEFAULT_LIMIT_MILLIS);
+        Duration lag = Arguments.millis(line, "lag-ms", DEFAULT_LEAVING_MILLIS);
+        Duration limit = Arguments.millis(line, "limit-ms", DEFAULT_DRAIN_LIMIT_MILLIS);
         Path file = Path.of(line.getOptionValue("settings"));
         Either<ImmutableList<ValidationError>, Settings> settings = SettingsReader.read(TextFiles.read(file));
         if (settings.isLeft()) {
-            Faults.print(file.toString(), settings.getLeft(), out);
+            ValidationErrors.print(file.toString(), settings.getLeft(), out);
             return ExitCode.REFUSED;
         }
         HostProcess process = new HostProcess(settings.get(), LinkPolicy.OPEN);
@@ -71,22 +71,22 @@
             process.kill();
             return ExitCode.UNAVAILABLE;
         }
-        CountDownLatch ended = new CountDownLatch(1);
-        TerminationSignal.onSignals(() -> stop(process, lag, limit, ended), () -> {
+        CountDownLatch terminated = new CountDownLatch(1);
+        TerminationSignal.onSignals(() -> stop(process, lag, limit, terminated), () -> {
             process.kill();
-            ended.countDown();
+            terminated.countDown();
         });
-        ended.await();
+        terminated.await();
         return ExitCode.OK;
     }
 
-    private static void stop(HostProcess process, Duration lag, Duration limit, CountDownLatch ended) {
+    private static void stop(HostProcess process, Duration lag, Duration limit, CountDownLatch terminated) {
         try {
             process.stop(lag, limit);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } finally {
-            ended.countDown();
+            terminated.countDown();
         }
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
@@ -50,19 +50,19 @@
         Either<ImmutableList<ValidationError>, Declaration> declaration =
                 DeclarationReader.read(TextFiles.read(Path.of(file)));
         if (declaration.isLeft()) {
-            Faults.print(file, declaration.getLeft(), out);
+            ValidationErrors.print(file, declaration.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        int serviceMicros = (int) Math.max(1, Arguments.number(line, "service-us", DEFAULT_SERVICE_MICROS));
-        StandInFleet fleet =
-                new StandInFleet(declaration.get(), serviceMicros, Arguments.number(line, "seed", DEFAULT_SEED));
+        int serviceMicros = (int) Math.max(1, Arguments.nonNegativeLong(line, "service-us", DEFAULT_SERVICE_MICROS));
+        StandInFleet fleet = new StandInFleet(
+                declaration.get(), serviceMicros, Arguments.nonNegativeLong(line, "seed", DEFAULT_SEED));
         fleet.start();
         fleet.startControl(Arguments.address(line, "control"));
         out.println("stand-ins of " + declaration.get().partner() + " are ready");
         out.flush();
-        CountDownLatch ended = new CountDownLatch(1);
-        TerminationSignal.onSignals(ended::countDown, ended::countDown);
-        ended.await();
+        CountDownLatch terminated = new CountDownLatch(1);
+        TerminationSignal.onSignals(terminated::countDown, terminated::countDown);
+        terminated.await();
         fleet.stop();
         return ExitCode.OK;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/TextFiles.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/TextFiles.java
@@ -14,8 +14,8 @@
     static String read(Path file) throws IOException {
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
-        } catch (NoSuchFileException missing) {
-            throw new IOException("there is no file " + file + "; check its name", missing);
+        } catch (NoSuchFileException notFound) {
+            throw new IOException("there is no file " + file + "; check its name", notFound);
         } catch (CharacterCodingException malformed) {
             throw new IOException(file + " is not text in UTF-8; convert it", malformed);
         } catch (IOException unreadable) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Faults.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ValidationErrors.java
@@ -5,11 +5,11 @@
 import org.bramblerack.process.document.ValidationError;
 
 /** Prints the faults of a file, a line each. Stateless. */
-final class Faults {
-    private Faults() {}
+final class ValidationErrors {
+    private ValidationErrors() {}
 
-    static void print(String file, List<ValidationError> faults, PrintStream out) {
-        faults.forEach(fault -> out.println(file + ": " + fault));
-        out.println(file + ": " + faults.size() + (faults.size() == 1 ? " fault" : " faults"));
+    static void print(String file, List<ValidationError> errors, PrintStream out) {
+        errors.forEach(error -> out.println(file + ": " + error));
+        out.println(file + ": " + errors.size() + (errors.size() == 1 ? " fault" : " faults"));
     }
 }
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/PromisesTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/PromisesTest.java
@@ -18,30 +18,30 @@
 
 /** Checks that the pages name tests, counters and benchmarks that exist. */
 final class PromisesTest {
-    private static final Path TOP = Path.of("..");
-    private static final Pattern TEST = Pattern.compile("`(\\w+Test)(?:\\.(\\w+))?`");
+    private static final Path REPOSITORY_ROOT = Path.of("..");
+    private static final Pattern TEST_REFERENCE = Pattern.compile("`(\\w+Test)(?:\\.(\\w+))?`");
 
     @Test
     void everyTestThatThePagesNameExists() throws IOException {
-        Set<String> named = new HashSet<>();
+        Set<String> testReferences = new HashSet<>();
         for (String page : List.of("docs/PROMISES.md", "docs/FAULTS.md")) {
-            Matcher matcher = TEST.matcher(Files.readString(TOP.resolve(page)));
+            Matcher matcher = TEST_REFERENCE.matcher(Files.readString(REPOSITORY_ROOT.resolve(page)));
             while (matcher.find()) {
                 String method = matcher.group(2) == null ? "" : matcher.group(2);
-                named.add(matcher.group(1) + "." + method);
+                testReferences.add(matcher.group(1) + "." + method);
             }
         }
-        assertThat(named.size()).isGreaterThan(15);
-        for (String name : named) {
-            int dot = name.indexOf('.');
-            String source = sourceOf(name.substring(0, dot));
-            assertWithMessage(name).that(source).contains(" " + name.substring(dot + 1));
+        assertThat(testReferences.size()).isGreaterThan(15);
+        for (String reference : testReferences) {
+            int dot = reference.indexOf('.');
+            String source = sourceOf(reference.substring(0, dot));
+            assertWithMessage(reference).that(source).contains(" " + reference.substring(dot + 1));
         }
     }
 
     @Test
     void theCapacityPageShowsTheTablesOfTheMeasuredSlopes() throws IOException {
-        String page = Files.readString(TOP.resolve("docs/CAPACITY.md"));
+        String page = Files.readString(REPOSITORY_ROOT.resolve("docs/CAPACITY.md"));
         CapacityModel.tables().forEach(line -> assertThat(page).contains(line));
     }
 
@@ -58,7 +58,7 @@
     }
 
     private static String sourceOf(String testClass) throws IOException {
-        try (Stream<Path> files = Files.walk(TOP)) {
+        try (Stream<Path> files = Files.walk(REPOSITORY_ROOT)) {
             Path found = files.filter(file -> file.getFileName().toString().equals(testClass + ".java"))
                     .findFirst()
                     .orElseThrow(() -> new AssertionError("there is no test class " + testClass));
