--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ApiClient.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ApiClient.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** Asks a host over HTTP and waits for the reply. Safe for use by many threads; close it after use. */
+/** A blocking HTTP client for the JSON APIs of hosts and stand-ins. Thread-safe; must be closed after use. */
 final class ApiClient implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(15);
     private static final int OK = 200;
@@ -21,13 +21,13 @@
     private final Vertx vertx = Vertx.vertx();
     private final WebClient client = WebClient.create(vertx);
 
-    /** A reply: its status and its JSON. */
+    /** An HTTP response: its status and its JSON body, which is empty if the response has none. */
     record Reply(int status, JsonObject json) {
         boolean isOk() {
             return status == OK;
         }
 
-        /** Returns the code of the refusal, or an empty text. */
+        /** Returns the code of the refusal, or an empty string if the request was not refused. */
         String refusal() {
             return json.getJsonObject("refusal", new JsonObject()).getString("code", "");
         }
@@ -64,10 +64,12 @@
                     content == null || content.length() == 0 ? new JsonObject() : new JsonObject(content.toString());
             return new Reply(response.statusCode(), json);
         } catch (DecodeException malformed) {
-            throw new IOException("the reply of " + host + " is not JSON; is it a host of bramblerack?", malformed);
+            throw new IOException(
+                    "the reply from " + host + " is not JSON; check that it is a host of bramblerack", malformed);
         } catch (RuntimeException failure) {
             throw new IOException(
-                    "no reply of " + host + " (" + failure.getMessage() + "); check that the host runs there", failure);
+                    "no reply from " + host + " (" + failure.getMessage() + "); check that the host is running",
+                    failure);
         }
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
@@ -42,9 +42,13 @@
                 .addRequiredOption(null, "host", true, "the caller address of any host")
                 .addRequiredOption(null, "partner", true, "the partner whose declaration it is")
                 .addRequiredOption(null, "credential-file", true, "the file that holds the partner's credential")
-                .addOption(null, "change-id", true, "the same for every resend of one change; made up if missing")
-                .addOption(null, "expect", true, "the revision that the change replaces; the present one if missing")
-                .addOption(null, "wait-ms", true, "how long to wait until it is in force everywhere");
+                .addOption(
+                        null,
+                        "change-id",
+                        true,
+                        "identifies the change, the same in every resend; generated if missing")
+                .addOption(null, "expect", true, "the revision that the change replaces; the current one if missing")
+                .addOption(null, "wait-ms", true, "how long to wait until it is in force on all hosts");
     }
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
@@ -6,7 +6,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.ParseException;
 
-/** Reads typed values off a command line. Stateless. */
+/** Parses typed values from a command line. Stateless. */
 final class Arguments {
     private Arguments() {}
 
@@ -31,14 +31,15 @@
                 return address;
             }
         } catch (IllegalArgumentException malformed) {
-            // Reported below, together with an address without a port.
+            // Falls through to the exception below, which also covers an address without a port.
         }
-        throw new ParseException("--" + option + " " + text + " is not an address such as 127.0.0.1:8101");
+        throw new ParseException(
+                "--" + option + " " + text + " is not an address; give IP:PORT, such as 127.0.0.1:8101");
     }
 
     static String singleArgument(CommandLine line, String argumentName) throws ParseException {
         if (line.getArgList().size() != 1) {
-            throw new ParseException("give one " + argumentName);
+            throw new ParseException("give exactly one " + argumentName);
         }
         return line.getArgList().get(0);
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/BenchCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/BenchCommand.java
@@ -11,7 +11,7 @@
 import org.bramblerack.cli.bench.Benches;
 import org.bramblerack.cli.bench.Report;
 
-/** Runs a benchmark. */
+/** Runs a benchmark and writes its results, or lists the benchmarks if no name is given. */
 final class BenchCommand implements Command {
     private static final String DEFAULT_SEED = "1";
 
@@ -27,13 +27,13 @@
 
     @Override
     public String summary() {
-        return "Runs a benchmark; without a name it lists them.";
+        return "Runs a benchmark; lists the benchmarks if no name is given.";
     }
 
     @Override
     public Options options() {
         return new Options()
-                .addOption(null, "seed", true, "the seed of loads and stand-ins")
+                .addOption(null, "seed", true, "the random seed of the load and the stand-ins")
                 .addOption(null, "results", true, "the folder for the table and the plot; bench-results if missing");
     }
 
@@ -47,7 +47,7 @@
         Optional<Bench> bench =
                 Benches.all().stream().filter(each -> each.name().equals(name)).findFirst();
         if (bench.isEmpty()) {
-            throw new ParseException("there is no benchmark " + name + "; ./bramblerack bench lists them");
+            throw new ParseException("there is no benchmark " + name + "; ./bramblerack bench lists the benchmarks");
         }
         Report report = new Report(out);
         boolean withinBounds = bench.get().run(report, Arguments.nonNegativeLong(line, "seed", DEFAULT_SEED));
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
@@ -13,7 +13,7 @@
 import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.version.DeclarationReader;
 
-/** Checks a settings or declaration file without applying it. */
+/** Validates a settings or declaration file without applying it. */
 final class CheckCommand implements Command {
     @Override
     public String name() {
@@ -27,7 +27,7 @@
 
     @Override
     public String summary() {
-        return "Checks a settings or declaration file and prints every fault with its line and remedy.";
+        return "Validates a settings or declaration file and prints each error with its line and remedy.";
     }
 
     @Override
@@ -49,11 +49,11 @@
             ValidationErrors.print(name, result.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        out.println(name + ": no faults, " + result.get());
+        out.println(name + ": no errors, " + result.get());
         return ExitCode.OK;
     }
 
-    /** A file that names a host or roles is meant as settings; anything else as a declaration. */
+    /** Returns true if the file has the field host or roles, which only settings have. */
     private static boolean isSettings(String text) {
         boolean[] settingsFound = new boolean[1];
         var unused = DocumentReader.read(text, fields -> {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Command.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Command.java
@@ -6,26 +6,29 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** A subcommand. Implementations keep no state between runs. */
+/** A subcommand of the program. Implementations keep no state between runs. */
 interface Command {
-    /** Returns the name on the command line. */
+    /** Returns the name that selects this subcommand on the command line. */
     String name();
 
-    /** Returns what follows the options, such as {@code FILE}; empty if nothing does. */
+    /** Returns the usage text after {@code [OPTIONS]}, such as {@code FILE}; empty if there is none. */
     String arguments();
 
-    /** Returns one sentence on what it does. */
+    /** Returns a one-sentence description for the help output. */
     String summary();
 
-    /** Returns the options, without {@code --help}. */
+    /** Returns the supported options except {@code --help}, which every subcommand has. */
     Options options();
 
     /**
-     * Runs.
+     * Runs the subcommand.
      *
-     * @throws ParseException if the command line is wrong
-     * @throws IOException if a file cannot be read
-     * @throws InterruptedException if the process is asked to end
+     * @param line the parsed command line
+     * @param out where to print the results
+     * @return the exit code of the program
+     * @throws ParseException if an option or argument is invalid
+     * @throws IOException if a file cannot be read or a host does not reply
+     * @throws InterruptedException if the thread is interrupted
      */
     ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException, InterruptedException;
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
@@ -16,9 +16,9 @@
 import org.bramblerack.daemon.control.FileLogStore;
 
 /**
- * The hosts, ports and files of the demonstration, in a folder of their own.
+ * Generates the settings, declarations and credentials of the demonstration in one folder, with free ports.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class DemoPlan {
     static final ImmutableList<String> PARTNERS = ImmutableList.of("sagarmatha", "spinifex");
@@ -41,7 +41,12 @@
         this.examples = examples;
     }
 
-    /** Writes every file. */
+    /**
+     * Writes the files and initializes the state of the control hosts.
+     *
+     * <p>The file {@code processes} lists the name and the arguments of each process to start; {@code addresses} lists
+     * the name and the HTTP address of each process.
+     */
     void write() throws IOException {
         Files.createDirectories(folder);
         List<String> processes = new ArrayList<>();
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPrepareCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPrepareCommand.java
@@ -6,7 +6,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** Writes the files of the demonstration; the script that starts its processes calls it. */
+/** Writes the files of the demonstration. The script {@code bramblerack} runs it before it starts the processes. */
 final class DemoPrepareCommand implements Command {
     @Override
     public String name() {
@@ -26,8 +26,8 @@
     @Override
     public Options options() {
         return new Options()
-                .addRequiredOption(null, "folder", true, "where to write")
-                .addRequiredOption(null, "examples", true, "where the example declarations are");
+                .addRequiredOption(null, "folder", true, "the folder to write to")
+                .addRequiredOption(null, "examples", true, "the folder of the example declarations");
     }
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** Shows on running processes what the tier does, and checks what it shows. */
+/** Runs the steps of the demonstration against its running processes, and checks the results of each step. */
 final class DemoRunCommand implements Command {
     private static final String FRAUD = "sagarmatha/dispute-fraud";
     private static final String CATALOGUE = "spinifex/catalogue";
@@ -296,7 +296,7 @@
                 && coverage.getInteger("covered").equals(coverage.getInteger("shards"));
     }
 
-    /** Returns true if the items of an answer name another index version than the answer does. */
+    /** Returns true if an item of the answer is from another index version than the answer reports. */
     private static boolean isMixed(ApiClient.Reply reply) {
         String prefix = "v" + version(reply) + "-";
         for (Object each : reply.json().getJsonArray("results", new JsonArray())) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
@@ -16,12 +16,12 @@
 import org.bramblerack.request.RefusalKind;
 
 /**
- * The running processes of the demonstration, as its steps see them, and the record of what held.
+ * Sends requests to the running processes of the demonstration, prints its output and records failed checks.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class Demonstration {
-    /** How often a change is sent before the demonstration takes its answer as it is: an election or two long. */
+    /** Maximum sends of one change: enough to outlast an election of a new leader. */
     private static final int MAX_SENDS = 5;
 
     private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
@@ -56,7 +56,7 @@
         out.println("    " + text);
     }
 
-    /** Records whether something held. */
+    /** Prints whether an expectation is met, and records a failure if it is not. */
     void check(boolean held, String expectation) {
         out.println((held ? "  ok    " : "  FAIL  ") + expectation);
         if (!held) {
@@ -96,27 +96,29 @@
                 OperatorApi.EXPECTED_REVISION_HEADER,
                 Long.toString(expectedRevision));
         ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
-        // A leader that loses its place leaves a change without a clear answer; sent again, it gets its first result.
+        // If leadership changes, the outcome is unknown. A resend with the same change ID returns the first result.
         for (int sends = 1; sends < MAX_SENDS && reply.refusal().equals(RefusalKind.CHANGE_UNKNOWN.code()); sends++) {
             reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
         }
         return reply;
     }
 
-    /** Sets how the stand-ins behave whose full name begins with a text. */
+    /** Changes the behaviour of those stand-ins whose name starts with the {@code upstream} of the change. */
     void setBehaviour(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/behaviour", change);
     }
 
+    /** Makes the stand-ins of a service serve another index version, and drop the one in {@code instead} if given. */
     void setIndexVersion(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/version", change);
     }
 
+    /** Returns the calls and runs that the stand-ins of a partner have counted. */
     JsonObject ledger(String partner, String query) throws IOException {
         return client.get(address("stand-in-" + partner), "/ledger" + query).json();
     }
 
-    /** Returns the smallest revision in force on any host, or -1 if a host was not heard. */
+    /** Returns the lowest revision in force on any host, or -1 if a host has not reported its revision. */
     long leastRevision(String host) throws IOException {
         JsonArray hosts = get(host, "/v1/status").json().getJsonArray("hosts", new JsonArray());
         long least = hosts.isEmpty() ? -1 : Long.MAX_VALUE;
@@ -126,7 +128,7 @@
         return least;
     }
 
-    /** Waits until a condition holds; returns the time that took, or empty-handed a negative time. */
+    /** Waits until a condition holds. Returns the elapsed time in milliseconds, or -1 after a timeout. */
     long await(BooleanSupplier condition) throws InterruptedException {
         long startNanos = System.nanoTime();
         while (System.nanoTime() - startNanos < AWAIT_TIMEOUT.toNanos()) {
@@ -138,7 +140,7 @@
         return -1;
     }
 
-    /** Returns the process identifier of a process that the script started. */
+    /** Returns the operating system's ID of a process that the script started. */
     long processId(String process) throws IOException {
         return Long.parseLong(TextFiles.read(folder.resolve(process + ".pid")).strip());
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExitCode.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExitCode.java
@@ -1,14 +1,14 @@
 package org.bramblerack.cli;
 
-/** The exit codes of the program, which are stable. */
+/** The exit codes of the program. Scripts rely on the numbers. */
 enum ExitCode {
-    /** Done. */
+    /** The subcommand succeeded. */
     OK(0),
-    /** What was asked for is refused, or a check failed; the output says why. */
+    /** The request was refused or a check failed; the output names the reason. */
     REFUSED(1),
-    /** The command line is wrong; the output says how it is right. */
+    /** The command line is invalid; the output names the error or shows the usage. */
     USAGE(2),
-    /** A host cannot be reached, or a file cannot be read or an address not be used. */
+    /** A host cannot be reached, a file cannot be read, an address cannot be bound, or an unexpected error occurred. */
     UNAVAILABLE(3);
 
     private final int code;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
@@ -13,10 +13,9 @@
 import org.bramblerack.cli.experiment.Experiments;
 import org.bramblerack.process.document.ValidationError;
 
-/** Compares routing policies by running the product's decisions against a model of a fleet. */
+/** Compares routing policies by running the production routing code against a simulated fleet. */
 final class ExperimentCommand implements Command {
     private static final String JOBS = "jobs";
-    /** More runs at a time than this would only wait for one another. */
     private static final int MAX_JOBS = 1_024;
 
     private static final String OUT = "out";
@@ -33,7 +32,7 @@
 
     @Override
     public String summary() {
-        return "Compares routing policies by running the product's decisions against a model of a fleet.";
+        return "Compares routing policies by running the production routing code against a simulated fleet.";
     }
 
     @Override
@@ -43,13 +42,13 @@
                         .longOpt(JOBS)
                         .hasArg()
                         .argName("N")
-                        .desc("runs at a time; half of the processors if left out")
+                        .desc("the number of concurrent runs; half of the processors if missing")
                         .get())
                 .addOption(Option.builder()
                         .longOpt(OUT)
                         .hasArg()
                         .argName("FOLDER")
-                        .desc("where to write report.json, report.csv and report.html")
+                        .desc("the folder for report.json, report.csv and report.html")
                         .get());
     }
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExplainCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExplainCommand.java
@@ -13,7 +13,7 @@
 import org.bramblerack.daemon.event.LoggedEvent;
 import org.bramblerack.daemon.event.RequestExplanation;
 
-/** Explains from the logs of the hosts what became of a request. */
+/** Explains the outcome of a request from the log files of the hosts. */
 final class ExplainCommand implements Command {
     @Override
     public String name() {
@@ -27,7 +27,7 @@
 
     @Override
     public String summary() {
-        return "Explains what became of a request, from the log files of one host or many.";
+        return "Explains the outcome of a request from the log files of one or more hosts.";
     }
 
     @Override
@@ -45,7 +45,7 @@
         for (String name : arguments.subList(1, arguments.size())) {
             Path path = Path.of(name);
             if (!Files.isReadable(path)) {
-                throw new IOException(name + " cannot be read; give the files that the hosts' output went to");
+                throw new IOException(name + " cannot be read; give the files that contain the hosts' log output");
             }
             try (Stream<String> lines = Files.lines(path)) {
                 lines.forEach(text -> LoggedEvent.parse(String.valueOf(path.getFileName()), text)
@@ -55,8 +55,8 @@
         String requestId = arguments.get(0);
         RequestExplanation explanation = RequestExplanation.of(requestId, events);
         if (!explanation.isFound()) {
-            out.println("no line of these files is about request " + requestId + "; they hold " + events.size()
-                    + " events. Requests that end well leave one line a second and host, others up to 20:"
+            out.println("no log line in these files is about request " + requestId + "; they contain " + events.size()
+                    + " events. Each host logs at most 1 successful and 20 other requests per second:"
                     + " look for request_lines_left_out, and give the files of all entry hosts");
             return ExitCode.REFUSED;
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
@@ -14,7 +14,7 @@
 import org.bramblerack.daemon.settings.SettingsReader;
 import org.bramblerack.process.document.ValidationError;
 
-/** Makes the state of a control host that never voted, once in its life. */
+/** Creates the initial voter state of a new control host. A voter that lost its disk must not be initialized again. */
 final class InitVoterCommand implements Command {
     @Override
     public String name() {
@@ -28,7 +28,7 @@
 
     @Override
     public String summary() {
-        return "Makes the state of a control host before its very first start; never after a lost disk.";
+        return "Creates the state of a control host before its first start; must not be used after a lost disk.";
     }
 
     @Override
@@ -45,7 +45,7 @@
             return ExitCode.REFUSED;
         }
         if (!settings.get().hasRole(Role.CONTROL)) {
-            out.println(file + ": the host has no control role; add it to roles first");
+            out.println(file + ": the host does not have the role control; add it to roles first");
             return ExitCode.REFUSED;
         }
         try {
@@ -54,7 +54,7 @@
             out.println("refused: " + fault.getMessage());
             return ExitCode.REFUSED;
         }
-        out.println("made the state of voter " + settings.get().host() + " in "
+        out.println("created the state of voter " + settings.get().host() + " in "
                 + settings.get().controlFolder());
         return ExitCode.OK;
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Main.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Main.java
@@ -13,7 +13,7 @@
 import org.apache.commons.cli.help.TextHelpAppendable;
 import org.bramblerack.daemon.lifecycle.LogSetup;
 
-/** The program: finds the subcommand, parses its options, runs it, and ends with its exit code. */
+/** The program's entry point: parses the command line, runs the subcommand and exits with its exit code. */
 public final class Main {
     private static final String PROGRAM = "./bramblerack";
     private static final ImmutableList<Command> COMMANDS = ImmutableList.of(
@@ -32,7 +32,7 @@
 
     private Main() {}
 
-    /** Runs the program. */
+    /** Runs the subcommand that the first argument names, and exits. */
     public static void main(String[] arguments) {
         LogSetup.useText();
         ExitCode code = run(arguments, System.out);
@@ -40,7 +40,7 @@
         System.exit(code.code());
     }
 
-    /** Runs the program and returns how it would exit. */
+    /** Runs the subcommand that the first argument names, and returns the exit code. */
     static ExitCode run(String[] arguments, PrintStream out) {
         if (arguments.length == 0 || isHelp(arguments[0])) {
             printOverview(out);
@@ -67,10 +67,10 @@
             out.println(invalid.getMessage() + "; see " + PROGRAM + " " + command.name() + " --help");
             return ExitCode.USAGE;
         } catch (IOException failure) {
-            out.println("cannot go on: " + failure.getMessage());
+            out.println("failed: " + failure.getMessage());
             return ExitCode.UNAVAILABLE;
         } catch (RuntimeException defect) {
-            out.println("failed: " + defect + "; this is a fault of the program, please report it");
+            out.println("failed: " + defect + "; this is a bug in bramblerack, please report it");
             return ExitCode.UNAVAILABLE;
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
@@ -88,14 +88,15 @@
         out.println(
                 "  demo          Starts hosts and stand-in upstreams on this machine and shows what the tier does.");
         out.println(
-                "  soak          Runs the programs as processes, injects faults, and checks the promises; see docs/SOAK.md.");
+                "  soak          Runs the programs as processes, injects faults, and checks the guarantees; see docs/SOAK.md.");
         for (Command command : COMMANDS) {
             if (!command.name().startsWith("demo-")) {
                 out.printf("  %-13s %s%n", command.name(), command.summary());
             }
         }
         out.println();
-        out.println("exit codes: 0 done, 1 refused or a check failed, 2 wrong command line, 3 cannot reach or read");
+        out.println(
+                "exit codes: 0 success, 1 refused or a check failed, 2 invalid command line, 3 host or file unavailable");
         out.println("help on a subcommand: " + PROGRAM + " SUBCOMMAND --help");
     }
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/QueryCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/QueryCommand.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Asks a query, runs a once-only request, or looks up its outcome. */
+/** Sends a query or a once-only request, or looks up the outcome of a once-only request. */
 final class QueryCommand implements Command {
     @Override
     public String name() {
@@ -23,7 +23,7 @@
 
     @Override
     public String summary() {
-        return "Asks a query, runs a once-only request, or looks up what came of one.";
+        return "Sends a query or a once-only request, or looks up the outcome of a once-only request.";
     }
 
     @Override
@@ -31,12 +31,12 @@
         return new Options()
                 .addRequiredOption(null, "host", true, "the caller address of any host")
                 .addRequiredOption(null, "service", true, "the service, as PARTNER/SERVICE")
-                .addOption(null, "class", true, "ask a query of this class")
+                .addOption(null, "class", true, "send a query of this class")
                 .addOption(null, "operation", true, "run this once-only operation")
-                .addOption(null, "outcome", false, "look up the once-only request of --request-id")
-                .addOption(null, "request-id", true, "the request identifier; made up if missing")
-                .addOption(null, "deadline-ms", true, "the time for the answer; that of the class if missing")
-                .addOption(null, "body", true, "what to hand to the upstreams, as text");
+                .addOption(null, "outcome", false, "look up the outcome of the once-only request with --request-id")
+                .addOption(null, "request-id", true, "the request identifier; generated if missing")
+                .addOption(null, "deadline-ms", true, "the deadline of the request; the declared one if missing")
+                .addOption(null, "body", true, "the text to send to the upstreams");
     }
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ServeCommand.java
@@ -18,10 +18,10 @@
 import org.bramblerack.daemon.settings.SettingsReader;
 import org.bramblerack.process.document.ValidationError;
 
-/** Runs one host until it is asked to end. */
+/** Runs one host until a termination signal arrives. */
 final class ServeCommand implements Command {
-    private static final String DEFAULT_LEAVING_MILLIS = "3000";
-    private static final String DEFAULT_DRAIN_LIMIT_MILLIS = "30000";
+    private static final String DEFAULT_LAG_MILLIS = "3000";
+    private static final String DEFAULT_LIMIT_MILLIS = "30000";
 
     @Override
     public String name() {
@@ -35,16 +35,20 @@
 
     @Override
     public String summary() {
-        return "Runs one host with the roles of its settings until SIGTERM, then stops it in the planned way.";
+        return "Runs one host with the roles in its settings until SIGTERM, then stops it gracefully.";
     }
 
     @Override
     public Options options() {
         return new Options()
                 .addRequiredOption("s", "settings", true, "the settings file (docs/SETTINGS.md)")
-                .addOption(null, "log", true, "the form of the log lines on standard error: text or json")
-                .addOption(null, "lag-ms", true, "how long to go on taking requests once leaving, for the balancer")
-                .addOption(null, "limit-ms", true, "how long to wait for what is in flight after that");
+                .addOption(null, "log", true, "the format of the log lines on standard error: text or json")
+                .addOption(
+                        null,
+                        "lag-ms",
+                        true,
+                        "how long to accept requests after SIGTERM, until the load balancer has noticed")
+                .addOption(null, "limit-ms", true, "how long to wait for requests in flight after that");
     }
 
     @Override
@@ -53,10 +57,10 @@
         if (logFormat.equals("json")) {
             LogSetup.useJson();
         } else if (!logFormat.equals("text")) {
-            throw new ParseException("--log " + logFormat + " is not a form; give text or json");
+            throw new ParseException("--log " + logFormat + " is not a log format; give text or json");
         }
-        Duration lag = Arguments.millis(line, "lag-ms", DEFAULT_LEAVING_MILLIS);
-        Duration limit = Arguments.millis(line, "limit-ms", DEFAULT_DRAIN_LIMIT_MILLIS);
+        Duration lag = Arguments.millis(line, "lag-ms", DEFAULT_LAG_MILLIS);
+        Duration limit = Arguments.millis(line, "limit-ms", DEFAULT_LIMIT_MILLIS);
         Path file = Path.of(line.getOptionValue("settings"));
         Either<ImmutableList<ValidationError>, Settings> settings = SettingsReader.read(TextFiles.read(file));
         if (settings.isLeft()) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
@@ -15,7 +15,7 @@
 import org.bramblerack.version.Declaration;
 import org.bramblerack.version.DeclarationReader;
 
-/** Runs stand-ins for the upstreams of a declaration. */
+/** Runs stand-ins for the upstreams of a declaration until a termination signal arrives. */
 final class StandInCommand implements Command {
     private static final String DEFAULT_SERVICE_MICROS = "3000";
     private static final String DEFAULT_SEED = "1";
@@ -32,16 +32,20 @@
 
     @Override
     public String summary() {
-        return "Runs stand-ins for all upstreams of a declaration, for trying things out.";
+        return "Runs stand-ins for all upstreams of a declaration, for tests and experiments.";
     }
 
     @Override
     public Options options() {
         return new Options()
-                .addRequiredOption(null, "declaration", true, "the declaration whose upstreams to stand in for")
-                .addRequiredOption(null, "control", true, "where their behaviour is set (docs/STAND-INS.md)")
-                .addOption(null, "service-us", true, "how long a call takes, in microseconds")
-                .addOption(null, "seed", true, "the seed of their randomness");
+                .addRequiredOption(null, "declaration", true, "the declaration whose upstreams are simulated")
+                .addRequiredOption(
+                        null,
+                        "control",
+                        true,
+                        "the address that accepts changes of their behaviour (docs/STAND-INS.md)")
+                .addOption(null, "service-us", true, "the service time of a call, in microseconds")
+                .addOption(null, "seed", true, "the random seed of their behaviour");
     }
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/StatusCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/StatusCommand.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Shows the revisions of all hosts and the index versions of all services. */
+/** Shows the revision in force on each host and the index version of each service. */
 final class StatusCommand implements Command {
     @Override
     public String name() {
@@ -22,14 +22,14 @@
 
     @Override
     public String summary() {
-        return "Shows the revision of each host, how long it is unconfirmed, and the services.";
+        return "Shows the revision in force on each host, the time since it was confirmed, and the services.";
     }
 
     @Override
     public Options options() {
         return new Options()
                 .addRequiredOption(null, "host", true, "the caller address of any host")
-                .addOption(null, "json", false, "print the reply as it is");
+                .addOption(null, "json", false, "print the reply as JSON");
     }
 
     @Override
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/TextFiles.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/TextFiles.java
@@ -7,7 +7,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reading and writing of small text files, with messages that name the remedy. Stateless. */
+/** Reads and writes UTF-8 text files; the exceptions name the cause and the remedy. Stateless. */
 final class TextFiles {
     private TextFiles() {}
 
@@ -15,11 +15,12 @@
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
         } catch (NoSuchFileException notFound) {
-            throw new IOException("there is no file " + file + "; check its name", notFound);
+            throw new IOException("there is no file " + file + "; check the path", notFound);
         } catch (CharacterCodingException malformed) {
-            throw new IOException(file + " is not text in UTF-8; convert it", malformed);
+            throw new IOException(file + " is not valid UTF-8; convert it to UTF-8", malformed);
         } catch (IOException unreadable) {
-            throw new IOException(file + " cannot be read; check that it is a file and its rights", unreadable);
+            throw new IOException(
+                    file + " cannot be read; check that it is a regular file and its permissions", unreadable);
         }
     }
 
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/package-info.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/package-info.java
@@ -1,4 +1,4 @@
-/** The command line: one program whose subcommands serve, check, apply, show, ask, and demonstrate. */
+/** The command line: a program with subcommands that run hosts, administer them, and send queries to them. */
 @NullMarked
 package org.bramblerack.cli;
 
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/PromisesTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/PromisesTest.java
@@ -16,7 +16,7 @@
 import org.bramblerack.cli.bench.CapacityModel;
 import org.junit.jupiter.api.Test;
 
-/** Checks that the pages name tests, counters and benchmarks that exist. */
+/** Checks that the documentation names existing tests and current tables, and checks the exit codes of the program. */
 final class PromisesTest {
     private static final Path REPOSITORY_ROOT = Path.of("..");
     private static final Pattern TEST_REFERENCE = Pattern.compile("`(\\w+Test)(?:\\.(\\w+))?`");
