--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
@@ -112,11 +112,11 @@
             text.append(digest).append("\" },\n");
         }
         text.append("  ],\n  \"hosts\": [\n");
-        for (PlannedHost each : HOSTS) {
-            text.append("    { \"name\": \"").append(each.name()).append("\", \"zone\": \"");
-            text.append(each.zone()).append("\", \"peerAddress\": \"127.0.0.1:");
-            text.append(peerPorts.get(each.name())).append("\", \"control\": ");
-            text.append(each.control()).append(" },\n");
+        for (PlannedHost peer : HOSTS) {
+            text.append("    { \"name\": \"").append(peer.name()).append("\", \"zone\": \"");
+            text.append(peer.zone()).append("\", \"peerAddress\": \"127.0.0.1:");
+            text.append(peerPorts.get(peer.name())).append("\", \"control\": ");
+            text.append(peer.control()).append(" },\n");
         }
         return text.append("  ],\n}\n").toString();
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoRunCommand.java
@@ -45,14 +45,14 @@
             Demonstration demo = new Demonstration(Path.of(line.getOptionValue("folder")), client, out);
             awaitHosts(demo);
             applyDeclarations(demo);
-            wholeQuery(demo);
-            stragglingShard(demo);
-            lostShard(demo);
-            onceOnly(demo);
-            drainingUpstream(demo);
-            movingVersion(demo);
-            refusals(demo);
-            killedLeader(demo);
+            checkCompleteQuery(demo);
+            checkSlowReplica(demo);
+            checkLostShard(demo);
+            checkOnceOnlyOperation(demo);
+            checkDrainingReplica(demo);
+            checkVersionChange(demo);
+            checkRefusals(demo);
+            checkLeaderFailover(demo);
             out.println();
             out.println(
                     demo.failures().isEmpty()
@@ -102,13 +102,13 @@
         demo.check(
                 conflicting.refusal().equals("revision-conflict"),
                 "an operator who raced on the old revision is told so");
-        long tookMillis = demo.await(() -> leastRevision(demo) >= secondRevision);
+        long tookMillis = demo.await(() -> lowestRevision(demo) >= secondRevision);
         demo.check(
                 tookMillis >= 0,
                 "revision " + secondRevision + " is in force on all 7 hosts after " + tookMillis + " ms");
     }
 
-    private static void wholeQuery(Demonstration demo) throws IOException, InterruptedException {
+    private static void checkCompleteQuery(Demonstration demo) throws IOException, InterruptedException {
         demo.printTitle("A query goes to every shard and comes back whole, from one index version");
         demo.await(() -> isWhole(queryUnchecked(demo, "spx-3", FRAUD, "dispute-history")));
         for (int number = 0; number < QUERY_COUNT; number++) {
@@ -118,66 +118,67 @@
         ApiClient.Reply reply = demo.query("sag-1", FRAUD, "fraud-screening", "demo-query-1");
         demo.printDetail(summary(reply));
         demo.check(isWhole(reply) && version(reply) == 7, "fraud screening: 20 of 20 shards of index version 7");
-        ApiClient.Reply other = demo.query("sag-4", CATALOGUE, "counter", "demo-query-2");
-        demo.printDetail(summary(other));
-        demo.check(isWhole(other), "the other partner's catalogue, asked through a host of the first, is whole");
+        ApiClient.Reply catalogueReply = demo.query("sag-4", CATALOGUE, "counter", "demo-query-2");
+        demo.printDetail(summary(catalogueReply));
+        demo.check(
+                isWhole(catalogueReply), "the other partner's catalogue, asked through a host of the first, is whole");
     }
 
-    private static void stragglingShard(Demonstration demo) throws IOException {
+    private static void checkSlowReplica(Demonstration demo) throws IOException {
         demo.printTitle("One replica of a shard takes 300 ms instead of 3 ms");
         for (int number = 0; number < WARM_UP_QUERY_COUNT; number++) {
             demo.query("sag-3", FRAUD, "dispute-history", "demo-warm-" + number);
         }
-        JsonObject slow =
+        JsonObject slowdown =
                 new JsonObject().put("upstream", FRAUD + "/dispute-04a").put("set", "straggle");
-        demo.setBehaviour("sagarmatha", slow.put("percent", 100.0).put("factor", 100));
-        long slowest = 0;
+        demo.setBehaviour("sagarmatha", slowdown.put("percent", 100.0).put("factor", 100));
+        long slowestMillis = 0;
         boolean whole = true;
         for (int number = 0; number < QUERY_COUNT; number++) {
             long startNanos = System.nanoTime();
             whole &= isWhole(demo.query("sag-3", FRAUD, "dispute-history", "demo-slow-" + number));
-            slowest = Math.max(slowest, (System.nanoTime() - startNanos) / 1_000_000);
+            slowestMillis = Math.max(slowestMillis, (System.nanoTime() - startNanos) / 1_000_000);
         }
-        demo.check(whole, QUERY_COUNT + " queries are whole, the slowest took " + slowest + " ms");
-        demo.check(slowest < 200, "none waited for the straggler: its shard was asked at the other replica");
-        demo.setBehaviour("sagarmatha", slow.put("value", false));
+        demo.check(whole, QUERY_COUNT + " queries are whole, the slowest took " + slowestMillis + " ms");
+        demo.check(slowestMillis < 200, "none waited for the straggler: its shard was asked at the other replica");
+        demo.setBehaviour("sagarmatha", slowdown.put("value", false));
     }
 
-    private static void lostShard(Demonstration demo) throws IOException {
+    private static void checkLostShard(Demonstration demo) throws IOException {
         demo.printTitle("Both replicas of shard 3 are lost");
         for (int number = 0; number < QUERY_COUNT; number++) {
             demo.query("sag-2", FRAUD, "dispute-history", "demo-warm-fraud-" + number);
             demo.query("spx-1", CATALOGUE, "collector", "demo-warm-catalogue-" + number);
         }
-        JsonObject lost =
+        JsonObject fraudOutage =
                 new JsonObject().put("upstream", FRAUD + "/dispute-03").put("set", "down");
-        demo.setBehaviour("sagarmatha", lost);
+        demo.setBehaviour("sagarmatha", fraudOutage);
         ApiClient.Reply partial = demo.query("sag-2", FRAUD, "fraud-screening", "demo-lost-1");
         demo.printDetail(summary(partial));
         demo.check(
                 partial.isOk() && missing(partial).equals("[3]"),
                 "fraud screening prefers time: a partial answer that names the missing shard");
-        demo.setBehaviour("sagarmatha", lost.put("value", false));
-        JsonObject other =
+        demo.setBehaviour("sagarmatha", fraudOutage.put("value", false));
+        JsonObject catalogueOutage =
                 new JsonObject().put("upstream", CATALOGUE + "/catalogue-03").put("set", "down");
-        demo.setBehaviour("spinifex", other);
+        demo.setBehaviour("spinifex", catalogueOutage);
         ApiClient.Reply refused = demo.query("spx-1", CATALOGUE, "counter", "demo-lost-2");
         demo.printDetail(summary(refused));
         demo.check(
                 refused.refusal().equals("incomplete"),
                 "the catalogue prefers coverage: a truthful refusal that says when to come back");
-        demo.setBehaviour("spinifex", other.put("value", false));
+        demo.setBehaviour("spinifex", catalogueOutage.put("value", false));
     }
 
-    private static void onceOnly(Demonstration demo) throws IOException {
+    private static void checkOnceOnlyOperation(Demonstration demo) throws IOException {
         demo.printTitle("A top-up that may run only once is sent through one host and resent through two others");
-        ApiClient.Reply first = demo.operation("sag-2", WALLET, "top-up", "demo-top-up");
-        demo.printDetail(first.json().encode());
-        ApiClient.Reply second = demo.operation("sag-4", WALLET, "top-up", "demo-top-up");
-        ApiClient.Reply third = demo.operation("spx-2", WALLET, "top-up", "demo-top-up");
-        boolean replayed =
-                second.json().getBoolean("replayed", false) && third.json().getBoolean("replayed", false);
-        demo.check(first.isOk() && replayed, "both resends get the recorded answer");
+        ApiClient.Reply original = demo.operation("sag-2", WALLET, "top-up", "demo-top-up");
+        demo.printDetail(original.json().encode());
+        ApiClient.Reply firstResend = demo.operation("sag-4", WALLET, "top-up", "demo-top-up");
+        ApiClient.Reply secondResend = demo.operation("spx-2", WALLET, "top-up", "demo-top-up");
+        boolean replayed = firstResend.json().getBoolean("replayed", false)
+                && secondResend.json().getBoolean("replayed", false);
+        demo.check(original.isOk() && replayed, "both resends get the recorded answer");
         long runs = demo.ledger("sagarmatha", "?requestId=demo-top-up").getLong("runs");
         demo.check(runs == 1, "the upstreams ran it " + runs + " time");
         ApiClient.Reply outcome = demo.get("spx-3", "/v1/operation/" + WALLET + "/demo-top-up");
@@ -185,25 +186,25 @@
                 "ran".equals(outcome.json().getString("outcome")), "a look-up through a fourth host says that it ran");
     }
 
-    private static void drainingUpstream(Demonstration demo) throws IOException, InterruptedException {
+    private static void checkDrainingReplica(Demonstration demo) throws IOException, InterruptedException {
         demo.printTitle("A replica says that it is leaving");
         String upstream = FRAUD + "/dispute-07b";
         JsonObject drain = new JsonObject().put("upstream", upstream).put("set", "draining");
         demo.setBehaviour("sagarmatha", drain);
         Thread.sleep(DRAIN_MILLIS);
-        long before = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
+        long callsBefore = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
         boolean whole = true;
         for (int number = 0; number < QUERY_COUNT; number++) {
             String host = number % 2 == 0 ? "sag-1" : "spx-2";
             whole &= isWhole(demo.query(host, FRAUD, "dispute-history", "demo-drain-" + number));
         }
-        long after = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
-        demo.check(after == before, "2 s later it gets none of " + QUERY_COUNT + " queries' work");
+        long callsAfter = demo.ledger("sagarmatha", "?upstream=" + upstream).getLong("upstreamCalls");
+        demo.check(callsAfter == callsBefore, "2 s later it gets none of " + QUERY_COUNT + " queries' work");
         demo.check(whole, "and every query is still whole");
         demo.setBehaviour("sagarmatha", drain.put("value", false));
     }
 
-    private static void movingVersion(Demonstration demo) throws IOException, InterruptedException {
+    private static void checkVersionChange(Demonstration demo) throws IOException, InterruptedException {
         demo.printTitle("The index moves from version 7 to 8 while queries run");
         demo.setIndexVersion(
                 "sagarmatha", new JsonObject().put("service", "dispute-fraud").put("indexVersion", 8));
@@ -224,7 +225,7 @@
         demo.check(tookMillis >= 0, "answers now reflect version 8");
     }
 
-    private static void refusals(Demonstration demo) throws IOException {
+    private static void checkRefusals(Demonstration demo) throws IOException {
         demo.printTitle("What cannot be done is refused with a reason, a remedy, and whether it ran");
         ApiClient.Reply unknown = demo.query("sag-1", FRAUD, "no-such-class", "demo-refused-1");
         demo.printDetail(unknown.json().encode());
@@ -235,7 +236,7 @@
         demo.check(unauthorized.refusal().equals("unauthorized"), "a change without a credential");
     }
 
-    private static void killedLeader(Demonstration demo) throws IOException, InterruptedException {
+    private static void checkLeaderFailover(Demonstration demo) throws IOException, InterruptedException {
         demo.printTitle("The leading control host is killed, and the other partner changes its declaration");
         String leader = demo.get("spx-3", "/v1/status").json().getString("leader");
         demo.printDetail("killing " + leader);
@@ -272,9 +273,9 @@
         }
     }
 
-    private static long leastRevision(Demonstration demo) {
+    private static long lowestRevision(Demonstration demo) {
         try {
-            return demo.leastRevision("spx-3");
+            return demo.lowestRevision("spx-3");
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
@@ -299,8 +300,8 @@
     /** Returns true if an item of the answer is from another index version than the answer reports. */
     private static boolean isMixed(ApiClient.Reply reply) {
         String prefix = "v" + version(reply) + "-";
-        for (Object each : reply.json().getJsonArray("results", new JsonArray())) {
-            JsonArray items = ((JsonObject) each).getJsonObject("payload").getJsonArray("items");
+        for (Object result : reply.json().getJsonArray("results", new JsonArray())) {
+            JsonArray items = ((JsonObject) result).getJsonObject("payload").getJsonArray("items");
             for (Object item : items) {
                 if (!((String) item).startsWith(prefix)) {
                     return true;
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
@@ -57,9 +57,9 @@
     }
 
     /** Prints whether an expectation is met, and records a failure if it is not. */
-    void check(boolean held, String expectation) {
-        out.println((held ? "  ok    " : "  FAIL  ") + expectation);
-        if (!held) {
+    void check(boolean met, String expectation) {
+        out.println((met ? "  ok    " : "  FAIL  ") + expectation);
+        if (!met) {
             failures.add(expectation);
         }
     }
@@ -119,13 +119,13 @@
     }
 
     /** Returns the lowest revision in force on any host, or -1 if a host has not reported its revision. */
-    long leastRevision(String host) throws IOException {
+    long lowestRevision(String host) throws IOException {
         JsonArray hosts = get(host, "/v1/status").json().getJsonArray("hosts", new JsonArray());
-        long least = hosts.isEmpty() ? -1 : Long.MAX_VALUE;
-        for (Object each : hosts) {
-            least = Math.min(least, ((JsonObject) each).getLong("revision"));
+        long lowest = hosts.isEmpty() ? -1 : Long.MAX_VALUE;
+        for (Object hostStatus : hosts) {
+            lowest = Math.min(lowest, ((JsonObject) hostStatus).getLong("revision"));
         }
-        return least;
+        return lowest;
     }
 
     /** Waits until a condition holds. Returns the elapsed time in milliseconds, or -1 after a timeout. */
