--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -101,7 +101,7 @@
                 view,
                 () -> true,
                 status,
-                (caller, taker) -> limits.requestPermission(caller, taker),
+                (caller, taker) -> limits.spend(caller, taker),
                 () -> "",
                 PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic()),
                 GatewayFixture.NAMES,
