--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/Behaviour.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/Behaviour.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How a stand-in upstream behaves at present.
+ * The current behaviour of a stand-in upstream.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param serviceMicros how long it works on a call
- * @param stragglePercent how many calls in 100 take {@code straggleFactor} times as long
- * @param straggleFactor by how much a straggling call takes longer
- * @param down true if it closes every connection
- * @param draining true if it is leaving
- * @param silent true if it works but never replies
- * @param truncating true if it cuts its payloads short
+ * @param serviceMicros the mean service time of a call
+ * @param stragglePercent the percentage of calls that straggle
+ * @param straggleFactor the factor by which the service time of a straggling call is longer
+ * @param down whether it closes every connection
+ * @param draining whether it reports that it is draining and refuses calls
+ * @param silent whether it processes calls but never replies
+ * @param truncating whether it truncates its payloads
  */
 public record Behaviour(
         int serviceMicros,
@@ -23,38 +23,34 @@
         boolean draining,
         boolean silent,
         boolean truncating) {
-    /** Refuses a time that is not positive. */
+    /** Rejects a service time or straggle factor that is not positive. */
     public Behaviour {
         checkArgument(serviceMicros > 0, "service time %s is not positive", serviceMicros);
         checkArgument(straggleFactor > 0, "straggle factor %s is not positive", straggleFactor);
     }
 
-    /** Returns a healthy upstream that works on a call for a time. */
+    /** Returns the behaviour of a healthy upstream with a mean service time. */
     public static Behaviour healthy(int serviceMicros) {
         return new Behaviour(serviceMicros, 0, 1, false, false, false, false);
     }
 
-    /** Returns the same with stragglers. */
+    /** Returns a copy with other stragglers. */
     public Behaviour withStragglers(double percent, int factor) {
         return new Behaviour(serviceMicros, percent, factor, down, draining, silent, truncating);
     }
 
-    /** Returns the same, down or up. */
     public Behaviour withDown(boolean isDown) {
         return new Behaviour(serviceMicros, stragglePercent, straggleFactor, isDown, draining, silent, truncating);
     }
 
-    /** Returns the same, leaving or not. */
     public Behaviour withDraining(boolean isDraining) {
         return new Behaviour(serviceMicros, stragglePercent, straggleFactor, down, isDraining, silent, truncating);
     }
 
-    /** Returns the same, replying or not. */
     public Behaviour withSilent(boolean isSilent) {
         return new Behaviour(serviceMicros, stragglePercent, straggleFactor, down, draining, isSilent, truncating);
     }
 
-    /** Returns the same, with payloads cut short or whole. */
     public Behaviour withTruncating(boolean isTruncating) {
         return new Behaviour(serviceMicros, stragglePercent, straggleFactor, down, draining, silent, isTruncating);
     }
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/Ledger.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/Ledger.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What the stand-in upstreams were asked and did, for checks.
+ * Counts the calls, once-only runs and refused connections of all stand-in upstreams.
  *
  * <p>Safe for use by many threads.
  */
@@ -41,38 +41,37 @@
         refusedConnections.increment();
     }
 
-    /** Returns how often a once-only request ran. */
+    /** Returns how many times a once-only request ran. */
     public long runCount(String requestId) {
         LongAdder count = runs.get(requestId);
         return count == null ? 0 : count.sum();
     }
 
-    /** Returns the most that any once-only request ran. */
+    /** Returns the highest run count of any once-only request. */
     public long maxRuns() {
         return runs.values().stream().mapToLong(LongAdder::sum).max().orElse(0);
     }
 
-    /** Returns how many calls arrived. */
+    /** Returns how many calls were received. */
     public long calls() {
         return calls.sum();
     }
 
-    /** Returns how many calls were worked on to the end. */
+    /** Returns how many calls were processed to the end. */
     public long finished() {
         return finished.sum();
     }
 
-    /** Returns how many calls were cancelled. */
     public long cancelled() {
         return cancelled.sum();
     }
 
-    /** Returns how many calls were refused. */
+    /** Returns how many calls were refused, cancelled ones included. */
     public long refused() {
         return refused.sum();
     }
 
-    /** Returns how many connections were refused because the limit was reached. */
+    /** Returns how many connections were refused because the connection limit was reached. */
     public long refusedConnections() {
         return refusedConnections.sum();
     }
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInFleet.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInFleet.java
@@ -22,12 +22,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Stand-ins for all upstreams that a declaration names, and an address where their behaviour is set.
+ * Stand-ins for all upstreams of a declaration, with an HTTP interface that sets their behaviour.
  *
- * <p>Started once, stopped once; safe for use by many threads.
+ * <p>Can be started and stopped once. Safe for use by many threads.
  */
 public final class StandInFleet {
-    /** The index version that every sharded service serves at first. */
+    /** The index version that all upstreams serve initially. */
     public static final long FIRST_VERSION = 7;
 
     private static final int NETWORK_THREADS = 3;
@@ -38,7 +38,7 @@
     private final ImmutableMap<String, StandInUpstream> upstreams;
     private final Declaration declaration;
 
-    /** Creates the stand-ins of a declaration; nothing listens before {@link #start}. */
+    /** Creates the stand-ins of a declaration; they listen only after {@link #start}. */
     public StandInFleet(Declaration declaration, int serviceMicros, long seed) {
         this.declaration = declaration;
         SplittableRandom random = new SplittableRandom(seed);
@@ -55,12 +55,12 @@
         this.upstreams = ImmutableMap.copyOf(built);
     }
 
-    /** Begins to listen at every upstream's address. */
+    /** Starts listening on every upstream's address. */
     public void start() {
         upstreams.values().forEach(StandInUpstream::start);
     }
 
-    /** Listens where behaviour is set and the ledger is read. */
+    /** Starts the HTTP interface that sets the behaviour and returns the ledger. */
     public void startControl(HostAndPort address) {
         HttpServer server = vertx.createHttpServer(
                 new HttpServerOptions().setHost(address.getHost()).setPort(address.getPort()));
@@ -71,17 +71,16 @@
                 .join();
     }
 
-    /** Stops everything. */
+    /** Closes all servers and connections. */
     public void stop() {
         vertx.close().toCompletionStage().toCompletableFuture().join();
     }
 
-    /** Returns what the upstreams were asked and did. */
     public Ledger ledger() {
         return ledger;
     }
 
-    /** Returns the stand-ins whose full name begins with a text. */
+    /** Returns the stand-ins whose full name starts with a prefix. */
     public ImmutableList<StandInUpstream> matching(String prefix) {
         return upstreams.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith(prefix))
@@ -89,7 +88,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the most connections that any upstream, whose full name begins with a text, had open at once. */
+    /** Returns the highest number of connections that any upstream with a name prefix had open at the same time. */
     public int maxConnections(String prefix) {
         return matching(prefix).stream()
                 .mapToInt(StandInUpstream::maxConnections)
@@ -97,14 +96,14 @@
                 .orElse(0);
     }
 
-    /** Returns how many connections were opened to all upstreams so far. */
+    /** Returns the total number of connections opened to all upstreams. */
     public long connectionsOpened() {
         return upstreams.values().stream()
                 .mapToLong(StandInUpstream::connectionsOpened)
                 .sum();
     }
 
-    /** Makes every upstream of a sharded service serve another index version too, or instead. */
+    /** Adds an index version to every upstream of a sharded service, optionally in place of another version. */
     public void serveVersion(String service, long indexVersion, Optional<Long> replacedVersion) {
         Service declared = declaration.services().get(service);
         if (declared == null) {
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInUpstream.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInUpstream.java
@@ -30,11 +30,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One upstream that speaks the protocol of {@code docs/UPSTREAMS.md} and misbehaves as it is told.
+ * An upstream that implements the protocol of {@code docs/UPSTREAMS.md}, with configurable misbehaviour.
  *
- * <p>It works on as many calls as it has slots, lets a few wait, sheds the rest, refuses connections above its limit,
- * honours deadlines and cancellations, and says which index versions it serves. Its state belongs to one network
- * thread; the behaviour and versions may be set from any.
+ * <p>It processes as many calls at a time as it has slots, queues a limited number, refuses the rest, refuses
+ * connections above its limit, honours deadlines and cancellations, and reports the index versions that it serves. The
+ * queue and the running calls are confined to one event loop; behaviour and versions may be set from any thread.
  */
 public final class StandInUpstream {
     private static final int MAX_QUEUED_CALLS = 64;
@@ -61,7 +61,7 @@
     private int running;
     private @Nullable HttpServer server;
 
-    /** Creates an upstream that does not yet listen. */
+    /** Creates an upstream that listens only after {@link #start}. */
     public StandInUpstream(
             Vertx vertx,
             Upstream upstream,
@@ -77,12 +77,12 @@
         this.random = random;
     }
 
-    /** Returns the upstream that this stands in for. */
+    /** Returns the declared upstream that this one replaces. */
     public Upstream upstream() {
         return upstream;
     }
 
-    /** Sets how the upstream behaves from now on. */
+    /** Sets the behaviour and, if it is down, closes all connections. */
     public void setBehaviour(Behaviour next) {
         behaviour = next;
         if (next.down()) {
@@ -90,41 +90,40 @@
         }
     }
 
-    /** Returns how the upstream behaves. */
     public Behaviour behaviour() {
         return behaviour;
     }
 
-    /** Adds an index version that the upstream serves. */
+    /** Adds an index version to those that the upstream serves. */
     public void addVersion(ServedVersion version) {
         synchronized (versions) {
             versions.put(version.indexVersion(), version);
         }
     }
 
-    /** Removes an index version that the upstream serves. */
+    /** Removes an index version from those that the upstream serves. */
     public void removeVersion(long indexVersion) {
         synchronized (versions) {
             versions.remove(indexVersion);
         }
     }
 
-    /** Returns how many calls arrived. */
+    /** Returns how many calls were received. */
     public long calls() {
         return callCount.get();
     }
 
-    /** Returns how many connections were opened so far. */
+    /** Returns the total number of connections opened. */
     public long connectionsOpened() {
         return openedConnections.get();
     }
 
-    /** Returns the most connections that were open at once. */
+    /** Returns the highest number of connections open at the same time. */
     public int maxConnections() {
         return maxConnections.get();
     }
 
-    /** Begins to listen. */
+    /** Starts listening on the upstream's address. */
     public void start() {
         HttpServerOptions options = new HttpServerOptions()
                 .setHost(upstream.address().getHost())
@@ -136,7 +135,7 @@
         server.listen().toCompletionStage().toCompletableFuture().join();
     }
 
-    /** Stops listening. */
+    /** Stops listening and closes the open connections. */
     public void stop() {
         if (server != null) {
             server.close().toCompletionStage().toCompletableFuture().join();
@@ -329,7 +328,7 @@
         return (int) (base * (1 - SERVICE_TIME_JITTER + 2 * SERVICE_TIME_JITTER * random.nextDouble()));
     }
 
-    /** A call in the upstream. */
+    /** A received call, queued or running. */
     private static final class Call {
         private final HttpServerRequest request;
         private final long arrivedNanos;
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/package-info.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Small stand-ins for what the tier meets: upstreams that straggle, shed, drain and fail on demand.
+ * Stand-in upstreams that straggle, shed load, drain and fail on demand.
  *
- * <p>They are for the demonstration, benchmarks and tests, not for use.
+ * <p>For the demonstration, benchmarks and tests only; not for production.
  */
 @NullMarked
 package org.bramblerack.standin;
