--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/Behaviour.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/Behaviour.java
@@ -7,7 +7,7 @@
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param serviceMicros the mean service time of a call
+ * @param serviceMicros the mean service time of a call that does not straggle
  * @param stragglePercent the percentage of calls that straggle
  * @param straggleFactor the factor by which the service time of a straggling call is longer
  * @param down whether it closes every connection
@@ -34,7 +34,7 @@
         return new Behaviour(serviceMicros, 0, 1, false, false, false, false);
     }
 
-    /** Returns a copy with other stragglers. */
+    /** Returns a copy with the given percentage of straggling calls and their factor. */
     public Behaviour withStragglers(double percent, int factor) {
         return new Behaviour(serviceMicros, percent, factor, down, draining, silent, truncating);
     }
