--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LateQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
@@ -8,7 +8,7 @@
 import org.bramblerack.version.routing.RouteTarget;
 
 /** Starts the queries that were held back, as the leafs have room. Owned by the event loop. */
-final class LateQueries {
+final class DeferredQueries {
     /** How often it is looked for room: a part of the time of a call. */
     private static final long LOOK_NANOS = Duration.ofMillis(10).toNanos();
     /** The share of the shards that must have room: a few are always paused or slow. */
@@ -20,7 +20,7 @@
     private final DeferredStarts<Held> starts = new DeferredStarts<>();
     private boolean looking;
 
-    LateQueries(FleetView view, MonotonicClock clock, EventLoop loop) {
+    DeferredQueries(FleetView view, MonotonicClock clock, EventLoop loop) {
         this.view = view;
         this.clock = clock;
         this.loop = loop;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -67,13 +67,13 @@
     private final DecisionLog log;
     private final FinalizeLead sealLead;
     private final QueryRuns runs;
-    private final LateQueries lateQueries;
+    private final DeferredQueries lateQueries;
     private final CallerElapsedTime waits = new CallerElapsedTime();
     private final StageLinks stages;
     private final StageServer stageServer;
     private final LagTimer lagTimer;
     private final HarmTrials trials;
-    private final RequestRoom room;
+    private final RequestCapacity room;
     private final Map<String, SplitCursor> splits = new HashMap<>();
     private boolean refusesCallers;
 
@@ -112,10 +112,10 @@
         view.onConnectionEvent(metrics::count);
         this.log = new DecisionLog(clock, view);
         this.runs = new QueryRuns(view, stages, names, metrics, clock, loop, random, log);
-        this.lateQueries = new LateQueries(view, clock, loop);
+        this.lateQueries = new DeferredQueries(view, clock, loop);
         this.trials = new HarmTrials(view, runs, network, controlHost, loop, clock, random);
         this.lagTimer = new LagTimer(view.routing().eventLoopLag(), sealLead, loop, clock);
-        this.room = new RequestRoom(view, metrics, clock, loop, random);
+        this.room = new RequestCapacity(view, metrics, clock, loop, random);
         this.stageServer = new StageServer(view, runs, names, sealLead, clock, loop);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -32,7 +32,7 @@
     private final MonotonicClock clock;
     private final RandomGenerator random;
     private final Map<Leaf, LeafConnections> connections = new HashMap<>();
-    private final LeafHarm.Lines harmLines;
+    private final LeafHarm.LogLimit harmLines;
     private boolean reviewed = true;
     private Consumer<ConnectionEvent> observer = event -> {};
 
@@ -43,7 +43,7 @@
         this.group = group;
         this.clock = clock;
         this.random = random;
-        this.harmLines = new LeafHarm.Lines(clock);
+        this.harmLines = new LeafHarm.LogLimit(clock);
     }
 
     /** Sets what is told of each connection. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
@@ -21,7 +21,7 @@
     private final Leaf leaf;
     private final long leafStart;
     private final HarmfulRequestFilter guard;
-    private final Lines lines;
+    private final LogLimit lines;
     private final MonotonicClock clock;
 
     /**
@@ -30,7 +30,7 @@
      * @param incarnation tells starts of a leaf apart that have the same identifier
      * @param lines is shared by all leafs of this host
      */
-    LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter guard, Lines lines, MonotonicClock clock) {
+    LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter guard, LogLimit lines, MonotonicClock clock) {
         this.leaf = leaf;
         this.leafStart = Hashing.sha256()
                 .hashString(leaf.service() + "\n" + leaf.id() + "\n" + incarnation, StandardCharsets.UTF_8)
@@ -81,13 +81,13 @@
     }
 
     /** Bounds the lines about all leafs of this host. Owned by the event loop. */
-    static final class Lines {
+    static final class LogLimit {
         /** A leaf that ends breaks a call for each slot and some that wait; a few leafs a second can be followed. */
         private static final int LINES_A_SECOND = 20;
 
         private final RateBound bound;
 
-        Lines(MonotonicClock clock) {
+        LogLimit(MonotonicClock clock) {
             this.bound = new RateBound(clock, LINES_A_SECOND);
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestRoom.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestCapacity.java
@@ -16,7 +16,7 @@
 import org.bramblerack.version.routing.Team;
 
 /** Begins requests as this host has room for them. Owned by the event loop. */
-final class RequestRoom {
+final class RequestCapacity {
     /** What a leaf call takes of a host with a third of a core. */
     private static final Duration CALL_COST = Duration.ofNanos(300_000);
     /** What a team without a limit weighs: a few requests a second. */
@@ -29,7 +29,8 @@
     private final EntryAdmission<Held> room;
     private boolean looking;
 
-    RequestRoom(FleetView view, GatewayMetrics metrics, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
+    RequestCapacity(
+            FleetView view, GatewayMetrics metrics, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
         this.view = view;
         this.metrics = metrics;
         this.clock = clock;
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/HeldSinglesTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
@@ -51,7 +51,7 @@
  * A request to one shard alone goes through the host that holds the shard's connections, like a query: with a
  * connection of every host a leaf that takes 69 would get 94.
  */
-final class HeldSinglesTest {
+final class SingleRequestsThroughHoldersTest {
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aQueryOfAnotherVersionIsAskedAtTheShardsThatItNames() throws Exception {
+    void aQueryOfAnotherVersionRunsOnTheShardsThatItNames() throws Exception {
         for (int version : new int[] {VERSION_HERE - 1, VERSION_HERE, VERSION_HERE + 1}) {
             StageResult result = call(query().setConfigurationVersion(version));
             assertThat(result.getStatus()).isEqualTo(StageResult.Status.ANSWERED);
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -160,7 +160,7 @@
                 "team: evil\r\n folded",
                 "team: ours, theirs"
             })
-    void theLeafIsToldTheTeamOnceAndNeverTheKey(String fields) throws Exception {
+    void theLeafReceivesTheTeamOnceAndNeverTheKey(String fields) throws Exception {
         assertThat(status("/one/x", KEY, fields)).isEqualTo(200);
         assertThat(status("/one/x", fields, KEY)).isEqualTo(200);
         assertThat(atLeaf).hasSize(2);
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void anotherHostIsToldTheTeamAndNotTheKey() throws Exception {
+    void anotherHostReceivesTheTeamAndNotTheKey() throws Exception {
         apply(2, true, Teams.of(List.of(team("ours", "key-1"))));
         assertThat(status("/one/x", KEY, "team: evil")).isEqualTo(502);
         StageCall call = requireNonNull(atHosts.peek());
