--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ApplyCommand.java
@@ -70,9 +70,9 @@
             Map<String, String> headers = Map.of(
                     "Authorization",
                     "Bearer " + credential,
-                    OperatorApi.CHANGE_ID,
+                    OperatorApi.CHANGE_ID_HEADER,
                     changeId,
-                    OperatorApi.EXPECTED_REVISION,
+                    OperatorApi.EXPECTED_REVISION_HEADER,
                     expected);
             ApiClient.Reply reply = client.put(host, "/v1/declaration/" + partner, headers, text);
             if (!reply.isOk()) {
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
@@ -90,9 +90,9 @@
         Map<String, String> headers = Map.of(
                 "Authorization",
                 "Bearer " + DemoPlan.credential(partner),
-                OperatorApi.CHANGE_ID,
+                OperatorApi.CHANGE_ID_HEADER,
                 changeId,
-                OperatorApi.EXPECTED_REVISION,
+                OperatorApi.EXPECTED_REVISION_HEADER,
                 Long.toString(expected));
         ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, text);
         // A leader that loses its place leaves a change without a clear answer; sent again, it gets its first result.
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
@@ -141,8 +141,8 @@
         HttpResponse<Buffer> response = client.put(
                         address(host).getPort(), address(host).getHost(), "/v1/declaration/" + Topology.PARTNER)
                 .putHeader("Authorization", "Bearer " + Topology.CREDENTIAL)
-                .putHeader(OperatorApi.CHANGE_ID, changeId)
-                .putHeader(OperatorApi.EXPECTED_REVISION, Long.toString(expected))
+                .putHeader(OperatorApi.CHANGE_ID_HEADER, changeId)
+                .putHeader(OperatorApi.EXPECTED_REVISION_HEADER, Long.toString(expected))
                 .sendBuffer(Buffer.buffer(declarationText))
                 .await()
                 .atMost(PATIENCE);
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/ClaimsBench.java
@@ -98,7 +98,7 @@
     /** Holds every message to another host back for a time. Replies are not held back: the delay counts one way. */
     private record Delayed(Duration oneWay) implements LinkPolicy {
         @Override
-        public boolean isCut(String host) {
+        public boolean isPartitioned(String host) {
             return false;
         }
 
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
@@ -89,7 +89,7 @@
     private LinkPolicy linksOf(String self) {
         return new LinkPolicy() {
             @Override
-            public boolean isCut(String host) {
+            public boolean isPartitioned(String host) {
                 return cutOff.contains(self) != cutOff.contains(host);
             }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OperatorApi.java
@@ -44,9 +44,9 @@
  */
 public final class OperatorApi {
     /** Names the change, so that a resend after a lost answer is the same change. */
-    public static final String CHANGE_ID = "X-Change-Id";
+    public static final String CHANGE_ID_HEADER = "X-Change-Id";
     /** The revision of the partner's declaration that the change replaces; 0 if there is none. */
-    public static final String EXPECTED_REVISION = "X-Expected-Revision";
+    public static final String EXPECTED_REVISION_HEADER = "X-Expected-Revision";
 
     private static final Duration APPLY = Duration.ofSeconds(10);
     private static final Duration READ = Duration.ofSeconds(2);
@@ -81,8 +81,8 @@
 
     void apply(RoutingContext context) {
         String partner = context.pathParam("partner");
-        String changeId = String.valueOf(context.request().getHeader(CHANGE_ID));
-        String expectedText = context.request().getHeader(EXPECTED_REVISION);
+        String changeId = String.valueOf(context.request().getHeader(CHANGE_ID_HEADER));
+        String expectedText = context.request().getHeader(EXPECTED_REVISION_HEADER);
         Long expected = expectedText == null ? null : Longs.tryParse(expectedText);
         if (!isAuthorized(context, partner)) {
             refuse(
@@ -90,17 +90,19 @@
                     Refusal.of(
                             RefusalKind.UNAUTHORIZED,
                             "the credential of " + partner + " is missing or wrong; send it as a bearer token"));
-        } else if (context.request().getHeader(CHANGE_ID) == null || !RequestId.isValid(changeId)) {
+        } else if (context.request().getHeader(CHANGE_ID_HEADER) == null || !RequestId.isValid(changeId)) {
             refuse(
                     context,
                     Refusal.of(
-                            RefusalKind.BAD_REQUEST, "the header " + CHANGE_ID + " is missing or malformed; add it"));
+                            RefusalKind.BAD_REQUEST,
+                            "the header " + CHANGE_ID_HEADER + " is missing or malformed; add it"));
         } else if (expected == null || expected < 0) {
             refuse(
                     context,
                     Refusal.of(
                             RefusalKind.BAD_REQUEST,
-                            "the header " + EXPECTED_REVISION + " is missing or no revision; give the present one"));
+                            "the header " + EXPECTED_REVISION_HEADER
+                                    + " is missing or no revision; give the present one"));
         } else {
             applyChecked(context, partner, changeId, expected);
         }
@@ -199,7 +201,7 @@
                     Refusal.of(
                             RefusalKind.CHANGE_UNKNOWN,
                             "it is not known whether the change was accepted; send it again with the same "
-                                    + CHANGE_ID));
+                                    + CHANGE_ID_HEADER));
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -247,7 +247,7 @@
         if (!notSent) {
             // The connection hangs, or the host does: another connection is made with the next probe.
             link.suspect(clock.nowNanos());
-            network.forget(link.host);
+            network.disconnect(link.host);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/LinkPolicy.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/LinkPolicy.java
@@ -12,7 +12,7 @@
     /** Passes every message on at once. */
     LinkPolicy OPEN = new LinkPolicy() {
         @Override
-        public boolean isCut(String host) {
+        public boolean isPartitioned(String host) {
             return false;
         }
 
@@ -23,7 +23,7 @@
     };
 
     /** Returns true if messages to and from a host are dropped. */
-    boolean isCut(String host);
+    boolean isPartitioned(String host);
 
     /** Returns how long a message to a host is held back. */
     Duration delay(String host);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerConnection.java
@@ -93,7 +93,7 @@
     }
 
     private void sendOn(@Nullable Channel open, Envelope.Builder message) {
-        if (open != null && open.isWritable() && !links.isCut(remote.name())) {
+        if (open != null && open.isWritable() && !links.isPartitioned(remote.name())) {
             write(open, message.setSender(self).build());
         }
     }
@@ -149,7 +149,7 @@
             Duration timeout,
             Consumer<Envelope> progress,
             UniEmitter<? super Envelope> emitter) {
-        if (open == null || !open.isWritable() || links.isCut(remote.name())) {
+        if (open == null || !open.isWritable() || links.isPartitioned(remote.name())) {
             emitter.fail(new PeerFailure(PeerFailure.Kind.NOT_SENT, "no connection to " + remote.name()));
             return;
         }
@@ -256,7 +256,7 @@
             open.close();
             return;
         }
-        if (!links.isCut(remote.name())) {
+        if (!links.isPartitioned(remote.name())) {
             open.writeAndFlush(Envelope.newBuilder()
                     .setSender(self)
                     .setPing(Ping.getDefaultInstance())
@@ -294,7 +294,7 @@
     private final class Replies extends SimpleChannelInboundHandler<Envelope> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-            if (links.isCut(remote.name())) {
+            if (links.isPartitioned(remote.name())) {
                 return;
             }
             unansweredSinceNanos = Optional.empty();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerNetwork.java
@@ -126,7 +126,7 @@
     }
 
     /** Closes the connection to a host that is gone; it is made again if it is needed after all. */
-    public void forget(String host) {
+    public void disconnect(String host) {
         if (findsByAddress) {
             Optional.ofNullable(connections.remove(host)).ifPresent(PeerConnection::close);
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
@@ -78,7 +78,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-            if (links.isCut(message.getSender())) {
+            if (links.isPartitioned(message.getSender())) {
                 return;
             }
             if (message.hasPing()) {
@@ -88,7 +88,7 @@
             Channel channel = context.channel();
             long correlation = message.getCorrelationId();
             handler.handle(message, reply -> {
-                if (!links.isCut(message.getSender())) {
+                if (!links.isPartitioned(message.getSender())) {
                     Envelope built =
                             reply.setReply(true).setCorrelationId(correlation).build();
                     traffic.sent(message.getSender(), built);
