--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExplainCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExplainCommand.java
@@ -48,7 +48,7 @@
                 throw new IOException(name + " cannot be read; give the files that the hosts' output went to");
             }
             try (Stream<String> lines = Files.lines(path)) {
-                lines.forEach(text -> LoggedEvent.read(String.valueOf(path.getFileName()), text)
+                lines.forEach(text -> LoggedEvent.parse(String.valueOf(path.getFileName()), text)
                         .ifPresent(events::add));
             }
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/InitVoterCommand.java
@@ -44,7 +44,7 @@
             Faults.print(file, settings.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        if (!settings.get().has(Role.CONTROL)) {
+        if (!settings.get().hasRole(Role.CONTROL)) {
             out.println(file + ": the host has no control role; add it to roles first");
             return ExitCode.REFUSED;
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
@@ -229,7 +229,7 @@
 
     private void initializeVoter(int host) throws IOException {
         Settings settings = SettingsReader.read(topology.settings(host)).get();
-        if (settings.has(Role.CONTROL)) {
+        if (settings.hasRole(Role.CONTROL)) {
             new FileLogStore(settings.controlFolder()).initialize();
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/BoundedAppender.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns how many lines were dropped so far. */
-    public long lostLines() {
+    public long droppedLineCount() {
         return lost.get();
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/RateBound.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
@@ -10,7 +10,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class RateBound {
+public final class LogRateLimiter {
     private static final long PERIOD_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final MonotonicClock clock;
@@ -20,7 +20,7 @@
     private long leftOut;
 
     /** Creates a bound that lets the given number of lines through in each second. */
-    public RateBound(MonotonicClock clock, int linesASecond) {
+    public LogRateLimiter(MonotonicClock clock, int linesASecond) {
         checkArgument(linesASecond > 0, "%s lines a second", linesASecond);
         this.clock = clock;
         this.linesASecond = linesASecond;
@@ -28,7 +28,7 @@
     }
 
     /** Returns true if a line may be written now; otherwise counts it as left out. */
-    public boolean admits() {
+    public boolean tryAcquire() {
         long nowNanos = clock.nowNanos();
         if (nowNanos - periodBeganNanos >= PERIOD_NANOS) {
             periodBeganNanos = nowNanos;
@@ -43,7 +43,7 @@
     }
 
     /** Returns how many lines were left out since the last call of this method. */
-    public long takeLeftOut() {
+    public long takeSuppressedCount() {
         long taken = leftOut;
         leftOut = 0;
         return taken;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LoggedEvent.java
@@ -26,7 +26,7 @@
      *
      * @return the event, or nothing if the line is not one: other programs may write to the same output
      */
-    public static Optional<LoggedEvent> read(String file, String line) {
+    public static Optional<LoggedEvent> parse(String file, String line) {
         int begin = line.indexOf('{');
         if (begin < 0) {
             return Optional.empty();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DecisionLog.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DecisionLog.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.bramblerack.daemon.event.EventLog;
-import org.bramblerack.daemon.event.RateBound;
+import org.bramblerack.daemon.event.LogRateLimiter;
 import org.bramblerack.process.MonotonicClock;
 
 /**
@@ -21,20 +21,20 @@
 
     private final MonotonicClock clock;
     private final FleetView view;
-    private final RateBound imperfect;
-    private final RateBound ordinary;
+    private final LogRateLimiter imperfect;
+    private final LogRateLimiter ordinary;
 
     DecisionLog(MonotonicClock clock, FleetView view) {
         this.clock = clock;
         this.view = view;
-        this.imperfect = new RateBound(clock, IMPERFECT_LINES_A_SECOND);
-        this.ordinary = new RateBound(clock, ORDINARY_LINES_A_SECOND);
+        this.imperfect = new LogRateLimiter(clock, IMPERFECT_LINES_A_SECOND);
+        this.ordinary = new LogRateLimiter(clock, ORDINARY_LINES_A_SECOND);
     }
 
     /** Writes a line about a request that ended as well as it could, if one is due. */
     void ordinary(RoutedCall call, String outcome) {
-        if (ordinary.admits()) {
-            ordinary.takeLeftOut();
+        if (ordinary.tryAcquire()) {
+            ordinary.takeSuppressedCount();
             line(call, outcome).write();
         }
     }
@@ -45,7 +45,7 @@
      * @param details adds what decided it; called only if the line is written
      */
     void imperfect(RoutedCall call, String outcome, Consumer<EventLog.Line> details) {
-        if (!imperfect.admits()) {
+        if (!imperfect.tryAcquire()) {
             return;
         }
         sayWhatWasLeftOut();
@@ -60,7 +60,7 @@
      * @param details adds what decided it; called only if the line is written
      */
     void refusedUnrouted(String requestId, String host, String path, String outcome, Consumer<EventLog.Line> details) {
-        if (imperfect.admits()) {
+        if (imperfect.tryAcquire()) {
             sayWhatWasLeftOut();
             EventLog.Line line = EVENTS.info("request_ended")
                     .with("request", requestId)
@@ -75,7 +75,7 @@
     }
 
     private void sayWhatWasLeftOut() {
-        long leftOut = imperfect.takeLeftOut();
+        long leftOut = imperfect.takeSuppressedCount();
         if (leftOut > 0) {
             EVENTS.info("request_lines_left_out").with("count", leftOut).write();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.bramblerack.daemon.event.EventLog;
-import org.bramblerack.daemon.event.RateBound;
+import org.bramblerack.daemon.event.LogRateLimiter;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.SuspendDetector;
@@ -62,7 +62,7 @@
     private final QuotaClient spender;
     private final QuotaServer keeper;
     private final SuspendDetector suspendWatch;
-    private final RateBound lines;
+    private final LogRateLimiter lines;
     private final Map<Long, Asker> askers = new HashMap<>();
     private final Map<Long, Reporter> reporters = new HashMap<>();
     private ImmutableList<String> hosts = ImmutableList.of();
@@ -100,7 +100,7 @@
         this.spender = new QuotaClient(self, bound, random, nowNanos);
         this.keeper = new QuotaServer(self, bound, nowNanos);
         this.suspendWatch = new SuspendDetector(LEAST_SUSPENSION, nowNanos, wallClock.millis());
-        this.lines = new RateBound(clock, LINES_A_SECOND);
+        this.lines = new LogRateLimiter(clock, LINES_A_SECOND);
     }
 
     @Override
@@ -298,7 +298,7 @@
     private void reportFailed(long id, String host, String reason) {
         if (spender.handleReportFailure(id, refresh())) {
             metrics.reportFailed();
-            if (lines.admits()) {
+            if (lines.tryAcquire()) {
                 EVENTS.info("limit_keeper_away")
                         .with("keeper", host)
                         .with("reason", reason)
@@ -329,7 +329,7 @@
 
     private void tookOver(QuotaAction.RecordTakeover tookOver) {
         metrics.tookOver();
-        if (lines.admits()) {
+        if (lines.tryAcquire()) {
             EVENTS.info("limit_accounts_taken_over")
                     .with("owner", tookOver.owner())
                     .with("keeper", self)
@@ -342,7 +342,7 @@
         spender.handleNotice(notice);
         for (TeamAllowance team : notice.getTeamsList()) {
             metrics.turned(team.getMustAsk());
-            if (lines.admits()) {
+            if (lines.tryAcquire()) {
                 EVENTS.info(team.getMustAsk() ? "team_must_ask" : "team_is_free")
                         .with("team", team.getTeam())
                         .with("keeper", self)
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
@@ -57,7 +57,7 @@
             carryOut(request.onAnswer(attempt));
         } else {
             metrics.count(answer.outcome());
-            carryOut(request.onFailure(attempt, answer.outcome(), answer.mayBePassedOn(), clock.nowNanos()));
+            carryOut(request.onFailure(attempt, answer.outcome(), answer.mayBeForwarded(), clock.nowNanos()));
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -412,7 +412,7 @@
                 .setTeam(routed.caller().teamName())
                 .setPriority(routed.priority());
         exchange.headers().forEach(header -> {
-            if (LeafRequest.isToldToHosts(header.getKey(), names)) {
+            if (LeafRequest.isForwardedToHosts(header.getKey(), names)) {
                 call.addHeaderNames(header.getKey()).addHeaderValues(header.getValue());
             }
         });
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.bramblerack.daemon.leaf.LeafAnswer;
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.peer.PeerNetwork;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.HarmfulRequestFilter;
@@ -174,7 +174,7 @@
             }
             taker.accept(result);
         });
-        LeafConnections.Ticket ticket = runs.holderPath(query.get())
+        LeafConnections.CallHandle ticket = runs.holderPath(query.get())
                 .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), first);
         // Half of the time that is left: the query itself needs the rest.
         long waitNanos = Math.max(0, call.times().deadlineNanos() - nowNanos) / 2;
@@ -182,7 +182,7 @@
     }
 
     /** The call on the first shard. */
-    private final class First implements LeafExchange {
+    private final class First implements LeafCallback {
         private final Leaf leaf;
         private final Leaf.Call call;
         private final Consumer<Result> taker;
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void answered(LeafAnswer answer) {
+        public void onAnswer(LeafAnswer answer) {
             if (!over) {
                 leaf.end(call, answer.outcome(), answer.load(), clock.nowNanos());
                 end(answer.outcome().isNotRun() ? Result.NOT_RUN : Result.SERVE);
@@ -203,7 +203,7 @@
         }
 
         @Override
-        public void failed(LeafOutcome outcome) {
+        public void onFailure(LeafOutcome outcome) {
             if (!over) {
                 leaf.end(call, outcome, Optional.empty(), clock.nowNanos());
                 boolean broke = outcome == LeafOutcome.BROKEN || outcome == LeafOutcome.GARBLED;
@@ -212,11 +212,11 @@
             }
         }
 
-        void giveUp(LeafConnections.Ticket ticket) {
+        void giveUp(LeafConnections.CallHandle ticket) {
             if (!over) {
                 leaf.abandon(call, clock.nowNanos());
                 over = true;
-                taker.accept(ticket.giveUp() ? Result.NOT_RUN : Result.SILENT);
+                taker.accept(ticket.abandon() ? Result.NOT_RUN : Result.SILENT);
             }
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.bramblerack.daemon.leaf.LeafAnswer;
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.leaf.Leaf;
@@ -71,7 +71,7 @@
                 .setStatusCode(answer.status())
                 .setRecords(answer.body());
         answer.headers().forEach(header -> {
-            if (!LeafRequest.isOfOneConnection(header.getKey())) {
+            if (!LeafRequest.isHopByHop(header.getKey())) {
                 result.addHeaderNames(header.getKey()).addHeaderValues(header.getValue());
             }
         });
@@ -79,12 +79,12 @@
     }
 
     /** One call under way. */
-    private final class Exchange implements LeafExchange {
+    private final class Exchange implements LeafCallback {
         private final Leaf leaf;
         private final Leaf.Call call;
         private final boolean wholeAnswer;
         private final Consumer<Envelope.Builder> reply;
-        private Optional<LeafConnections.Ticket> ticket = Optional.empty();
+        private Optional<LeafConnections.CallHandle> ticket = Optional.empty();
 
         Exchange(Leaf leaf, Leaf.Call call, boolean wholeAnswer, Consumer<Envelope.Builder> reply) {
             this.leaf = leaf;
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public void answered(LeafAnswer answer) {
+        public void onAnswer(LeafAnswer answer) {
             leaf.end(call, answer.outcome(), answer.load(), clock.nowNanos());
             if (wholeAnswer) {
                 reply.accept(Envelope.newBuilder().setStageResult(whole(answer)));
@@ -112,7 +112,7 @@
         }
 
         @Override
-        public void failed(LeafOutcome outcome) {
+        public void onFailure(LeafOutcome outcome) {
             if (leaf.isUnderWay(call)) {
                 leaf.end(call, outcome, Optional.empty(), clock.nowNanos());
                 reply.accept(ended(outcome));
@@ -122,7 +122,7 @@
         void giveUp() {
             if (leaf.isUnderWay(call)) {
                 leaf.abandon(call, clock.nowNanos());
-                ticket.ifPresent(LeafConnections.Ticket::giveUp);
+                ticket.ifPresent(LeafConnections.CallHandle::abandon);
             }
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import org.bramblerack.daemon.leaf.CallHeaders;
 import org.bramblerack.daemon.leaf.LeafAnswer;
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.daemon.peer.PeerFailure;
 import org.bramblerack.process.MonotonicClock;
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public LeafConnections.Ticket send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafExchange taker) {
+    public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback taker) {
         Optional<StageLinks.Link> holder =
                 links.firstUsable(view.holdersOf(leaf), leaf.id(), homes, query.getPassedOverList());
         if (holder.isEmpty()) {
@@ -60,16 +60,16 @@
     }
 
     /** One call through one holder. */
-    private final class HeldCall implements LeafConnections.Ticket {
+    private final class HeldCall implements LeafConnections.CallHandle {
         private final StageLinks.Link holder;
         private final String leafId;
         private final LeafRequest request;
-        private final LeafExchange taker;
+        private final LeafCallback taker;
         private final long number = links.nextCall();
         private boolean over;
         private boolean made;
 
-        HeldCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafExchange taker) {
+        HeldCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafCallback taker) {
             this.holder = holder;
             this.leafId = leafId;
             this.request = request;
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean abandon() {
             if (over) {
                 return false;
             }
@@ -118,10 +118,10 @@
                 if (answer.showsSurvival()) {
                     survived();
                 }
-                taker.answered(answer);
+                taker.onAnswer(answer);
             } else if (result.getStatus() == StageResult.Status.ANSWERED && result.getSignaturesCount() == 1) {
                 survived();
-                taker.answered(new LeafAnswer(
+                taker.onAnswer(new LeafAnswer(
                         OK,
                         EmptyHttpHeaders.INSTANCE,
                         result.getRecords(),
@@ -133,7 +133,7 @@
                 if (!outcome.isSent() && outcome != LeafOutcome.BARRED) {
                     holder.cannotReach(leafId, clock.nowNanos());
                 }
-                taker.failed(outcome);
+                taker.onFailure(outcome);
             }
         }
 
@@ -149,7 +149,7 @@
             holder.end();
             holder.suspect(clock.nowNanos());
             boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-            taker.failed(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
+            taker.onFailure(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
         }
 
         private HttpHeaders headers(StageResult result) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.bramblerack.daemon.leaf.CallHeaders;
-import org.bramblerack.daemon.leaf.CallWatch;
+import org.bramblerack.daemon.leaf.CallMonitor;
 import org.bramblerack.daemon.leaf.ConnectionEvent;
 import org.bramblerack.daemon.leaf.LeafConnections;
 import org.bramblerack.process.MonotonicClock;
@@ -65,7 +65,7 @@
                         harmWatch(leaf)));
     }
 
-    private CallWatch harmWatch(Leaf leaf) {
+    private CallMonitor harmWatch(Leaf leaf) {
         long incarnation =
                 view.leafRecord(leaf.id()).map(LeafRecord::getIncarnation).orElse(0L);
         return new LeafHarm(leaf, incarnation, view.harm(), harmLines, clock);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
@@ -4,8 +4,8 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 import org.bramblerack.daemon.event.EventLog;
-import org.bramblerack.daemon.event.RateBound;
-import org.bramblerack.daemon.leaf.CallWatch;
+import org.bramblerack.daemon.event.LogRateLimiter;
+import org.bramblerack.daemon.leaf.CallMonitor;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.process.MonotonicClock;
 import org.bramblerack.process.harm.Arrival;
@@ -15,7 +15,7 @@
 import org.bramblerack.process.leaf.LeafOutcome;
 
 /** Keeps harmful requests from one start of a leaf, and tells what was on it when it ended. Owned by the event loop. */
-final class LeafHarm implements CallWatch {
+final class LeafHarm implements CallMonitor {
     private static final EventLog EVENTS = EventLog.of(LeafHarm.class);
 
     private final Leaf leaf;
@@ -47,12 +47,12 @@
     }
 
     @Override
-    public void answered(LeafRequest request) {
+    public void onAnswered(LeafRequest request) {
         guard.recordSurvival(request.fingerprints(), clock.nowNanos());
     }
 
     @Override
-    public void failed(LeafRequest request, LeafOutcome outcome) {
+    public void onFailed(LeafRequest request, LeafOutcome outcome) {
         guard.recordDisconnect(request.arrival(), clock.nowNanos());
         if (lines.admit()) {
             EVENTS.info("call_broken")
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void leafEnded(ImmutableList<LeafRequest> onIt) {
+    public void onLeafEnded(ImmutableList<LeafRequest> onIt) {
         ImmutableList<Arrival> arrivals =
                 onIt.stream().map(LeafRequest::arrival).distinct().collect(ImmutableList.toImmutableList());
         guard.recordLeafEnd(leafStart, arrivals, clock.nowNanos());
@@ -85,17 +85,17 @@
         /** A leaf that ends breaks a call for each slot and some that wait; a few leafs a second can be followed. */
         private static final int LINES_A_SECOND = 20;
 
-        private final RateBound bound;
+        private final LogRateLimiter bound;
 
         LogLimit(MonotonicClock clock) {
-            this.bound = new RateBound(clock, LINES_A_SECOND);
+            this.bound = new LogRateLimiter(clock, LINES_A_SECOND);
         }
 
         private boolean admit() {
-            if (!bound.admits()) {
+            if (!bound.tryAcquire()) {
                 return false;
             }
-            long leftOut = bound.takeLeftOut();
+            long leftOut = bound.takeSuppressedCount();
             if (leftOut > 0) {
                 EVENTS.info("call_lines_left_out").with("count", leftOut).write();
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
@@ -1,7 +1,7 @@
 package org.bramblerack.daemon.gateway;
 
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.process.leaf.Leaf;
 
@@ -15,5 +15,5 @@
      * @param taker takes what comes of it
      * @return what to call to give the request up
      */
-    LeafConnections.Ticket send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafExchange taker);
+    LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback taker);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import org.bramblerack.daemon.event.EventLog;
 import org.bramblerack.daemon.leaf.LeafAnswer;
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.process.LatencyTracker;
 import org.bramblerack.process.MonotonicClock;
@@ -73,9 +73,9 @@
     void send(Attempt attempt, Taker taker) {
         Leaf leaf = attempt.leaf();
         Leaf.Call call = leaf.begin(expectedNanos, clock.nowNanos());
-        LeafExchange exchange = new LeafExchange() {
+        LeafCallback exchange = new LeafCallback() {
             @Override
-            public void answered(LeafAnswer answer) {
+            public void onAnswer(LeafAnswer answer) {
                 long nowNanos = clock.nowNanos();
                 underWay.remove(attempt);
                 end(leaf, call, answer.outcome(), answer.load(), nowNanos);
@@ -86,7 +86,7 @@
             }
 
             @Override
-            public void failed(LeafOutcome outcome) {
+            public void onFailure(LeafOutcome outcome) {
                 underWay.remove(attempt);
                 if (!leaf.isUnderWay(call)) {
                     // This host gave it up, and closed the connection itself.
@@ -96,7 +96,7 @@
                 taker.failed(attempt, outcome);
             }
         };
-        LeafConnections.Ticket ticket = path.send(leaf, request, leafDeadlineNanos, exchange);
+        LeafConnections.CallHandle ticket = path.send(leaf, request, leafDeadlineNanos, exchange);
         if (leaf.isUnderWay(call)) {
             underWay.put(attempt, new Sent(ticket, call));
         }
@@ -122,7 +122,7 @@
         Sent sent = underWay.remove(attempt);
         if (sent != null) {
             attempt.leaf().abandon(sent.call(), clock.nowNanos());
-            if (sent.ticket().giveUp()) {
+            if (sent.ticket().abandon()) {
                 attempt.markNeverSent();
             }
         }
@@ -160,5 +160,5 @@
     }
 
     /** A call that was sent, or waits for a connection. */
-    private record Sent(LeafConnections.Ticket ticket, Leaf.Call call) {}
+    private record Sent(LeafConnections.CallHandle ticket, Leaf.Call call) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -23,10 +23,10 @@
 import org.bramblerack.daemon.http.HttpExchange;
 import org.bramblerack.daemon.http.HttpListener;
 import org.bramblerack.daemon.leaf.CallHeaders;
-import org.bramblerack.daemon.leaf.CallWatch;
+import org.bramblerack.daemon.leaf.CallMonitor;
 import org.bramblerack.daemon.leaf.LeafAnswer;
+import org.bramblerack.daemon.leaf.LeafCallback;
 import org.bramblerack.daemon.leaf.LeafConnections;
-import org.bramblerack.daemon.leaf.LeafExchange;
 import org.bramblerack.daemon.leaf.LeafRequest;
 import org.bramblerack.daemon.peer.LinkPolicy;
 import org.bramblerack.daemon.peer.PeerNetwork;
@@ -278,14 +278,14 @@
     }
 
     /** Sends one query after the other. Owned by the event loop. */
-    private final class Caller implements LeafExchange {
+    private final class Caller implements LeafCallback {
         private final LeafConnections connections;
         private int sent;
 
         Caller() {
             Leaf target = new Leaf(
                     "entry", "entry", callerAddress.toString(), Distance.SAME_ZONE, 1, Duration.ZERO, clock.nowNanos());
-            this.connections = new LeafConnections(target, group, names, clock, () -> 1, event -> {}, CallWatch.NONE);
+            this.connections = new LeafConnections(target, group, names, clock, () -> 1, event -> {}, CallMonitor.NONE);
         }
 
         void next() {
@@ -312,12 +312,12 @@
         }
 
         @Override
-        public void answered(LeafAnswer answer) {
+        public void onAnswer(LeafAnswer answer) {
             next();
         }
 
         @Override
-        public void failed(LeafOutcome outcome) {
+        public void onFailure(LeafOutcome outcome) {
             LOGGER.log(Logger.Level.DEBUG, "a warm-up query failed: {0}", outcome);
             next();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/HostProcess.java
@@ -82,7 +82,7 @@
         this.workers = new Workers(settings.host(), settings.workers());
         this.network = new PeerNetwork(settings.host(), settings.hosts(), group, links, traffic);
         MembershipTable membership = new MembershipTable();
-        this.directory = new ServiceDirectory(settings.zone(), settings::hostsOf);
+        this.directory = new ServiceDirectory(settings.zone(), settings::hostsInZone);
         StatusBoard statuses = new StatusBoard(settings.host(), directory);
         UpstreamHarm harm = new UpstreamHarm(clock, wallClock);
         this.holders = new HolderService(
@@ -270,7 +270,7 @@
             MonotonicClock clock,
             InstantSource wallClock,
             RandomGenerator random) {
-        if (!settings.has(Role.CONTROL)) {
+        if (!settings.hasRole(Role.CONTROL)) {
             return Optional.empty();
         }
         return Optional.of(new ControlNode(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafAnswer.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns true if a caller may be given it as it is. */
-    public boolean mayBePassedOn() {
+    public boolean mayBeForwarded() {
         return signature.isPresent() && (outcome == LeafOutcome.SUCCEEDED || outcome == LeafOutcome.FAILED);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnection.java
@@ -38,7 +38,7 @@
     private final CallHeaders names;
     private final MonotonicClock clock;
     private @Nullable Channel channel;
-    private @Nullable LeafExchange exchange;
+    private @Nullable LeafCallback exchange;
     private String requestId = "";
     private @Nullable HttpResponse response;
     private @Nullable CompositeByteBuf body;
@@ -61,10 +61,10 @@
     }
 
     /** Sends a request; the connection must be idle. */
-    void send(LeafRequest request, String leafId, long remainingMillis, LeafExchange taker) {
+    void send(LeafRequest request, String leafId, long remainingMillis, LeafCallback taker) {
         Channel open = channel;
         if (open == null || !open.isActive()) {
-            taker.failed(LeafOutcome.UNREACHABLE);
+            taker.onFailure(LeafOutcome.UNREACHABLE);
             return;
         }
         exchange = taker;
@@ -209,7 +209,7 @@
     }
 
     private void complete(LeafAnswer answer) {
-        LeafExchange taker = exchange;
+        LeafCallback taker = exchange;
         exchange = null;
         idleSinceNanos = clock.nowNanos();
         if (keepsOpen) {
@@ -218,7 +218,7 @@
             close(ConnectionEvent.ENDED_BY_ANSWER);
         }
         if (taker != null) {
-            taker.answered(answer);
+            taker.onAnswer(answer);
         }
     }
 
@@ -230,10 +230,10 @@
     }
 
     private void fail(LeafOutcome outcome) {
-        LeafExchange taker = exchange;
+        LeafCallback taker = exchange;
         exchange = null;
         if (taker != null) {
-            taker.failed(outcome);
+            taker.onFailure(outcome);
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafConnections.java
@@ -39,7 +39,7 @@
     private final MonotonicClock clock;
     private final IntSupplier share;
     private final Consumer<ConnectionEvent> observer;
-    private final CallWatch watch;
+    private final CallMonitor watch;
     private final LeafEndDetector<LeafRequest> calls = new LeafEndDetector<>();
     private final Deque<LeafConnection> idle = new ArrayDeque<>();
     private final List<LeafConnection> open = new ArrayList<>(4);
@@ -60,7 +60,7 @@
             MonotonicClock clock,
             IntSupplier share,
             Consumer<ConnectionEvent> observer,
-            CallWatch watch) {
+            CallMonitor watch) {
         this.leaf = leaf;
         this.group = group;
         this.names = names;
@@ -78,21 +78,21 @@
      * @param deadlineNanos when the sender stops waiting
      * @return what to call to give the request up
      */
-    public Ticket send(LeafRequest request, long deadlineNanos, LeafExchange taker) {
+    public CallHandle send(LeafRequest request, long deadlineNanos, LeafCallback taker) {
         Pending pending = new Pending(request, deadlineNanos, taker);
         if (!watch.maySend(request)) {
-            taker.failed(LeafOutcome.BARRED);
+            taker.onFailure(LeafOutcome.BARRED);
             return pending;
         }
         if (!leaf.acceptsWork() || !request.mayBeSentTo(leaf)) {
-            taker.failed(LeafOutcome.NO_CONNECTION);
+            taker.onFailure(LeafOutcome.NO_CONNECTION);
             return pending;
         }
         LeafConnection free = takeIdle(request.requestId());
         if (free != null) {
             pending.sendOn(free);
         } else if (waiting.size() >= MAX_WAITING) {
-            taker.failed(LeafOutcome.NO_CONNECTION);
+            taker.onFailure(LeafOutcome.NO_CONNECTION);
         } else {
             waiting.addLast(pending);
             connectIfAllowed();
@@ -221,7 +221,7 @@
         observer.accept(ConnectionEvent.NOT_MADE);
         ImmutableList<LeafRequest> onIt = calls.onConnectFailed(clock.nowNanos());
         if (!onIt.isEmpty() && leaf.acceptsWork()) {
-            watch.leafEnded(onIt);
+            watch.onLeafEnded(onIt);
         }
         failWaiting(LeafOutcome.UNREACHABLE);
     }
@@ -230,30 +230,30 @@
         Pending next = nextWaiting();
         while (next != null) {
             next.done = true;
-            next.taker.failed(outcome);
+            next.taker.onFailure(outcome);
             next = nextWaiting();
         }
     }
 
     /** A way to give up a request that was handed over for sending. */
-    public interface Ticket {
+    public interface CallHandle {
         /**
          * Gives the request up. If it was sent, its connection is closed, so that the leaf drops it.
          *
          * @return true if it was never sent
          */
-        boolean giveUp();
+        boolean abandon();
     }
 
-    private final class Pending implements Ticket {
+    private final class Pending implements CallHandle {
         private final LeafRequest request;
         private final long deadlineNanos;
-        private final LeafExchange taker;
+        private final LeafCallback taker;
         private @Nullable LeafConnection connection;
         private boolean givenUp;
         private boolean done;
 
-        Pending(LeafRequest request, long deadlineNanos, LeafExchange taker) {
+        Pending(LeafRequest request, long deadlineNanos, LeafCallback taker) {
             this.request = request;
             this.deadlineNanos = deadlineNanos;
             this.taker = taker;
@@ -264,34 +264,34 @@
                 // It waited for a connection while the others were found to end with it.
                 done = true;
                 idle(free);
-                taker.failed(LeafOutcome.BARRED);
+                taker.onFailure(LeafOutcome.BARRED);
                 return;
             }
             if (!leaf.tryAdmit(clock.nowNanos())) {
                 done = true;
                 idle(free);
-                taker.failed(LeafOutcome.NO_CONNECTION);
+                taker.onFailure(LeafOutcome.NO_CONNECTION);
                 return;
             }
             connection = free;
             calls.onSent(request);
             long remainingMillis = Math.max(1, (deadlineNanos - clock.nowNanos()) / NANOS_PER_MILLI);
-            free.send(request, leaf.id(), remainingMillis, new LeafExchange() {
+            free.send(request, leaf.id(), remainingMillis, new LeafCallback() {
                 @Override
-                public void answered(LeafAnswer answer) {
+                public void onAnswer(LeafAnswer answer) {
                     done = true;
                     calls.onAnswered(request);
                     if (answer.showsSurvival()) {
-                        watch.answered(request);
+                        watch.onAnswered(request);
                     }
-                    taker.answered(answer);
+                    taker.onAnswer(answer);
                 }
 
                 @Override
-                public void failed(LeafOutcome outcome) {
+                public void onFailure(LeafOutcome outcome) {
                     done = true;
                     noteFailure(outcome);
-                    taker.failed(outcome);
+                    taker.onFailure(outcome);
                 }
             });
         }
@@ -300,7 +300,7 @@
             if (givenUp) {
                 return;
             }
-            watch.failed(request, outcome);
+            watch.onFailed(request, outcome);
             if (outcome == LeafOutcome.BROKEN) {
                 calls.onDisconnected(request, clock.nowNanos());
             } else {
@@ -313,13 +313,13 @@
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean abandon() {
             if (givenUp || done) {
                 return false;
             }
             givenUp = true;
             if (connection == null) {
-                taker.failed(LeafOutcome.NO_CONNECTION);
+                taker.onFailure(LeafOutcome.NO_CONNECTION);
                 return true;
             }
             calls.onAbandoned(request, clock.nowNanos());
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -93,7 +93,7 @@
             } else if (header.getKey().equalsIgnoreCase(CREDENTIALS)) {
                 credentials = header.getValue();
             }
-            if (isPassedOn(header.getKey(), nominated, names)) {
+            if (isForwardedToLeaf(header.getKey(), nominated, names)) {
                 text.append(header.getKey())
                         .append(": ")
                         .append(header.getValue())
@@ -168,16 +168,16 @@
     }
 
     /** Returns true if a header field of an answer concerns one connection only. */
-    public static boolean isOfOneConnection(String name) {
+    public static boolean isHopByHop(String name) {
         return OF_ONE_CONNECTION.contains(name.toLowerCase(Locale.ROOT));
     }
 
     /** Returns true if another host that asks leafs on behalf of this one is told a header field of the caller. */
-    public static boolean isToldToHosts(String name, CallHeaders names) {
-        return !isOfOneConnection(name) && !name.equalsIgnoreCase(names.team());
+    public static boolean isForwardedToHosts(String name, CallHeaders names) {
+        return !isHopByHop(name) && !name.equalsIgnoreCase(names.team());
     }
 
-    private static boolean isPassedOn(String name, Set<String> nominated, CallHeaders names) {
+    private static boolean isForwardedToLeaf(String name, Set<String> nominated, CallHeaders names) {
         String lower = name.toLowerCase(Locale.ROOT);
         return !OF_ONE_CONNECTION.contains(lower)
                 && !nominated.contains(lower)
@@ -200,7 +200,7 @@
     /** Returns the header fields of an answer that a caller gets as well. */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         for (Map.Entry<String, String> header : from) {
-            if (!isOfOneConnection(header.getKey())) {
+            if (!isHopByHop(header.getKey())) {
                 to.add(header.getKey(), header.getValue());
             }
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Settings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/Settings.java
@@ -42,7 +42,7 @@
         int maxQueries) {
 
     /** Returns true if the process has a role. */
-    public boolean has(Role role) {
+    public boolean hasRole(Role role) {
         return roles.contains(role);
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** Returns the names of all hosts of an availability zone, live or not. */
-    public ImmutableList<String> hostsOf(String hostZone) {
+    public ImmutableList<String> hostsInZone(String hostZone) {
         return hosts.stream()
                 .filter(entry -> entry.zone().equals(hostZone))
                 .map(HostEntry::name)
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
@@ -51,15 +51,15 @@
         appender.stop();
         List<String> written = List.copyOf(lines);
         LoggedEvent event =
-                LoggedEvent.read("host", "12.5 prefix " + written.get(0)).orElseThrow();
+                LoggedEvent.parse("host", "12.5 prefix " + written.get(0)).orElseThrow();
         assertThat(event.event()).isEqualTo("request_ended");
         assertThat(event.field("request")).isEqualTo("a\"b\n");
         assertThat(event.field("missing")).isEqualTo("3");
         assertThat(event.field("held")).isEqualTo("true");
         assertThat(event.field("source")).isEqualTo("Some");
         assertThat(written.get(1)).contains("\"message\":\"plain\"");
-        assertThat(LoggedEvent.read("host", written.get(1))).isEqualTo(Optional.empty());
-        assertThat(LoggedEvent.read("host", "{broken")).isEqualTo(Optional.empty());
+        assertThat(LoggedEvent.parse("host", written.get(1))).isEqualTo(Optional.empty());
+        assertThat(LoggedEvent.parse("host", "{broken")).isEqualTo(Optional.empty());
     }
 
     @Test
@@ -76,25 +76,25 @@
             logger.info("line");
         }
         assertThat(written.get()).isEqualTo(0);
-        assertThat(appender.lostLines()).isAtLeast(FLOOD_LINES / 2L);
+        assertThat(appender.droppedLineCount()).isAtLeast(FLOOD_LINES / 2L);
         unblocked.countDown();
         appender.stop();
-        assertThat(written.get() + appender.lostLines()).isAtMost(FLOOD_LINES);
+        assertThat(written.get() + appender.droppedLineCount()).isAtMost(FLOOD_LINES);
     }
 
     @Test
     void aBoundLetsSoManyThroughInASecondAndCountsTheRest() {
         AtomicLong nowNanos = new AtomicLong();
-        RateBound bound = new RateBound(nowNanos::get, 3);
+        LogRateLimiter bound = new LogRateLimiter(nowNanos::get, 3);
         int admitted = 0;
         for (int line = 0; line < 10; line++) {
-            admitted += bound.admits() ? 1 : 0;
+            admitted += bound.tryAcquire() ? 1 : 0;
         }
         assertThat(admitted).isEqualTo(3);
-        assertThat(bound.takeLeftOut()).isEqualTo(7);
-        assertThat(bound.takeLeftOut()).isEqualTo(0);
+        assertThat(bound.takeSuppressedCount()).isEqualTo(7);
+        assertThat(bound.takeSuppressedCount()).isEqualTo(0);
         nowNanos.set(Duration.ofSeconds(1).toNanos());
-        assertThat(bound.admits()).isTrue();
+        assertThat(bound.tryAcquire()).isTrue();
     }
 
     private BoundedAppender appender(Taker taker) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
@@ -74,8 +74,8 @@
         listener.setDaemon(true);
         listener.start();
         Leaf leaf = new Leaf("i-1", "s", "127.0.0.1:" + server.getLocalPort(), Distance.SAME_ZONE, 2, Duration.ZERO, 0);
-        connections =
-                new LeafConnections(leaf, group, NAMES, MonotonicClock.system(), () -> 1, events::add, CallWatch.NONE);
+        connections = new LeafConnections(
+                leaf, group, NAMES, MonotonicClock.system(), () -> 1, events::add, CallMonitor.NONE);
     }
 
     @AfterEach
@@ -219,13 +219,13 @@
     @Test
     void aRequestThatIsGivenUpClosesItsConnection() throws Exception {
         answer = "";
-        BlockingQueue<LeafConnections.Ticket> tickets = new LinkedBlockingQueue<>();
+        BlockingQueue<LeafConnections.CallHandle> tickets = new LinkedBlockingQueue<>();
         group.next().execute(() -> tickets.add(connections.send(request("r-1"), deadline(), new Taker())));
         assertThat(requests.poll(2, TimeUnit.SECONDS)).isNotNull();
-        LeafConnections.Ticket ticket = tickets.poll(2, TimeUnit.SECONDS);
+        LeafConnections.CallHandle ticket = tickets.poll(2, TimeUnit.SECONDS);
         group.next().execute(() -> {
             if (ticket != null) {
-                ticket.giveUp();
+                ticket.abandon();
             }
         });
         assertThat(results.poll(2, TimeUnit.SECONDS)).isEqualTo(LeafOutcome.BROKEN);
@@ -305,14 +305,14 @@
     }
 
     /** Notes what came. */
-    private final class Taker implements LeafExchange {
+    private final class Taker implements LeafCallback {
         @Override
-        public void answered(LeafAnswer whole) {
+        public void onAnswer(LeafAnswer whole) {
             results.add(whole);
         }
 
         @Override
-        public void failed(LeafOutcome outcome) {
+        public void onFailure(LeafOutcome outcome) {
             results.add(outcome);
         }
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/settings/SettingsReaderTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/settings/SettingsReaderTest.java
@@ -18,8 +18,8 @@
     void readsTheExample() throws IOException {
         Settings settings = SettingsReader.read(example()).get();
         assertThat(settings.voters()).hasSize(3);
-        assertThat(settings.has(Role.CONTROL)).isTrue();
-        assertThat(settings.hostsOf("bagmati")).containsExactly("sag-1", "sag-2");
+        assertThat(settings.hasRole(Role.CONTROL)).isTrue();
+        assertThat(settings.hostsInZone("bagmati")).containsExactly("sag-1", "sag-2");
     }
 
     @ParameterizedTest
