--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -76,8 +76,8 @@
             response.headers().setInt(names.missingParts(), answer.missing());
         }
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/octet-stream");
-        metrics.merged(answer.missing());
-        metrics.answered(exchange.receivedNanos());
+        metrics.recordMergedAnswer(answer.missing());
+        metrics.recordAnswer(exchange.receivedNanos());
         exchange.respond(response);
     }
 
@@ -86,11 +86,11 @@
         FullHttpResponse response = HttpExchange.response(
                 answer.status(), Unpooled.wrappedBuffer(answer.body().asReadOnlyByteBuffer()));
         LeafRequest.copyEndToEnd(answer.headers(), response.headers());
-        metrics.passed(answer.status());
+        metrics.recordForwardedAnswer(answer.status());
         if (answer.showsSurvival()) {
             onSurvived.run();
         }
-        metrics.answered(exchange.receivedNanos());
+        metrics.recordAnswer(exchange.receivedNanos());
         exchange.respond(response);
     }
 
@@ -124,7 +124,7 @@
     }
 
     private void refuse(RefusalReason reason, Optional<Duration> retryAfter) {
-        metrics.refused(reason);
+        metrics.recordRefusal(reason);
         if (reason.isNotRun()) {
             onNotRun.run();
         } else if (reason == RefusalReason.OUTCOME_UNKNOWN) {
@@ -193,7 +193,7 @@
         if (status == UNAUTHORIZED) {
             response.headers().set(HttpHeaderNames.WWW_AUTHENTICATE, CallerCheck.SCHEME);
         }
-        metrics.answered(exchange.receivedNanos());
+        metrics.recordAnswer(exchange.receivedNanos());
         exchange.respond(response);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
@@ -67,7 +67,7 @@
 
     private boolean hasRoom(long nowNanos) {
         return starts.peek()
-                .map(query -> view.shareWithRoom(query.target(), nowNanos) >= ROOM_SHARE)
+                .map(query -> view.shareWithCapacity(query.target(), nowNanos) >= ROOM_SHARE)
                 .orElse(false);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntryProcess.java
@@ -47,7 +47,7 @@
     private final FleetView view;
     private final PeerNetwork network;
     private final TableFollower follower;
-    private final SpendingLimits limits;
+    private final TeamRateLimits limits;
     private final Gateway gateway;
     private final HarmReporter harmReporter;
     private final PeerServer peers;
@@ -76,9 +76,9 @@
         EventLoop loop = group.next();
         this.view = new FleetView(
                 settings.peerAddress().toString(),
-                settings.place(),
+                settings.location(),
                 settings.budget(),
-                settings.coldBound(),
+                settings.coldRequestLimit(),
                 settings.routing(),
                 names,
                 group,
@@ -90,7 +90,7 @@
         this.follower = new TableFollower(view, codec, network, loop, clock, settings.seeds(), this::self, random);
         this.limits = settings.quota()
                 .map(bound -> fleetLimits(bound, metrics, loop, random))
-                .orElse(SpendingLimits.NONE);
+                .orElse(TeamRateLimits.NONE);
         this.gateway = new Gateway(
                 view,
                 follower::isSynchronized,
@@ -104,7 +104,7 @@
                 loop,
                 random);
         this.harmReporter = new HarmReporter(
-                view.harm(), network, follower::controlHost, () -> otherEntryHosts(settings), loop, random);
+                view.harmFilter(), network, follower::controlHost, () -> otherEntryHosts(settings), loop, random);
         this.warmUp = new HostWarmUp(
                 view,
                 steps -> new WarmUp(
@@ -227,7 +227,7 @@
         gateway.handle(message, reply);
     }
 
-    private SpendingLimits fleetLimits(
+    private TeamRateLimits fleetLimits(
             QuotaBound bound, MetricRegistry metrics, EventLoop loop, RandomGenerator random) {
         FleetLimits fleetLimits = new FleetLimits(
                 settings.peerAddress().toString(),
@@ -266,8 +266,8 @@
         return Optional.of(HostRecord.newBuilder()
                 .setName(settings.name())
                 .setPeerAddress(settings.peerAddress().toString())
-                .setZone(settings.place().zone())
-                .setRegion(settings.place().region())
+                .setZone(settings.location().zone())
+                .setRegion(settings.location().region())
                 .setEntry(true)
                 .setIncarnation(incarnation)
                 .setPhase(stopping ? HostRecord.Phase.LEAVING : HostRecord.Phase.READY)
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/EntrySettings.java
@@ -17,24 +17,24 @@
  * <p>Immutable and safe for use by many threads.
  *
  * @param name the host's name
- * @param place where it is
+ * @param location where it is
  * @param callerAddress where callers reach it
  * @param peerAddress where other hosts reach it
  * @param seeds the peer addresses of control hosts that are known beforehand
  * @param budget what all hosts may spend on extra attempts at a service
- * @param coldBound by how much all hosts together may go over what cold leafs are made for
+ * @param coldRequestLimit by how much all hosts together may go over what cold leafs are made for
  * @param quota by how much all hosts together may go beyond the limits of teams; empty if these are not kept
  * @param routing which mechanisms take part in routing
  * @param stopLimit how long a planned stop may take
  */
 public record EntrySettings(
         String name,
-        Place place,
+        HostLocation location,
         HostAndPort callerAddress,
         HostAndPort peerAddress,
         ImmutableList<String> seeds,
         FleetBudget budget,
-        ColdRequestLimit coldBound,
+        ColdRequestLimit coldRequestLimit,
         Optional<QuotaBound> quota,
         RoutingPolicy routing,
         Duration stopLimit) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetHosts.java
@@ -18,12 +18,12 @@
  * many threads.
  */
 final class FleetHosts {
-    private final Place place;
+    private final HostLocation place;
     private final Map<String, HostRecord> hosts = new LinkedHashMap<>();
     private final Map<String, String> regionsByAddress = new ConcurrentHashMap<>();
 
     /** Creates an empty list of hosts as seen from a place. */
-    FleetHosts(Place place) {
+    FleetHosts(HostLocation place) {
         this.place = place;
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -38,7 +38,7 @@
  *
  * <p>Without teams that have a limit, it sends nothing. Owned by the event loop.
  */
-final class FleetLimits implements SpendingLimits {
+final class FleetLimits implements TeamRateLimits {
     private static final EventLog EVENTS = EventLog.of(FleetLimits.class);
     /** For how long an answer to a call is waited for: several ways there and back between far regions. */
     private static final Duration REPLY_WAIT = Duration.ofMillis(150);
@@ -117,10 +117,10 @@
     }
 
     @Override
-    public void spend(CallerIdentity caller, Consumer<Spending> taker) {
+    public void requestPermission(CallerIdentity caller, Consumer<Decision> taker) {
         Optional<Team> team = caller.team();
         if (team.isEmpty() || team.get().limit().isUnlimited()) {
-            taker.accept(Spending.FREE);
+            taker.accept(Decision.UNLIMITED);
             return;
         }
         long nowNanos = refresh();
@@ -243,7 +243,7 @@
         Asker asker = askers.remove(permit.ticket());
         if (asker != null) {
             metrics.permitted(permit.source(), asker.team);
-            asker.taker.accept(new Spending.Permitted(() -> giveBack(asker.team)));
+            asker.taker.accept(new Decision.Permitted(() -> giveBack(asker.team)));
         }
     }
 
@@ -257,7 +257,7 @@
         Asker asker = askers.remove(refuse.ticket());
         if (asker != null) {
             metrics.refused(refuse.source(), asker.team);
-            asker.taker.accept(new Spending.Refused(
+            asker.taker.accept(new Decision.Refused(
                     Duration.ofMillis(refuse.retryAfterMillis()),
                     refuse.source().name()));
         }
@@ -358,7 +358,7 @@
     }
 
     /** A request that waits for a decision. */
-    private record Asker(String team, Consumer<Spending> taker) {}
+    private record Asker(String team, Consumer<Decision> taker) {}
 
     /** Who waits for the answer to a report. */
     private record Reporter(Consumer<QuotaAction.Answer> taker) {}
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetView.java
@@ -54,7 +54,7 @@
     /** How many leafs a line names at the most. */
     private static final int MOST_NAMED = 12;
 
-    private final Place place;
+    private final HostLocation location;
     private final long startedNanos;
     private final LeafAccess access;
     private final FleetBudget budget;
@@ -63,7 +63,7 @@
     private final RoutingContext routing;
     private final Map<String, LeafPool> pools = new HashMap<>();
     private final LeafConnectionTable connections;
-    private final HarmfulRequestFilter harm = new HarmfulRequestFilter();
+    private final HarmfulRequestFilter harmFilter = new HarmfulRequestFilter();
     private final FleetHosts hosts;
     private final Map<String, LeafRecord> leafRecords = new HashMap<>();
     private final Map<String, LatencyTracker> latencies = new HashMap<>();
@@ -82,7 +82,7 @@
      */
     public FleetView(
             String self,
-            Place place,
+            HostLocation place,
             FleetBudget budget,
             ColdRequestLimit coldBound,
             RoutingPolicy policy,
@@ -90,7 +90,7 @@
             EventLoopGroup group,
             MonotonicClock clock,
             RandomGenerator random) {
-        this.place = place;
+        this.location = place;
         this.hosts = new FleetHosts(place);
         this.startedNanos = clock.nowNanos();
         this.queries = new EventRate(startedNanos);
@@ -113,8 +113,8 @@
     }
 
     /** Returns what keeps requests from leafs that end those which run them. */
-    HarmfulRequestFilter harm() {
-        return harm;
+    HarmfulRequestFilter harmFilter() {
+        return harmFilter;
     }
 
     /** Returns what the routing decisions of this host share. */
@@ -123,8 +123,8 @@
     }
 
     /** Returns where this host is. */
-    public Place place() {
-        return place;
+    public HostLocation location() {
+        return location;
     }
 
     /** Adds what to do when entry or control hosts have come or gone. */
@@ -157,7 +157,7 @@
     }
 
     /** Notes a query over shards of a caller. */
-    void queryCame() {
+    void recordQuery() {
         queries.record(clock.nowNanos());
     }
 
@@ -219,7 +219,7 @@
     }
 
     /** Returns the share of a query's shards at which a call would begin at once. */
-    double shareWithRoom(RouteTarget.Scatter target, long nowNanos) {
+    double shareWithCapacity(RouteTarget.Scatter target, long nowNanos) {
         long count = target.shards().stream()
                 .filter(shard -> pool(shard).hasCapacity(nowNanos))
                 .count();
@@ -292,11 +292,11 @@
     }
 
     private void learnHarm(TableDelta delta) {
-        int before = harm.replicatedRestrictedCount();
-        harm.applyReplicated(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
-        if (harm.replicatedRestrictedCount() != before) {
+        int before = harmFilter.replicatedRestrictedCount();
+        harmFilter.applyReplicated(delta.getHarmList(), delta.getWhole(), clock.nowNanos());
+        if (harmFilter.replicatedRestrictedCount() != before) {
             EVENTS.info("requests_barred")
-                    .with("count", harm.replicatedRestrictedCount())
+                    .with("count", harmFilter.replicatedRestrictedCount())
                     .with("before", before)
                     .with("revision", revision)
                     .with("fingerprints", barred(delta))
@@ -393,7 +393,7 @@
                     record.getId(),
                     record.getService(),
                     record.getAddress(),
-                    place.of(record.getZone()),
+                    location.leafLocation(record.getZone()),
                     record.getSlots(),
                     Duration.ofMillis(record.getColdMillis()),
                     routing,
@@ -420,7 +420,7 @@
         leaf.get()
                 .limitColdRequests(
                         coldBound.maxPerSecond(service.coldRequestsPerSecond()),
-                        access.spendsCold(record.getId(), record.getService(), record.getZone()),
+                        access.maySendToColdLeaf(record.getId(), record.getService(), record.getZone()),
                         clock.nowNanos());
     }
 
@@ -451,7 +451,7 @@
 
     /** Gives this host its part of the fleet's budget for a service, by the agreed tables. */
     private void shareOut(String service, WindowedBudget own) {
-        FleetBudget.Rank turn = access().turnAt(service);
+        FleetBudget.Rank turn = access().rankFor(service);
         if (!access().isHeld(service)) {
             budget.assignShare(own, turn);
         } else if (access().isHolderOf(service)) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
@@ -85,7 +85,7 @@
     private void carryOut(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
-                metrics.asked(ask.attempt().purpose(), ask.attempt().leaf().distance());
+                metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
             } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
                 sender.giveUp(giveUp.attempt());
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -58,7 +58,7 @@
     private final FleetView view;
     private final BooleanSupplier tablesKnown;
     private final TableStatus tables;
-    private final SpendingLimits limits;
+    private final TeamRateLimits limits;
     private final CallHeaders names;
     private final GatewayMetrics metrics;
     private final MonotonicClock clock;
@@ -89,7 +89,7 @@
             FleetView view,
             BooleanSupplier tablesKnown,
             TableStatus tables,
-            SpendingLimits limits,
+            TeamRateLimits limits,
             Supplier<String> controlHost,
             PeerNetwork network,
             CallHeaders names,
@@ -165,12 +165,12 @@
             return;
         }
         if (message.hasStageCall()) {
-            lagTimer.workCame();
+            lagTimer.onWork();
             stageServer.handle(message.getSender(), message.getStageCall(), reply);
         } else if (message.hasStageCancel()) {
             stageServer.cancel(message.getSender(), message.getStageCancel());
         } else if (message.hasHarmReport()) {
-            loop.execute(() -> view.harm().adoptReport(message.getHarmReport(), clock.nowNanos()));
+            loop.execute(() -> view.harmFilter().adoptReport(message.getHarmReport(), clock.nowNanos()));
             reply.accept(Envelope.newBuilder()
                     .setHarmReportResult(HarmReportResult.newBuilder().setTaken(true)));
         }
@@ -178,7 +178,7 @@
 
     @Override
     public void handle(HttpExchange exchange) {
-        lagTimer.workCame();
+        lagTimer.onWork();
         CallerAnswers answers = new CallerAnswers(exchange, names, metrics, random);
         if (refusesCallers) {
             answers.stopping();
@@ -267,10 +267,10 @@
         }
         RoutedCall call =
                 new RoutedCall(route, caller, view.configuration().version(), request, exchange.receivedNanos(), times);
-        limits.spend(route.isPublic() ? CallerIdentity.ANONYMOUS : caller, spending -> {
-            if (spending instanceof SpendingLimits.Spending.Permitted permitted) {
-                permitted(exchange, call, answers, permitted.giveBack());
-            } else if (spending instanceof SpendingLimits.Spending.Refused refused) {
+        limits.requestPermission(route.isPublic() ? CallerIdentity.ANONYMOUS : caller, spending -> {
+            if (spending instanceof TeamRateLimits.Decision.Permitted permitted) {
+                permitted(exchange, call, answers, permitted.refund());
+            } else if (spending instanceof TeamRateLimits.Decision.Refused refused) {
                 answers.refuse(RefusalReason.OVER_LIMIT, refused.retryAfter());
                 log.imperfect(
                         call,
@@ -293,7 +293,7 @@
     }
 
     private void begin(HttpExchange exchange, RoutedCall call, CallerAnswers answers) {
-        switch (view.harm().permission(call.request()::fingerprints)) {
+        switch (view.harmFilter().permission(call.request()::fingerprints)) {
             case FREE -> admit(exchange, call, answers);
             case ON_TRIAL -> tryOut(exchange, call, answers);
             default -> refuse(call, answers, RefusalReason.HARMFUL);
@@ -340,14 +340,14 @@
     private void serve(HttpExchange exchange, RoutedCall call, CallerAnswers caller) {
         Route route = call.route();
         if (route.target() instanceof RouteTarget.Scatter target) {
-            view.queryCame();
+            view.recordQuery();
             StageCaller stageCaller =
                     runs.stageCaller(queryCall(exchange, call, target), target.shards(), call.times(), call.request());
             ScatterRun run = runs.scatter(call, target, stageCaller, caller);
             run.onSealedAtGoal(
                     writtenNanos -> sealLead.recordFinalized(call.times().goalNanos(), writtenNanos));
             run.onLostWhole(
-                    () -> view.harm().recordNoShardAnswered(call.request().arrival(), clock.nowNanos()));
+                    () -> view.harmFilter().recordNoShardAnswered(call.request().arrival(), clock.nowNanos()));
             begin(exchange, call, target, run);
         } else {
             ForwardRun run = runs.forward(call, serviceOf(route), () -> stageCall(exchange, call), caller);
@@ -372,12 +372,12 @@
             return;
         }
         long startByNanos = Math.max(arrivedNanos, call.times().deadlineNanos() - LATE_START_GOALS * goalNanos);
-        metrics.heldBack();
+        metrics.recordDeferredQuery();
         exchange.onCallerGone(lateQueries.startWhenRoom(run, target, startByNanos));
     }
 
     private void refusedUnrouted(HttpExchange exchange, String outcome) {
-        metrics.refusedUnrouted(outcome);
+        metrics.recordUnroutedRefusal(outcome);
         logUnrouted(exchange, outcome, line -> {});
     }
 
@@ -441,7 +441,7 @@
         try {
             return TimeUnit.MILLISECONDS.toNanos(Math.max(0, Long.parseLong(text.trim())));
         } catch (NumberFormatException malformed) {
-            metrics.malformedDeadline();
+            metrics.recordMalformedDeadline();
             return NO_DEADLINE_NANOS;
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
@@ -28,8 +28,8 @@
     private final Histogram answerMicros;
     private final Counter whole;
     private final Counter partial;
-    private final Counter heldBack;
-    private final Counter heldForRoom;
+    private final Counter recordDeferredQuery;
+    private final Counter recordQueuedRequest;
     private final Counter stagesAnswered;
     private final Counter stagesFailed;
 
@@ -40,8 +40,8 @@
         this.answerMicros = registry.histogram("gateway_answer_micros");
         this.whole = registry.counter("gateway_answers_whole");
         this.partial = registry.counter("gateway_answers_partial");
-        this.heldBack = registry.counter("gateway_queries_held_back");
-        this.heldForRoom = registry.counter("gateway_requests_held_for_room");
+        this.recordDeferredQuery = registry.counter("gateway_queries_held_back");
+        this.recordQueuedRequest = registry.counter("gateway_requests_held_for_room");
         this.stagesAnswered = registry.counter("gateway_stages_answered");
         this.stagesFailed = registry.counter("gateway_stages_failed");
         for (AttemptCounter counter : AttemptCounter.values()) {
@@ -59,31 +59,31 @@
     }
 
     /** Notes that the answer to a request is on its way, of whichever kind. */
-    void answered(long receivedNanos) {
+    void recordAnswer(long receivedNanos) {
         answerMicros.update(TimeUnit.NANOSECONDS.toMicros(clock.nowNanos() - receivedNanos));
     }
 
     /** Notes a request whose deadline is no number; it is served as if it named none. */
-    void malformedDeadline() {
+    void recordMalformedDeadline() {
         registry.counter("gateway_malformed_deadline").inc();
     }
 
     /** Notes a request that was refused before a route was found. */
-    void refusedUnrouted(String outcome) {
+    void recordUnroutedRefusal(String outcome) {
         registry.counter("gateway_refused_" + outcome.toLowerCase(Locale.ROOT)).inc();
     }
 
     /** Notes a query that will be late in any case and waits until the leafs have room. */
-    void heldBack() {
-        heldBack.inc();
+    void recordDeferredQuery() {
+        recordDeferredQuery.inc();
     }
 
     /** Notes a request that waits because this host is behind. */
-    void heldForRoom() {
-        heldForRoom.inc();
+    void recordQueuedRequest() {
+        recordQueuedRequest.inc();
     }
 
-    void asked(Attempt.Purpose purpose, Distance distance) {
+    void recordCall(Attempt.Purpose purpose, Distance distance) {
         registry.counter("gateway_asked_" + lower(purpose) + "_" + lower(distance))
                 .inc();
     }
@@ -101,19 +101,19 @@
         increment(connections.get(event));
     }
 
-    void refused(RefusalReason reason) {
+    void recordRefusal(RefusalReason reason) {
         increment(refusals.get(reason));
     }
 
-    void merged(int missing) {
+    void recordMergedAnswer(int missing) {
         (missing == 0 ? whole : partial).inc();
     }
 
-    void passed(int status) {
+    void recordForwardedAnswer(int status) {
         registry.counter("gateway_passed_" + status).inc();
     }
 
-    void stage(boolean answered) {
+    void recordStage(boolean answered) {
         (answered ? stagesAnswered : stagesFailed).inc();
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -110,7 +110,7 @@
             TakeTrialResult result, RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
         boolean granted = result.getDecided()
                 ? result.getGranted()
-                : view.harm().tryStartLocalTrial(call.request().arrival(), clock.nowNanos());
+                : view.harmFilter().tryStartLocalTrial(call.request().arrival(), clock.nowNanos());
         if (granted) {
             sendFirst(call, query, taker);
         } else if (asksLeft > 0 && hasTimeToWait(call)) {
@@ -126,7 +126,7 @@
     }
 
     private void lookAgain(RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
-        switch (view.harm().permission(call.request()::fingerprints)) {
+        switch (view.harmFilter().permission(call.request()::fingerprints)) {
             case FREE -> taker.accept(Result.SERVE);
             case ON_TRIAL -> ask(call, query, asksLeft, taker);
             default -> taker.accept(Result.BARRED);
@@ -139,7 +139,7 @@
      * @param broke true if it reached a leaf and its call broke there
      */
     void giveBack(RoutedCall call, boolean broke) {
-        TakeTrial.Builder trial = view.harm().endTrial(call.request().arrival(), broke, clock.nowNanos());
+        TakeTrial.Builder trial = view.harmFilter().endTrial(call.request().arrival(), broke, clock.nowNanos());
         network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_WAIT)
                 .subscribe()
                 .with(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -138,7 +138,7 @@
         }
 
         private void survived() {
-            view.harm().recordSurvival(request.fingerprints(), clock.nowNanos());
+            view.harmFilter().recordSurvival(request.fingerprints(), clock.nowNanos());
         }
 
         private void fail(Throwable failure) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Place.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostLocation.java
@@ -11,9 +11,9 @@
  *
  * <p>Immutable and safe for use by many threads.
  */
-public record Place(String zone, String region, ImmutableMap<String, String> regionsByZone) {
+public record HostLocation(String zone, String region, ImmutableMap<String, String> regionsByZone) {
     /** Refuses missing names. */
-    public Place {
+    public HostLocation {
         requireNonNull(zone);
         requireNonNull(region);
     }
@@ -24,7 +24,7 @@
     }
 
     /** Returns where the leafs of a zone are. */
-    public LeafLocation of(String otherZone) {
+    public LeafLocation leafLocation(String otherZone) {
         return new LeafLocation(otherZone, regionOf(otherZone), distanceTo(otherZone));
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -36,7 +36,7 @@
     }
 
     /** Notes that work comes; a host at rest looks at once, since the work may have waited here. */
-    void workCame() {
+    void onWork() {
         period.onWork(clock.nowNanos());
         if (atRest && next != null) {
             next.cancel(false);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafAccess.java
@@ -39,7 +39,7 @@
     private static final int INDEX_TO_COME = 0;
 
     private final String self;
-    private final Place place;
+    private final HostLocation place;
     private final Map<String, ImmutableList<String>> hostsByZone = new HashMap<>();
     private final Map<ZoneIndex, ImmutableSortedSet<String>> shardsByZone = new HashMap<>();
     /** Kept from one update to the next, since most changes of the tables move no shard. */
@@ -61,7 +61,7 @@
      *
      * @param self the peer address of this host
      */
-    LeafAccess(String self, Place place) {
+    LeafAccess(String self, HostLocation place) {
         this.self = self;
         this.place = place;
     }
@@ -82,7 +82,7 @@
         configuration = newConfiguration;
         hosts = entryHosts.stream().map(HostRecord::getPeerAddress).sorted().collect(ImmutableList.toImmutableList());
         indexOfShard.clear();
-        nameShards(leaves);
+        assignIndexes(leaves);
         hostsByZone.clear();
         Map<String, ImmutableList.Builder<String>> zoneHosts = new HashMap<>();
         for (HostRecord host : entryHosts) {
@@ -112,7 +112,7 @@
     }
 
     /** Returns which turn this host has when something is shared out among the entry hosts for one service. */
-    FleetBudget.Rank turnAt(String service) {
+    FleetBudget.Rank rankFor(String service) {
         int position = hosts.indexOf(self);
         // A host that the tables do not name yet comes after all that they do name.
         return position >= 0
@@ -153,7 +153,7 @@
     }
 
     /** Returns true if this host may be asked to stand in for the holder of a leaf, or is the holder. */
-    boolean isNamedFor(String service, String zone) {
+    boolean isHolderOrBackup(String service, String zone) {
         return !isHeld(service) || holdersIn(zone, service).of(service).contains(self);
     }
 
@@ -167,7 +167,7 @@
      * Returns true if this host is the one that may send requests to a leaf while it is cold: the holder of the leaf,
      * or one of the hosts of its zone that the agreed tables name.
      */
-    boolean spendsCold(String leafId, String service, String zone) {
+    boolean maySendToColdLeaf(String leafId, String service, String zone) {
         ImmutableList<String> spenders = isHeld(service)
                 ? holdersIn(zone, service).of(service)
                 : ZoneHolders.compute(candidatesIn(zone), ImmutableSortedSet.of(leafId))
@@ -236,7 +236,7 @@
         if (!isHeld(service)) {
             return Math.max(1, direct);
         }
-        if (!isNamedFor(service, zone)) {
+        if (!isHolderOrBackup(service, zone)) {
             return 1;
         }
         int held = evenShare(service, candidatesIn(zone).size());
@@ -261,7 +261,7 @@
      * service that no route names is taken for a shard of an index to come. One that a route asks for single answers is
      * none, unless a query asks it as a shard as well.
      */
-    private void nameShards(Collection<LeafRecord> leaves) {
+    private void assignIndexes(Collection<LeafRecord> leaves) {
         Set<String> singles = new HashSet<>();
         int lastIndex = INDEX_TO_COME;
         for (Route route : configuration.routes()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafConnectionTable.java
@@ -68,7 +68,7 @@
     private CallMonitor harmWatch(Leaf leaf) {
         long incarnation =
                 view.leafRecord(leaf.id()).map(LeafRecord::getIncarnation).orElse(0L);
-        return new LeafHarm(leaf, incarnation, view.harm(), harmLines, clock);
+        return new LeafHarm(leaf, incarnation, view.harmFilter(), harmLines, clock);
     }
 
     /** Lets go of a leaf that has left; requests under way are finished first. */
@@ -106,7 +106,7 @@
             if (held == null || access.isHeld(leaf.service())) {
                 to(leaf).warm();
             }
-        } else if (held != null && !access.isNamedFor(leaf.service(), zone)) {
+        } else if (held != null && !access.isHolderOrBackup(leaf.service(), zone)) {
             held.closeIdle();
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -108,7 +108,7 @@
      */
     StageCaller stageCaller(
             StageCall call, ImmutableList<String> shardServices, RequestTimes times, LeafRequest request) {
-        Runnable survived = () -> view.harm().recordSurvival(request.fingerprints(), clock.nowNanos());
+        Runnable survived = () -> view.harmFilter().recordSurvival(request.fingerprints(), clock.nowNanos());
         return new StageCaller(call, shardServices, times, links, clock, metrics, survived);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestCapacity.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestCapacity.java
@@ -77,7 +77,7 @@
         if (!room.isQueued(held)) {
             return Optional.empty();
         }
-        metrics.heldForRoom();
+        metrics.recordQueuedRequest();
         lookLater();
         return Optional.of(() -> room.withdraw(held));
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -170,7 +170,7 @@
     private void carryOut(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
-                metrics.asked(ask.attempt().purpose(), ask.attempt().leaf().distance());
+                metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
             } else if (action instanceof RoutedAction.CallStage ask) {
                 stages.call(ask.stage(), stageTaker);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -183,7 +183,7 @@
     private void end(StageAttempt stage, StageLinks.Link link, boolean answered) {
         underWay.remove(stage);
         link.end();
-        metrics.stage(answered);
+        metrics.recordStage(answered);
     }
 
     /** A call that was sent and not answered yet. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -235,7 +235,7 @@
     private Set<String> hostsElsewhere() {
         Set<String> hosts = new HashSet<>();
         for (HostRecord host : view.entryHosts()) {
-            if (!host.getRegion().equals(view.place().region())) {
+            if (!host.getRegion().equals(view.location().region())) {
                 hosts.add(host.getPeerAddress());
             }
         }
@@ -273,7 +273,7 @@
         @Override
         public String regionOf(Leaf leaf) {
             return view.leafRecord(leaf.id())
-                    .map(record -> view.place().regionOf(record.getZone()))
+                    .map(record -> view.location().regionOf(record.getZone()))
                     .orElse("");
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -191,7 +191,7 @@
         if (!namesShards(call)) {
             return Optional.of("the call names no shards");
         }
-        if (view.harm().permission(request::fingerprints) == Permission.QUARANTINED) {
+        if (view.harmFilter().permission(request::fingerprints) == Permission.QUARANTINED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
         if (homes.allowsNone()) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/SpendingLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
@@ -6,9 +6,9 @@
 import org.bramblerack.wire.Envelope;
 
 /** Bounds how many requests a team makes on all hosts together. Owned by the event loop. */
-interface SpendingLimits {
+interface TeamRateLimits {
     /** Every request is permitted. */
-    SpendingLimits NONE = (caller, taker) -> taker.accept(Spending.FREE);
+    TeamRateLimits NONE = (caller, taker) -> taker.accept(Decision.UNLIMITED);
 
     /** Begins to look after what is due. */
     default void start() {}
@@ -30,19 +30,19 @@
      *
      * @param taker takes the decision, once, now or later
      */
-    void spend(CallerIdentity caller, Consumer<Spending> taker);
+    void requestPermission(CallerIdentity caller, Consumer<Decision> taker);
 
     /** What is decided about a request. */
-    sealed interface Spending {
+    sealed interface Decision {
         /** A permission that was taken from no limit. */
-        Permitted FREE = new Permitted(() -> {});
+        Permitted UNLIMITED = new Permitted(() -> {});
 
         /**
          * The request may be made.
          *
-         * @param giveBack to be called once if it turns out not to have run
+         * @param refund to be called once if it turns out not to have run
          */
-        record Permitted(Runnable giveBack) implements Spending {}
+        record Permitted(Runnable refund) implements Decision {}
 
         /**
          * The team has spent what it may.
@@ -50,6 +50,6 @@
          * @param retryAfter when there will be a permission for this caller
          * @param decidedBy which host's word it was, of those that may decide, for the log
          */
-        record Refused(Duration retryAfter, String decidedBy) implements Spending {}
+        record Refused(Duration retryAfter, String decidedBy) implements Decision {}
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/WarmUp.java
@@ -172,7 +172,7 @@
                 view,
                 () -> true,
                 () -> true,
-                SpendingLimits.NONE,
+                TeamRateLimits.NONE,
                 () -> "",
                 network,
                 names,
@@ -231,8 +231,8 @@
         exchange.respond(response);
     }
 
-    private static Place place() {
-        return new Place(NEAR, NEAR, ImmutableMap.of(NEAR, NEAR, FAR, FAR));
+    private static HostLocation place() {
+        return new HostLocation(NEAR, NEAR, ImmutableMap.of(NEAR, NEAR, FAR, FAR));
     }
 
     private TableDelta tables() {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void theBoundHoldsAndRequestsAreStillPermittedAfterTheKeeperOfTheAccountEnded() throws Exception {
+    void theBoundHoldsAndRequestsArePermittedAfterTheQuotaServerStops() throws Exception {
         for (int number = 0; number < HOSTS; number++) {
             hosts.add(new Host());
         }
@@ -160,8 +160,8 @@
 
         void load() {
             group.scheduleAtFixedRate(
-                    () -> limits.spend(CALLER, spending -> {
-                        if (spending instanceof SpendingLimits.Spending.Permitted) {
+                    () -> limits.requestPermission(CALLER, spending -> {
+                        if (spending instanceof TeamRateLimits.Decision.Permitted) {
                             permittedNanos.add(clock.nowNanos());
                         }
                     }),
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aConnectionThatTheLeafClosedIsNotMadeAgainAheadOfUse() throws Exception {
+    void aConnectionThatTheLeafClosedIsNotReopenedAheadOfUse() throws Exception {
         AtomicInteger accepted = new AtomicInteger();
         try (ServerSocket leaf = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread thread = new Thread(() -> closeAtOnce(leaf, accepted), "leaf");
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/GatewayFixture.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/GatewayFixture.java
@@ -34,7 +34,7 @@
     static FleetView view(EventLoopGroup group, MonotonicClock clock) {
         return new FleetView(
                 "127.0.0.1:1",
-                new Place("z", "r", ImmutableMap.of("z", "r", "z2", "r")),
+                new HostLocation("z", "r", ImmutableMap.of("z", "r", "z2", "r")),
                 BUDGET,
                 ColdRequestLimit.NONE,
                 RoutingPolicy.DEFAULT,
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
@@ -46,7 +46,7 @@
                 int own = 0;
                 for (HostRecord host : hosts) {
                     LeafAccess access = access(hosts, most, host.getPeerAddress(), host.getZone());
-                    boolean mayConnect = access.keepsConnections("s0", "z0") || access.isNamedFor("s0", "z0");
+                    boolean mayConnect = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
                     held += mayConnect ? access.connectionShare("s0", "z0") : 0;
                     own += access.isHolderOf("s0") && host.getZone().equals("z0") ? 1 : 0;
                 }
@@ -68,15 +68,15 @@
             for (HostRecord host : hosts) {
                 List<HostRecord> known = spenders % 2 == 0 ? hosts : inOtherOrder;
                 LeafAccess access = access(known, most, host.getPeerAddress(), host.getZone());
-                spenders += access.spendsCold("s0-0", "s0", "z0") ? 1 : 0;
-                spenders += access.spendsCold("single", "single", "z2") ? 1 : 0;
+                spenders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
+                spenders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
             }
             assertThat(spenders).isEqualTo(2);
         }
     }
 
     @Test
-    void holdersAreOfTheLeafsZoneWhileItHasHosts() {
+    void holdersAreInTheZoneOfTheLeafWhileItHasHosts() {
         List<HostRecord> hosts = hosts(83);
         LeafAccess access = access(hosts, 64, "10.0.0.1:1", "z1");
         Map<String, String> zones = new HashMap<>();
@@ -101,7 +101,7 @@
 
     /** The leafs of an index that is cut anew start before the version that names them as shards. */
     @Test
-    void leafsOfShardsToComeAreConnectedToByTheirHoldersAlone() {
+    void onlyHoldersConnectToLeavesOfShardsThatNoRouteNames() {
         List<HostRecord> hosts = hosts(83);
         int connecting = 0;
         for (HostRecord host : hosts) {
@@ -113,7 +113,7 @@
 
     /** Operators name single shards in routes of their own, to look at one or to try a route. */
     @Test
-    void aShardThatARouteNamesAloneAsWellIsStillHeld() {
+    void aShardThatASingleRouteAlsoNamesIsStillHeld() {
         List<HostRecord> hosts = hosts(83);
         Route alone = route("alone", new RouteTarget.Single("s0"));
         int connecting = 0;
@@ -127,7 +127,7 @@
 
     /** A new index is built beside the one that is asked; if its shards moved the others, every query would suffer. */
     @Test
-    void anIndexThatIsBuiltMovesNoShardOfTheOneThatIsAsked() {
+    void aNewIndexMovesNoShardOfTheIndexInUse() {
         List<HostRecord> hosts = hosts(83);
         LeafAccess before = access(hosts, 64, "10.0.0.1:1", "z1");
         LeafAccess beside = access(hosts, 64, "10.0.0.1:1", "z1", 4 * SHARDS);
@@ -144,7 +144,7 @@
      * learn of a change at different moments, so that each may have what it had before or what it has after.
      */
     @Test
-    void hostsThatCallALeafSeldomGoThroughHoldersAndNoLeafIsGivenMoreMeanwhile() {
+    void hostsThatRarelyCallALeafUseHoldersAndItsConnectionLimitHolds() {
         for (int fleet : new int[] {3, 4, 7, 8, 18, 24, 40}) {
             for (int most : new int[] {12, 26, 52, 69, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
@@ -152,15 +152,16 @@
                 int asking = 0;
                 int connections = 0;
                 for (HostRecord host : hosts) {
-                    Place place = new Place(host.getZone(), REGIONS.getOrDefault(host.getZone(), ""), REGIONS);
+                    HostLocation place =
+                            new HostLocation(host.getZone(), REGIONS.getOrDefault(host.getZone(), ""), REGIONS);
                     LeafAccess access = new LeafAccess(host.getPeerAddress(), place);
                     access.update(hosts, tables.leaves(), tables.configuration(), false);
-                    boolean direct = access.keepsConnections("s0", "z0") || access.isNamedFor("s0", "z0");
+                    boolean direct = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
                     int before = direct ? access.connectionShare("s0", "z0") : 0;
                     access.update(hosts, tables.leaves(), tables.configuration(), true);
                     assertThat(access.isHeld("s0")).isTrue();
                     asking += access.keepsConnections("s0", "z0") ? 1 : 0;
-                    int after = access.isNamedFor("s0", "z0") ? access.connectionShare("s0", "z0") : 0;
+                    int after = access.isHolderOrBackup("s0", "z0") ? access.connectionShare("s0", "z0") : 0;
                     connections += Math.max(before, after);
                 }
                 assertThat(asking).isEqualTo(1);
@@ -171,10 +172,10 @@
 
     /** Most changes of the tables move no shard: a leaf says that it drains, a configuration changes a time. */
     @Test
-    void holdersAreTheSameHoweverOftenTheTablesAreTakenOver() {
+    void holdersStayTheSameWhenTheTablesAreAppliedAgain() {
         List<HostRecord> hosts = hosts(83);
         Tables tables = tables(64, SHARDS);
-        LeafAccess access = new LeafAccess("10.0.0.1:1", new Place("z1", "r1", REGIONS));
+        LeafAccess access = new LeafAccess("10.0.0.1:1", new HostLocation("z1", "r1", REGIONS));
         access.update(hosts, tables.leaves(), tables.configuration(), false);
         ImmutableList<String> first = access.holdersOf("s0", "z0");
         access.update(hosts, tables.leaves(), tables.configuration(), false);
@@ -187,17 +188,18 @@
     }
 
     @Test
-    void holdersAndThoseThatStandInCallLeafsAndOtherHostsDoNot() {
+    void onlyHoldersAndTheirBackupsCallLeaves() {
         List<HostRecord> hosts = hosts(83);
         int calling = 0;
         for (HostRecord host : hosts) {
             LeafAccess access = access(hosts, 64, host.getPeerAddress(), host.getZone());
             boolean named = false;
             for (int shard = 0; shard < SHARDS; shard++) {
-                named |= access.isNamedFor("s" + shard, host.getZone());
+                named |= access.isHolderOrBackup("s" + shard, host.getZone());
             }
             boolean calls = access.leafCalls() == WarmUpPlan.LeafCalls.MADE_HERE;
-            assertThat(calls).isEqualTo(named || (host.getZone().equals("z0") && access.isNamedFor("to-come", "z0")));
+            assertThat(calls)
+                    .isEqualTo(named || (host.getZone().equals("z0") && access.isHolderOrBackup("to-come", "z0")));
             calling += calls ? 1 : 0;
         }
         assertThat(calling).isIn(Range.closed(ZONES, hosts.size() / 2));
@@ -205,7 +207,7 @@
 
     /** A host is named by the tables only once it is warm, and must know before what to warm up for. */
     @Test
-    void aHostThatStartsKnowsWhetherItWillCallLeafs() {
+    void aStartingHostKnowsWhetherItWillCallLeaves() {
         List<HostRecord> hosts = hosts(83);
         for (HostRecord host : hosts) {
             List<HostRecord> others =
@@ -217,17 +219,17 @@
     }
 
     @Test
-    void everyHostOfASmallFleetCallsLeafsAndOneThatKnowsNobodyIsNotSure() {
+    void everyHostOfASmallFleetCallsLeavesAndOneWithoutKnownHostsReportsUnknown() {
         assertThat(access(hosts(7), 26, "10.0.0.0:1", "z0").leafCalls()).isEqualTo(WarmUpPlan.LeafCalls.MADE_HERE);
         assertThat(access(hosts(0), 26, "10.0.0.0:1", "z0").leafCalls()).isEqualTo(WarmUpPlan.LeafCalls.UNKNOWN);
     }
 
     /** After power the leafs are known before any host is. */
     @Test
-    void aHostThatKnowsNobodyConnectsToNoLeafAheadOfUse() {
+    void aHostWithoutKnownHostsOpensNoConnectionsAheadOfUse() {
         for (boolean throughHolders : new boolean[] {false, true}) {
             Tables tables = tables(64, SHARDS);
-            LeafAccess access = new LeafAccess("10.0.0.1:1", new Place("z1", "r1", REGIONS));
+            LeafAccess access = new LeafAccess("10.0.0.1:1", new HostLocation("z1", "r1", REGIONS));
             access.update(hosts(0), tables.leaves(), tables.configuration(), throughHolders);
             assertThat(access.keepsConnections("s0", "z1")).isFalse();
             assertThat(access.holdersOf("s0", "z1")).isEmpty();
@@ -242,7 +244,7 @@
 
     private static LeafAccess access(
             List<HostRecord> hosts, int maxConnections, String self, String zone, int shardsWithLeafs, Route... more) {
-        LeafAccess access = new LeafAccess(self, new Place(zone, REGIONS.getOrDefault(zone, zone), REGIONS));
+        LeafAccess access = new LeafAccess(self, new HostLocation(zone, REGIONS.getOrDefault(zone, zone), REGIONS));
         Tables tables = tables(maxConnections, shardsWithLeafs, more);
         access.update(hosts, tables.leaves(), tables.configuration(), false);
         return access;
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/NewestVersionTest.java
@@ -62,24 +62,24 @@
     }
 
     @Test
-    void theVersionInForceIsTheNewestIfALeaderSaysSo() throws Exception {
+    void theVersionInForceIsTheNewestIfALeaderConfirmsIt() throws Exception {
         assertThat(askAndReply(result(true, 7))).isTrue();
     }
 
     @Test
-    void aHostThatMissedAVersionIsNotSure() throws Exception {
+    void aHostThatMissedAVersionIsNotConfirmed() throws Exception {
         assertThat(askAndReply(result(true, 8))).isFalse();
     }
 
     /** Also the answer of a control host that hears no leader, or of an older program. */
     @Test
-    void aVersionThatNoLeaderConfirmedSaysNothing() throws Exception {
+    void aResultThatNoLeaderConfirmedIsNotAccepted() throws Exception {
         assertThat(askAndReply(result(false, 7))).isFalse();
         assertThat(askAndReply(Envelope.newBuilder())).isFalse();
     }
 
     @Test
-    void aVersionThatComesWithTheAnswerCounts() throws Exception {
+    void aVersionThatArrivesBeforeTheResultCounts() throws Exception {
         ask();
         Consumer<Envelope.Builder> reply = nextQuery();
         apply(8);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aHostThatFollowsNoLeaderDoesNotAsk() throws Exception {
+    void aHostWithoutALeaderSendsNoQuery() throws Exception {
         current = false;
         ask();
         assertThat(nextAnswer()).isFalse();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void silenceLeavesItOpen() throws Exception {
+    void aQueryWithoutAReplyIsNotConfirmed() throws Exception {
         ask();
         nextQuery();
         assertThat(nextAnswer()).isFalse();
@@ -104,7 +104,7 @@
 
     /** Load: a thousand callers with keys that are not known. */
     @Test
-    void manyWhoAskShareAnswersToQuestionsThatCameAfterThem() throws Exception {
+    void callersShareReadsThatBeganAfterTheirCall() throws Exception {
         ask();
         Consumer<Envelope.Builder> first = nextQuery();
         for (int caller = 0; caller < 999; caller++) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -74,7 +74,7 @@
                 view,
                 () -> true,
                 () -> true,
-                SpendingLimits.NONE,
+                TeamRateLimits.NONE,
                 () -> "",
                 PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic()),
                 GatewayFixture.NAMES,
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
@@ -85,13 +85,13 @@
     }
 
     @Test
-    void aHostThatWarmsUpFollowsTheTablesButIsNotNamedInThem() throws Exception {
+    void aHostThatIsWarmingUpPullsWithoutItsRecord() throws Exception {
         assertThat(nextPull().hasSelf()).isFalse();
     }
 
     /** The first request is still held, so an announcement that waited for its answer would come too late. */
     @Test
-    void whatChangesOfTheHostIsToldAtOnce() throws Exception {
+    void aChangeOfTheHostRecordIsSentAtOnce() throws Exception {
         nextPull();
         self = Optional.of(READY);
         follower.announce();
@@ -103,7 +103,7 @@
 
     /** As when the leafs of a service start: each answer would otherwise be followed by a request at once. */
     @Test
-    void changesThatComeInSeriesAreAskedForTogether() throws Exception {
+    void changesInASeriesAreBatched() throws Exception {
         nextPull();
         answersAtOnce = true;
         replyLater.accept(newer());
@@ -113,7 +113,7 @@
 
     /** A request that waited for a change is followed by the next one at once, so that no change waits for it. */
     @Test
-    void aChangeAfterAPauseIsFollowedByARequestAtOnce() throws Exception {
+    void aChangeAfterAPauseIsFollowedByAPullAtOnce() throws Exception {
         nextPull();
         long fastestNanos = Long.MAX_VALUE;
         for (int change = 0; change < CHANGES; change++) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -67,7 +67,7 @@
     private final ConcurrentLinkedQueue<StageCall> atHosts = new ConcurrentLinkedQueue<>();
     private final MetricRegistry metrics = new MetricRegistry();
     private Confirmation confirmation = taker -> taker.accept(true);
-    private volatile SpendingLimits limits = SpendingLimits.NONE;
+    private volatile TeamRateLimits limits = TeamRateLimits.NONE;
     private FleetView view;
     private HttpListener callers;
     private HttpListener leaf;
@@ -101,7 +101,7 @@
                 view,
                 () -> true,
                 status,
-                (caller, taker) -> limits.spend(caller, taker),
+                (caller, taker) -> limits.requestPermission(caller, taker),
                 () -> "",
                 PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic()),
                 GatewayFixture.NAMES,
@@ -124,7 +124,7 @@
 
     @Test
     void aRequestWhoseCallerLeftBeforeItWasPermittedIsGivenBackAndReachesNoLeaf() throws Exception {
-        CompletableFuture<Consumer<SpendingLimits.Spending>> asked = new CompletableFuture<>();
+        CompletableFuture<Consumer<TeamRateLimits.Decision>> asked = new CompletableFuture<>();
         AtomicInteger givenBack = new AtomicInteger();
         limits = (caller, taker) -> asked.complete(taker);
         try (Socket socket = new Socket(callerAddress.getHost(), callerAddress.getPort())) {
@@ -136,11 +136,11 @@
         while (callers.connectionCount() > 0) {
             Thread.onSpinWait();
         }
-        Consumer<SpendingLimits.Spending> taker = asked.get();
-        group.submit(() -> taker.accept(new SpendingLimits.Spending.Permitted(givenBack::incrementAndGet)))
+        Consumer<TeamRateLimits.Decision> taker = asked.get();
+        group.submit(() -> taker.accept(new TeamRateLimits.Decision.Permitted(givenBack::incrementAndGet)))
                 .get();
         assertThat(givenBack.get()).isEqualTo(1);
-        limits = SpendingLimits.NONE;
+        limits = TeamRateLimits.NONE;
         assertThat(status("/one/x", KEY)).isEqualTo(200);
         assertThat(atLeaf).hasSize(1);
     }
