--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -79,7 +79,12 @@
         void send(long deadlineNanos) {
             long remainingNanos = Math.max(1, deadlineNanos - clock.nowNanos());
             holder.begin();
-            links.ask(holder, homes, () -> message(deadlineNanos), Duration.ofNanos(remainingNanos), progress -> {})
+            links.callStage(
+                            holder,
+                            homes,
+                            () -> message(deadlineNanos),
+                            Duration.ofNanos(remainingNanos),
+                            progress -> {})
                     .subscribe()
                     .with(reply -> take(reply.getStageResult()), this::fail);
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -84,7 +84,7 @@
         underWay.put(stage, sent);
         Duration wait = Duration.ofNanos(Math.max(1, times.deadlineNanos() - clock.nowNanos()));
         link.begin();
-        links.ask(
+        links.callStage(
                         link,
                         homes,
                         () -> message(stage, sent),
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -175,7 +175,7 @@
      * @param message makes the call as soon as the link is there
      * @param progress takes what the host says of its progress before the reply
      */
-    Uni<Envelope> ask(
+    Uni<Envelope> callStage(
             Link link,
             HomeRegions homes,
             Supplier<StageCall.Builder> message,
