--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/AnswerSink.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/AnswerSink.java
@@ -9,7 +9,7 @@
     void deliver(MergedAnswer answer);
 
     /** Takes parts that came so far, if the query was asked for them in pieces; more may follow. */
-    default void deliverPiece(MergedAnswer piece) {
+    default void deliverPartial(MergedAnswer partial) {
         throw new UnsupportedOperationException("a whole answer was asked for");
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -26,18 +26,18 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     /** How many digits of a second tell milliseconds. */
-    private static final int MILLIS_DIGITS = 3;
+    private static final int MILLIS_SCALE = 3;
     /** No use in coming back: the answer will be the same. */
-    private static final Duration NEVER = Duration.ZERO;
+    private static final Duration NO_RETRY = Duration.ZERO;
     /** When to come back if no leaf takes work, or keys are not known: a change takes about 0.3 s to be known. */
-    private static final Duration RETRY_SOON = Duration.ofMillis(200);
+    private static final Duration RETRY_NO_LEAF = Duration.ofMillis(200);
     /**
      * When to come back to a fleet whose hosts have just started: a host knows its tables about a second after its
      * start, and a caller that comes back much sooner is only refused again.
      */
-    private static final Duration RETRY_STARTED = Duration.ofMillis(700);
+    private static final Duration RETRY_NOT_READY = Duration.ofMillis(700);
     /** When to try another host: at once, since every answer of this one ends its connection. */
-    private static final Duration RETRY_ELSEWHERE = Duration.ofMillis(40);
+    private static final Duration RETRY_STOPPING = Duration.ofMillis(40);
     /** When to come back after leafs were full or late: a few times the work of one request. */
     private static final Duration RETRY_BUSY = Duration.ofMillis(70);
 
@@ -57,8 +57,8 @@
     private final GatewayMetrics metrics;
     private final RandomGenerator random;
     private Runnable onNotRun = () -> {};
-    private Runnable onBroken = () -> {};
-    private Runnable onSurvived = () -> {};
+    private Runnable onDisconnected = () -> {};
+    private Runnable onSurvival = () -> {};
 
     CallerAnswers(HttpExchange exchange, CallHeaders names, GatewayMetrics metrics, RandomGenerator random) {
         this.exchange = exchange;
@@ -82,13 +82,13 @@
     }
 
     /** Passes on what a leaf answered. */
-    void pass(LeafAnswer answer) {
+    void forward(LeafAnswer answer) {
         FullHttpResponse response = HttpExchange.response(
                 answer.status(), Unpooled.wrappedBuffer(answer.body().asReadOnlyByteBuffer()));
         LeafRequest.copyEndToEnd(answer.headers(), response.headers());
         metrics.recordForwardedAnswer(answer.status());
         if (answer.showsSurvival()) {
-            onSurvived.run();
+            onSurvival.run();
         }
         metrics.recordAnswer(exchange.receivedNanos());
         exchange.respond(response);
@@ -104,13 +104,13 @@
     }
 
     /** Sets what to do if a leaf has run the request and answered. */
-    void onSurvived(Runnable task) {
-        onSurvived = task;
+    void onSurvival(Runnable task) {
+        onSurvival = task;
     }
 
     /** Sets what to do if the last call to a leaf broke and the request may have run. */
-    void onBroken(Runnable task) {
-        onBroken = task;
+    void onDisconnected(Runnable task) {
+        onDisconnected = task;
     }
 
     /** Refuses a request and says when to come back. */
@@ -128,58 +128,64 @@
         if (reason.isNotRun()) {
             onNotRun.run();
         } else if (reason == RefusalReason.OUTCOME_UNKNOWN) {
-            onBroken.run();
+            onDisconnected.run();
         }
-        Told told =
+        RefusalResponse response =
                 switch (reason) {
-                    case NO_LEAF -> new Told(UNAVAILABLE, RETRY_SOON, "no leaf takes this request now");
+                    case NO_LEAF -> new RefusalResponse(UNAVAILABLE, RETRY_NO_LEAF, "no leaf takes this request now");
                     case NO_LEAF_AT_HOME ->
-                        new Told(UNAVAILABLE, RETRY_SOON, "no leaf where this may be served takes it now");
-                    case ALL_BUSY -> new Told(UNAVAILABLE, RETRY_BUSY, "every leaf is full");
+                        new RefusalResponse(
+                                UNAVAILABLE, RETRY_NO_LEAF, "no leaf where this may be served takes it now");
+                    case ALL_BUSY -> new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "every leaf is full");
                     case HARMFUL ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
                                 RETRY_HARMFUL,
                                 "not run: requests like this one ended the leafs that ran them; ask the operator");
                     case ON_TRIAL ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
                                 RETRY_ON_TRIAL,
                                 "not run: leafs ended with requests like this one, and another one is being tried");
                     case UNKNOWN_KEY ->
-                        new Told(UNAUTHORIZED, NEVER, "a key of a team is needed; ask the operator for one");
+                        new RefusalResponse(
+                                UNAUTHORIZED, NO_RETRY, "a key of a team is needed; ask the operator for one");
                     case KEY_UNDECIDED ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
-                                RETRY_SOON,
+                                RETRY_NO_LEAF,
                                 "not run: this host does not know the key and may not know the newest ones");
                     case OVER_LIMIT ->
-                        new Told(TOO_MANY_REQUESTS, RETRY_BUSY, "the team has made as many requests as it may");
-                    case NO_ROOM -> new Told(UNAVAILABLE, RETRY_BUSY, "not run: there is no room for it in time");
-                    case EXPIRED -> new Told(UNAVAILABLE, RETRY_BUSY, "its time was up before it was looked at");
-                    case TIME_UP -> new Told(GATEWAY_TIMEOUT, RETRY_BUSY, "no answer in time; it may have run");
+                        new RefusalResponse(
+                                TOO_MANY_REQUESTS, RETRY_BUSY, "the team has made as many requests as it may");
+                    case NO_ROOM ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "not run: there is no room for it in time");
+                    case EXPIRED ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "its time was up before it was looked at");
+                    case TIME_UP ->
+                        new RefusalResponse(GATEWAY_TIMEOUT, RETRY_BUSY, "no answer in time; it may have run");
                     case TOO_FEW_SHARDS, OUTCOME_UNKNOWN ->
-                        new Told(BAD_GATEWAY, RETRY_BUSY, "no whole answer came; it may have run");
+                        new RefusalResponse(BAD_GATEWAY, RETRY_BUSY, "no whole answer came; it may have run");
                 };
         refuse(
-                told.status(),
-                retryAfter.orElseGet(() -> RetryAfterJitter.spread(told.retryFrom(), random)),
-                told.text());
+                response.status(),
+                retryAfter.orElseGet(() -> RetryAfterJitter.spread(response.retryFrom(), random)),
+                response.text());
     }
 
     /** Tells the caller that the request was not looked at and when to come back. */
-    void notReady() {
+    void refuseNotReady() {
         refuse(
                 UNAVAILABLE,
-                RetryAfterJitter.spread(RETRY_STARTED, random),
+                RetryAfterJitter.spread(RETRY_NOT_READY, random),
                 "this host does not know its configuration yet; come back soon");
     }
 
     /** Tells the caller that the request was not looked at, and to try another host. */
-    void stopping() {
+    void refuseStopping() {
         refuse(
                 UNAVAILABLE,
-                RetryAfterJitter.spread(RETRY_ELSEWHERE, random),
+                RetryAfterJitter.spread(RETRY_STOPPING, random),
                 "this host is stopping; another one takes the request");
     }
 
@@ -188,7 +194,7 @@
                 HttpExchange.response(status, Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
         if (!retryAfter.isZero()) {
-            response.headers().set(names.retryAfterSeconds(), seconds(retryAfter));
+            response.headers().set(names.retryAfterSeconds(), formatSeconds(retryAfter));
         }
         if (status == UNAUTHORIZED) {
             response.headers().set(HttpHeaderNames.WWW_AUTHENTICATE, CallerCheck.SCHEME);
@@ -197,8 +203,8 @@
         exchange.respond(response);
     }
 
-    private static String seconds(Duration time) {
-        return BigDecimal.valueOf(time.toMillis(), MILLIS_DIGITS).toPlainString();
+    private static String formatSeconds(Duration time) {
+        return BigDecimal.valueOf(time.toMillis(), MILLIS_SCALE).toPlainString();
     }
 
     /**
@@ -206,5 +212,5 @@
      *
      * @param retryFrom when it may come back at the earliest; callers are spread from there
      */
-    private record Told(int status, Duration retryFrom, String text) {}
+    private record RefusalResponse(int status, Duration retryFrom, String text) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DecisionLog.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DecisionLog.java
@@ -15,27 +15,27 @@
 final class DecisionLog {
     private static final EventLog EVENTS = EventLog.of(DecisionLog.class);
     /** Enough to explain any one failure in a storm of them, at a cost well below a percent of a small core. */
-    private static final int IMPERFECT_LINES_A_SECOND = 20;
+    private static final int MAX_DEGRADED_LINES_PER_SECOND = 20;
     /** Enough to see how requests usually go. */
-    private static final int ORDINARY_LINES_A_SECOND = 1;
+    private static final int MAX_NORMAL_LINES_PER_SECOND = 1;
 
     private final MonotonicClock clock;
     private final FleetView view;
-    private final LogRateLimiter imperfect;
-    private final LogRateLimiter ordinary;
+    private final LogRateLimiter logDegraded;
+    private final LogRateLimiter logNormal;
 
     DecisionLog(MonotonicClock clock, FleetView view) {
         this.clock = clock;
         this.view = view;
-        this.imperfect = new LogRateLimiter(clock, IMPERFECT_LINES_A_SECOND);
-        this.ordinary = new LogRateLimiter(clock, ORDINARY_LINES_A_SECOND);
+        this.logDegraded = new LogRateLimiter(clock, MAX_DEGRADED_LINES_PER_SECOND);
+        this.logNormal = new LogRateLimiter(clock, MAX_NORMAL_LINES_PER_SECOND);
     }
 
     /** Writes a line about a request that ended as well as it could, if one is due. */
-    void ordinary(RoutedCall call, String outcome) {
-        if (ordinary.tryAcquire()) {
-            ordinary.takeSuppressedCount();
-            line(call, outcome).write();
+    void logNormal(RoutedCall call, String outcome) {
+        if (logNormal.tryAcquire()) {
+            logNormal.takeSuppressedCount();
+            newLine(call, outcome).write();
         }
     }
 
@@ -44,12 +44,12 @@
      *
      * @param details adds what decided it; called only if the line is written
      */
-    void imperfect(RoutedCall call, String outcome, Consumer<EventLog.Line> details) {
-        if (!imperfect.tryAcquire()) {
+    void logDegraded(RoutedCall call, String outcome, Consumer<EventLog.Line> details) {
+        if (!logDegraded.tryAcquire()) {
             return;
         }
-        sayWhatWasLeftOut();
-        EventLog.Line line = line(call, outcome);
+        logSuppressedCount();
+        EventLog.Line line = newLine(call, outcome);
         details.accept(line);
         line.write();
     }
@@ -59,9 +59,9 @@
      *
      * @param details adds what decided it; called only if the line is written
      */
-    void refusedUnrouted(String requestId, String host, String path, String outcome, Consumer<EventLog.Line> details) {
-        if (imperfect.tryAcquire()) {
-            sayWhatWasLeftOut();
+    void logUnrouted(String requestId, String host, String path, String outcome, Consumer<EventLog.Line> details) {
+        if (logDegraded.tryAcquire()) {
+            logSuppressedCount();
             EventLog.Line line = EVENTS.info("request_ended")
                     .with("request", requestId)
                     .with("outcome", outcome)
@@ -74,14 +74,14 @@
         }
     }
 
-    private void sayWhatWasLeftOut() {
-        long leftOut = imperfect.takeSuppressedCount();
+    private void logSuppressedCount() {
+        long leftOut = logDegraded.takeSuppressedCount();
         if (leftOut > 0) {
             EVENTS.info("request_lines_left_out").with("count", leftOut).write();
         }
     }
 
-    private EventLog.Line line(RoutedCall call, String outcome) {
+    private EventLog.Line newLine(RoutedCall call, String outcome) {
         long nowNanos = clock.nowNanos();
         return EVENTS.info("request_ended")
                 .with("request", call.request().requestId())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
@@ -10,15 +10,15 @@
 /** Starts the queries that were held back, as the leafs have room. Owned by the event loop. */
 final class DeferredQueries {
     /** How often it is looked for room: a part of the time of a call. */
-    private static final long LOOK_NANOS = Duration.ofMillis(10).toNanos();
+    private static final long CHECK_INTERVAL_NANOS = Duration.ofMillis(10).toNanos();
     /** The share of the shards that must have room: a few are always paused or slow. */
-    private static final double ROOM_SHARE = 0.8;
+    private static final double MIN_SHARE_WITH_CAPACITY = 0.8;
 
     private final FleetView view;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final DeferredStarts<Held> starts = new DeferredStarts<>();
-    private boolean looking;
+    private final DeferredStarts<DeferredQuery> starts = new DeferredStarts<>();
+    private boolean checkScheduled;
 
     DeferredQueries(FleetView view, MonotonicClock clock, EventLoop loop) {
         this.view = view;
@@ -26,7 +26,7 @@
         this.loop = loop;
     }
 
-    private record Held(ScatterRun run, RouteTarget.Scatter target) {}
+    private record DeferredQuery(ScatterRun run, RouteTarget.Scatter target) {}
 
     /**
      * Starts a query when there is room for it.
@@ -34,40 +34,40 @@
      * @param startByNanos when it starts at the latest
      * @return what to call if its caller goes away
      */
-    Runnable startWhenRoom(ScatterRun run, RouteTarget.Scatter target, long startByNanos) {
-        Held query = new Held(run, target);
+    Runnable defer(ScatterRun run, RouteTarget.Scatter target, long startByNanos) {
+        DeferredQuery query = new DeferredQuery(run, target);
         starts.defer(query, startByNanos);
-        look();
+        startDue();
         return () -> {
             starts.remove(query);
             run.callerGone();
         };
     }
 
-    private void look() {
+    private void startDue() {
         boolean room = false;
         long nowNanos = clock.nowNanos();
         do {
             room = false;
-            for (Held query : starts.pollDue(hasRoom(nowNanos), nowNanos)) {
+            for (DeferredQuery query : starts.pollDue(hasCapacity(nowNanos), nowNanos)) {
                 room = true;
                 query.run().start();
             }
         } while (room && !starts.isEmpty());
-        if (!starts.isEmpty() && !looking) {
-            looking = true;
-            loop.schedule(this::lookAgain, LOOK_NANOS, TimeUnit.NANOSECONDS);
+        if (!starts.isEmpty() && !checkScheduled) {
+            checkScheduled = true;
+            loop.schedule(this::onCheckTimer, CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
-    private void lookAgain() {
-        looking = false;
-        look();
+    private void onCheckTimer() {
+        checkScheduled = false;
+        startDue();
     }
 
-    private boolean hasRoom(long nowNanos) {
+    private boolean hasCapacity(long nowNanos) {
         return starts.peek()
-                .map(query -> view.shareWithCapacity(query.target(), nowNanos) >= ROOM_SHARE)
+                .map(query -> view.shareWithCapacity(query.target(), nowNanos) >= MIN_SHARE_WITH_CAPACITY)
                 .orElse(false);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
@@ -12,13 +12,13 @@
 import org.bramblerack.request.routed.RoutedAction;
 
 /** Carries out the decisions of one request to one leaf. Owned by the event loop. */
-final class ForwardRun implements LeafSender.Taker {
-    private static final int LEAST_FAILURE = 300;
+final class ForwardRun implements LeafSender.Listener {
+    private static final int MIN_FAILURE_STATUS = 300;
 
     private final RoutedCall call;
     private final ForwardedRequest request;
     private final LeafSender sender;
-    private final CallerAnswers caller;
+    private final CallerAnswers callerAnswers;
     private final GatewayMetrics metrics;
     private final MonotonicClock clock;
     private final DecisionLog log;
@@ -35,14 +35,14 @@
         this.call = call;
         this.request = request;
         this.sender = sender;
-        this.caller = caller;
+        this.callerAnswers = caller;
         this.metrics = metrics;
         this.clock = clock;
         this.log = log;
     }
 
     void start() {
-        carryOut(request.start(clock.nowNanos()));
+        execute(request.start(clock.nowNanos()));
     }
 
     void callerGone() {
@@ -51,58 +51,58 @@
     }
 
     @Override
-    public void answered(Attempt attempt, LeafAnswer answer) {
+    public void onAnswer(Attempt attempt, LeafAnswer answer) {
         answers.put(attempt, answer);
         if (answer.outcome() == LeafOutcome.SUCCEEDED) {
-            carryOut(request.onAnswer(attempt));
+            execute(request.onAnswer(attempt));
         } else {
             metrics.count(answer.outcome());
-            carryOut(request.onFailure(attempt, answer.outcome(), answer.mayBeForwarded(), clock.nowNanos()));
+            execute(request.onFailure(attempt, answer.outcome(), answer.mayBeForwarded(), clock.nowNanos()));
         }
     }
 
     @Override
-    public void failed(Attempt attempt, LeafOutcome outcome) {
+    public void onFailure(Attempt attempt, LeafOutcome outcome) {
         metrics.count(outcome);
-        carryOut(request.onFailure(attempt, outcome, false, clock.nowNanos()));
+        execute(request.onFailure(attempt, outcome, false, clock.nowNanos()));
     }
 
-    private void explain(LeafAnswer answer) {
+    private void logOutcome(LeafAnswer answer) {
         boolean late = clock.nowNanos() - call.times().goalNanos() > 0;
-        if (answer.status() >= LEAST_FAILURE) {
-            explain("LEAF_ANSWERED_" + answer.status());
+        if (answer.status() >= MIN_FAILURE_STATUS) {
+            logOutcome("LEAF_ANSWERED_" + answer.status());
         } else if (late) {
-            explain("LATE");
+            logOutcome("LATE");
         } else {
-            log.ordinary(call, "PASSED_ON");
+            log.logNormal(call, "PASSED_ON");
         }
     }
 
-    private void explain(String outcome) {
-        log.imperfect(call, outcome, line -> line.with("tried", request.describe(clock.nowNanos())));
+    private void logOutcome(String outcome) {
+        log.logDegraded(call, outcome, line -> line.with("tried", request.describe(clock.nowNanos())));
     }
 
-    private void carryOut(List<RoutedAction> actions) {
+    private void execute(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
                 metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
             } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                sender.giveUp(giveUp.attempt());
+                sender.abandon(giveUp.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
-                sender.wakeAt(wake.atNanos(), () -> carryOut(request.wake(clock.nowNanos())));
+                sender.wakeAt(wake.atNanos(), () -> execute(request.wake(clock.nowNanos())));
             } else if (action instanceof RoutedAction.DeliverAnswer deliver) {
                 sender.finish();
                 LeafAnswer answer = answers.get(deliver.attempt());
                 if (answer != null) {
-                    caller.pass(answer);
-                    explain(answer);
+                    callerAnswers.forward(answer);
+                    logOutcome(answer);
                 }
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 sender.finish();
                 RefusalReason reason = request.finalRefusalReason(refuse.reason());
-                caller.refuse(reason);
-                explain(reason.name());
+                callerAnswers.refuse(reason);
+                logOutcome(reason.name());
             } else if (action instanceof RoutedAction.Count count) {
                 metrics.count(count.counter());
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -41,19 +41,19 @@
  */
 public final class Gateway implements HttpHandler, PeerHandler {
     private static final EventLog EVENTS = EventLog.of(Gateway.class);
-    private static final Duration SUMMARY_EVERY = Duration.ofSeconds(10);
-    private static final long SECOND_PROBE_MILLIS = 30;
+    private static final Duration COUNTERS_LOG_INTERVAL = Duration.ofSeconds(10);
+    private static final long SECOND_PROBE_DELAY_MILLIS = 30;
     private static final int NOT_FOUND = 404;
     private static final int TOO_LARGE = 413;
     /** What a caller that names no time is taken to wait; the route's time-out bounds it. */
-    private static final long NO_DEADLINE_NANOS = Duration.ofDays(1).toNanos();
+    private static final long DEFAULT_CALLER_WAIT_NANOS = Duration.ofDays(1).toNanos();
     /** The final answer is on its way this long before the caller stops waiting. */
-    private static final long DEADLINE_WAY_NANOS = Duration.ofMillis(15).toNanos();
+    private static final long ANSWER_TRANSIT_NANOS = Duration.ofMillis(15).toNanos();
 
     /**
      * A query that was held back starts at the latest when this many goals are left, in which it is mostly answered.
      */
-    private static final int LATE_START_GOALS = 2;
+    private static final int DEFERRED_START_GOALS = 2;
 
     private final FleetView view;
     private final BooleanSupplier tablesKnown;
@@ -65,17 +65,17 @@
     private final EventLoop loop;
     private final RandomGenerator random;
     private final DecisionLog log;
-    private final FinalizeLead sealLead;
+    private final FinalizeLead finalizeLead;
     private final QueryRuns runs;
-    private final DeferredQueries lateQueries;
-    private final CallerElapsedTime waits = new CallerElapsedTime();
+    private final DeferredQueries deferredQueries;
+    private final CallerElapsedTime callerElapsedTime = new CallerElapsedTime();
     private final StageLinks stages;
     private final StageServer stageServer;
     private final LagTimer lagTimer;
     private final HarmTrials trials;
-    private final RequestCapacity room;
-    private final Map<String, SplitCursor> splits = new HashMap<>();
-    private boolean refusesCallers;
+    private final RequestCapacity capacity;
+    private final Map<String, SplitCursor> splitCursors = new HashMap<>();
+    private boolean refusingCallers;
 
     /**
      * Creates a gateway; it takes requests from then on.
@@ -106,17 +106,17 @@
         this.clock = clock;
         this.loop = loop;
         this.random = random;
-        this.sealLead = new FinalizeLead(clock.nowNanos());
+        this.finalizeLead = new FinalizeLead(clock.nowNanos());
         this.stages = new StageLinks(view, network, clock, loop, random);
-        view.onHostsChanged(stages::hostsChanged);
+        view.onHostsChanged(stages::onHostsChanged);
         view.onConnectionEvent(metrics::count);
         this.log = new DecisionLog(clock, view);
         this.runs = new QueryRuns(view, stages, names, metrics, clock, loop, random, log);
-        this.lateQueries = new DeferredQueries(view, clock, loop);
+        this.deferredQueries = new DeferredQueries(view, clock, loop);
         this.trials = new HarmTrials(view, runs, network, controlHost, loop, clock, random);
-        this.lagTimer = new LagTimer(view.routing().eventLoopLag(), sealLead, loop, clock);
-        this.room = new RequestCapacity(view, metrics, clock, loop, random);
-        this.stageServer = new StageServer(view, runs, names, sealLead, clock, loop);
+        this.lagTimer = new LagTimer(view.routing().eventLoopLag(), finalizeLead, loop, clock);
+        this.capacity = new RequestCapacity(view, metrics, clock, loop, random);
+        this.stageServer = new StageServer(view, runs, names, finalizeLead, clock, loop);
     }
 
     /** Begins to probe the links to other hosts. */
@@ -127,15 +127,15 @@
                 () -> EVENTS.info("counters")
                         .with("counters", metrics.summary())
                         .write(),
-                SUMMARY_EVERY.toMillis(),
-                SUMMARY_EVERY.toMillis(),
+                COUNTERS_LOG_INTERVAL.toMillis(),
+                COUNTERS_LOG_INTERVAL.toMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
     /** Probes the links to other hosts now, on the event loop. */
     void probeNow() {
         stages.probe();
-        loop.schedule(stages::probe, SECOND_PROBE_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(stages::probe, SECOND_PROBE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes no more work from other hosts; requests of callers are still served. */
@@ -145,7 +145,7 @@
 
     /** Refuses the requests of callers from now on, since they would not be finished; those under way are. */
     public void refuseCallers() {
-        loop.execute(() -> refusesCallers = true);
+        loop.execute(() -> refusingCallers = true);
     }
 
     /** Stops probing. */
@@ -180,13 +180,13 @@
     public void handle(HttpExchange exchange) {
         lagTimer.onWork();
         CallerAnswers answers = new CallerAnswers(exchange, names, metrics, random);
-        if (refusesCallers) {
-            answers.stopping();
+        if (refusingCallers) {
+            answers.refuseStopping();
             refusedUnrouted(exchange, "STOPPING");
             return;
         }
         if (!tablesKnown.getAsBoolean() || view.configuration().version() == 0) {
-            answers.notReady();
+            answers.refuseNotReady();
             refusedUnrouted(exchange, "NOT_READY");
             return;
         }
@@ -196,11 +196,11 @@
             refusedUnrouted(exchange, "BODY_TOO_LONG");
             return;
         }
-        identify(exchange, answers, Newest.NOT_ASKED);
+        identify(exchange, answers, VersionCheck.NOT_CHECKED);
     }
 
     /** Finds the route of a request and in whose name it is made, by the configuration in force now. */
-    private void identify(HttpExchange exchange, CallerAnswers answers, Newest newest) {
+    private void identify(HttpExchange exchange, CallerAnswers answers, VersionCheck versionCheck) {
         Optional<Route> route = view.configuration().find(exchange.headers().get("Host", ""), exchange.path());
         if (route.isEmpty()) {
             exchange.respond(NOT_FOUND, "text/plain", "no route takes this host and path\n");
@@ -215,37 +215,41 @@
                 // From here on nothing can tell it to a leaf or another host.
                 exchange.headers().remove(HttpHeaderNames.AUTHORIZATION);
             }
-            permit(exchange, route.get(), known.caller(), answers);
+            requestPermit(exchange, route.get(), known.caller(), answers);
         } else if (check instanceof CallerCheck.Result.Unknown unknown) {
-            unknown(exchange, answers, unknown.presented(), newest);
+            handleUnknownCaller(exchange, answers, unknown.presented(), versionCheck);
         }
     }
 
     /** Refuses a caller that is not known, once it is certain that no newer version of the configuration knows it. */
-    private void unknown(
-            HttpExchange exchange, CallerAnswers answers, CallerCheck.PresentedCredentials shown, Newest newest) {
-        if (newest == Newest.NOT_ASKED) {
+    private void handleUnknownCaller(
+            HttpExchange exchange,
+            CallerAnswers answers,
+            CallerCheck.PresentedCredentials presented,
+            VersionCheck check) {
+        if (check == VersionCheck.NOT_CHECKED) {
             tables.confirmNewest(confirmed -> {
                 if (!exchange.isCallerGone()) {
-                    identify(exchange, answers, confirmed ? Newest.CONFIRMED : Newest.UNCERTAIN);
+                    identify(exchange, answers, confirmed ? VersionCheck.CONFIRMED : VersionCheck.UNCERTAIN);
                 }
             });
             return;
         }
-        RefusalReason reason = newest == Newest.CONFIRMED ? RefusalReason.UNKNOWN_KEY : RefusalReason.KEY_UNDECIDED;
+        RefusalReason reason =
+                check == VersionCheck.CONFIRMED ? RefusalReason.UNKNOWN_KEY : RefusalReason.KEY_UNDECIDED;
         answers.refuse(reason);
-        logUnrouted(exchange, reason.name(), line -> line.with("shown", shown.name()));
+        logUnrouted(exchange, reason.name(), line -> line.with("shown", presented.name()));
     }
 
     /** Whether the configuration in force here is the newest. */
-    private enum Newest {
-        NOT_ASKED,
+    private enum VersionCheck {
+        NOT_CHECKED,
         CONFIRMED,
         UNCERTAIN
     }
 
     /** Asks whether the team may make one more request. */
-    private void permit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
+    private void requestPermit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
         if (caller.homeRegions(route).allowsNone()) {
             answers.refuse(RefusalReason.NO_LEAF_AT_HOME);
             logUnrouted(exchange, RefusalReason.NO_LEAF_AT_HOME.name(), line -> {});
@@ -269,10 +273,10 @@
                 new RoutedCall(route, caller, view.configuration().version(), request, exchange.receivedNanos(), times);
         limits.requestPermission(route.isPublic() ? CallerIdentity.ANONYMOUS : caller, spending -> {
             if (spending instanceof TeamRateLimits.Decision.Permitted permitted) {
-                permitted(exchange, call, answers, permitted.refund());
+                onPermitted(exchange, call, answers, permitted.refund());
             } else if (spending instanceof TeamRateLimits.Decision.Refused refused) {
                 answers.refuse(RefusalReason.OVER_LIMIT, refused.retryAfter());
-                log.imperfect(
+                log.logDegraded(
                         call,
                         RefusalReason.OVER_LIMIT.name(),
                         line -> line.with("team", caller.teamName())
@@ -283,38 +287,38 @@
     }
 
     /** Begins a request that may be made, unless its caller left while that was asked for. */
-    private void permitted(HttpExchange exchange, RoutedCall call, CallerAnswers answers, Runnable giveBack) {
+    private void onPermitted(HttpExchange exchange, RoutedCall call, CallerAnswers answers, Runnable refund) {
         if (exchange.isCallerGone()) {
-            giveBack.run();
+            refund.run();
             return;
         }
-        answers.onNotRun(giveBack);
+        answers.onNotRun(refund);
         begin(exchange, call, answers);
     }
 
     private void begin(HttpExchange exchange, RoutedCall call, CallerAnswers answers) {
         switch (view.harmFilter().permission(call.request()::fingerprints)) {
             case FREE -> admit(exchange, call, answers);
-            case ON_TRIAL -> tryOut(exchange, call, answers);
+            case ON_TRIAL -> runTrial(exchange, call, answers);
             default -> refuse(call, answers, RefusalReason.HARMFUL);
         }
     }
 
-    private void tryOut(HttpExchange exchange, RoutedCall call, CallerAnswers caller) {
-        trials.tryOut(call, () -> stageCall(exchange, call), result -> {
+    private void runTrial(HttpExchange exchange, RoutedCall call, CallerAnswers caller) {
+        trials.start(call, () -> stageCall(exchange, call), result -> {
             if (exchange.isCallerGone()) {
-                trials.giveBack(call, false);
+                trials.release(call, false);
                 return;
             }
             switch (result) {
                 case SERVE -> {
-                    caller.onNotRun(() -> trials.giveBack(call, false));
-                    caller.onBroken(() -> trials.giveBack(call, true));
-                    caller.onSurvived(() -> trials.giveBack(call, false));
+                    caller.onNotRun(() -> trials.release(call, false));
+                    caller.onDisconnected(() -> trials.release(call, true));
+                    caller.onSurvival(() -> trials.release(call, false));
                     admit(exchange, call, caller);
                 }
                 case NOT_RUN -> refuse(call, caller, RefusalReason.ON_TRIAL);
-                case BARRED -> refuse(call, caller, RefusalReason.HARMFUL);
+                case QUARANTINED -> refuse(call, caller, RefusalReason.HARMFUL);
                 default -> refuse(call, caller, RefusalReason.OUTCOME_UNKNOWN);
             }
         });
@@ -322,7 +326,7 @@
 
     private void refuse(RoutedCall call, CallerAnswers caller, RefusalReason reason) {
         caller.refuse(reason);
-        log.imperfect(call, reason.name(), line -> {});
+        log.logDegraded(call, reason.name(), line -> {});
     }
 
     /** Serves a request once this host has room for it. */
@@ -330,8 +334,8 @@
         int calls = call.route().target() instanceof RouteTarget.Scatter target
                 ? target.shards().size()
                 : 1;
-        Optional<Runnable> withdraw = room.admit(call, calls, () -> serve(exchange, call, caller), retryAfter -> {
-            log.imperfect(call, RefusalReason.NO_ROOM.name(), line -> line.with("room", room.describe()));
+        Optional<Runnable> withdraw = capacity.admit(call, calls, () -> serve(exchange, call, caller), retryAfter -> {
+            log.logDegraded(call, RefusalReason.NO_ROOM.name(), line -> line.with("room", capacity.describe()));
             caller.refuse(RefusalReason.NO_ROOM, retryAfter);
         });
         withdraw.ifPresent(exchange::onCallerGone);
@@ -344,13 +348,13 @@
             StageCaller stageCaller =
                     runs.stageCaller(queryCall(exchange, call, target), target.shards(), call.times(), call.request());
             ScatterRun run = runs.scatter(call, target, stageCaller, caller);
-            run.onSealedAtGoal(
-                    writtenNanos -> sealLead.recordFinalized(call.times().goalNanos(), writtenNanos));
-            run.onLostWhole(
+            run.onFinalizedAtGoal(
+                    writtenNanos -> finalizeLead.recordFinalized(call.times().goalNanos(), writtenNanos));
+            run.onNoShardAnswered(
                     () -> view.harmFilter().recordNoShardAnswered(call.request().arrival(), clock.nowNanos()));
             begin(exchange, call, target, run);
         } else {
-            ForwardRun run = runs.forward(call, serviceOf(route), () -> stageCall(exchange, call), caller);
+            ForwardRun run = runs.forward(call, chooseService(route), () -> stageCall(exchange, call), caller);
             exchange.onCallerGone(run::callerGone);
             run.start();
         }
@@ -359,7 +363,7 @@
     /** Starts a query, or holds it back if its answer will be late in any case and others need the leafs. */
     private void begin(HttpExchange exchange, RoutedCall call, RouteTarget.Scatter target, ScatterRun run) {
         long arrivedNanos = call.arrivedNanos();
-        long usedNanos = waits.elapsedNanos(
+        long usedNanos = callerElapsedTime.elapsedNanos(
                 call.route().name(),
                 call.times().leafDeadlineNanos() - arrivedNanos,
                 call.route().timeout().toNanos(),
@@ -371,9 +375,9 @@
             run.start();
             return;
         }
-        long startByNanos = Math.max(arrivedNanos, call.times().deadlineNanos() - LATE_START_GOALS * goalNanos);
+        long startByNanos = Math.max(arrivedNanos, call.times().deadlineNanos() - DEFERRED_START_GOALS * goalNanos);
         metrics.recordDeferredQuery();
-        exchange.onCallerGone(lateQueries.startWhenRoom(run, target, startByNanos));
+        exchange.onCallerGone(deferredQueries.defer(run, target, startByNanos));
     }
 
     private void refusedUnrouted(HttpExchange exchange, String outcome) {
@@ -382,7 +386,7 @@
     }
 
     private void logUnrouted(HttpExchange exchange, String outcome, Consumer<EventLog.Line> details) {
-        log.refusedUnrouted(
+        log.logUnrouted(
                 exchange.headers().get(names.requestId(), ""),
                 exchange.headers().get("Host", ""),
                 exchange.path(),
@@ -408,7 +412,7 @@
                 .setMethod(exchange.method())
                 .setUri(exchange.uri())
                 .setBody(ByteString.copyFrom(exchange.body()))
-                .addAllHomeRegions(routed.homes().regions())
+                .addAllHomeRegions(routed.homeRegions().regions())
                 .setTeam(routed.caller().teamName())
                 .setPriority(routed.priority());
         exchange.headers().forEach(header -> {
@@ -424,36 +428,36 @@
         long receivedNanos = exchange.receivedNanos();
         long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(receivedNanos);
         long timeoutNanos = route.timeout().toNanos();
-        long callerNanos = callerWaitNanos(exchange);
-        long finalNanos = Math.min(timeoutNanos, Math.max(callerNanos / 2, callerNanos - DEADLINE_WAY_NANOS));
-        long goalNanos = route.goal().isZero() ? finalNanos : route.goal().toNanos() - sealLead.nanos(route.goal());
+        long callerNanos = readCallerWaitNanos(exchange);
+        long finalNanos = Math.min(timeoutNanos, Math.max(callerNanos / 2, callerNanos - ANSWER_TRANSIT_NANOS));
+        long goalNanos = route.goal().isZero() ? finalNanos : route.goal().toNanos() - finalizeLead.nanos(route.goal());
         return new RequestTimes(
                 receivedNanos + Math.max(0, goalNanos),
                 arrivedNanos + finalNanos,
                 arrivedNanos + Math.min(callerNanos, timeoutNanos));
     }
 
-    private long callerWaitNanos(HttpExchange exchange) {
+    private long readCallerWaitNanos(HttpExchange exchange) {
         String text = exchange.headers().get(names.deadlineMillis());
         if (text == null) {
-            return NO_DEADLINE_NANOS;
+            return DEFAULT_CALLER_WAIT_NANOS;
         }
         try {
             return TimeUnit.MILLISECONDS.toNanos(Math.max(0, Long.parseLong(text.trim())));
         } catch (NumberFormatException malformed) {
             metrics.recordMalformedDeadline();
-            return NO_DEADLINE_NANOS;
+            return DEFAULT_CALLER_WAIT_NANOS;
         }
     }
 
-    private String serviceOf(Route route) {
+    private String chooseService(Route route) {
         if (route.target() instanceof RouteTarget.Split split) {
-            SplitCursor cursor = splits.get(route.name());
-            if (cursor == null || !cursor.isOf(split)) {
-                cursor = SplitCursor.beginningAnywhere(split, random);
-                splits.put(route.name(), cursor);
+            SplitCursor cursor = splitCursors.get(route.name());
+            if (cursor == null || !cursor.matches(split)) {
+                cursor = SplitCursor.startingAtRandom(split, random);
+                splitCursors.put(route.name(), cursor);
             }
-            return cursor.next();
+            return cursor.nextService();
         }
         return route.target().services().get(0);
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
@@ -20,17 +20,17 @@
 final class HarmReporter {
     private static final Logger LOGGER = System.getLogger(HarmReporter.class.getName());
     /** What is seen within this time is told together: a query that ends a whole index is one report, not twenty. */
-    private static final Duration TELL_EVERY = Duration.ofMillis(100);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(100);
     /** A control host waits for agreement for 850 ms. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(1_100);
+    private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_100);
 
-    private final HarmfulRequestFilter guard;
+    private final HarmfulRequestFilter filter;
     private final Supplier<ImmutableList<String>> otherHosts;
     private final RandomGenerator random;
     private final PeerNetwork network;
     private final Supplier<String> controlHost;
     private final EventLoop loop;
-    private boolean underWay;
+    private boolean inFlight;
     private int failures;
     private boolean stopped;
 
@@ -47,7 +47,7 @@
             Supplier<ImmutableList<String>> otherHosts,
             EventLoop loop,
             RandomGenerator random) {
-        this.guard = guard;
+        this.filter = guard;
         this.otherHosts = otherHosts;
         this.random = random;
         this.network = network;
@@ -56,42 +56,44 @@
     }
 
     void start() {
-        loop.scheduleWithFixedDelay(this::tell, TELL_EVERY.toMillis(), TELL_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::reportPending, REPORT_INTERVAL.toMillis(), REPORT_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     void stop() {
         loop.execute(() -> stopped = true);
     }
 
-    private void tell() {
-        if (!underWay && !stopped) {
-            guard.takeReport().ifPresent(this::send);
+    private void reportPending() {
+        if (!inFlight && !stopped) {
+            filter.takeReport().ifPresent(this::send);
         }
     }
 
     private void send(HarmReport report) {
-        underWay = true;
-        network.request(nextTaker(), Envelope.newBuilder().setHarmReport(report), REPLY_WAIT)
+        inFlight = true;
+        network.request(chooseRecipient(), Envelope.newBuilder().setHarmReport(report), REPLY_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> loop.execute(
-                                () -> ended(report, reply.getHarmReportResult().getTaken(), "it is not agreed on")),
-                        failure -> loop.execute(() -> ended(report, false, String.valueOf(failure.getMessage()))));
+                        reply -> loop.execute(() -> onReportEnded(
+                                report, reply.getHarmReportResult().getTaken(), "it is not agreed on")),
+                        failure ->
+                                loop.execute(() -> onReportEnded(report, false, String.valueOf(failure.getMessage()))));
     }
 
     /** Returns the control host, but another entry host after each odd number of failures in a row. */
-    private String nextTaker() {
+    private String chooseRecipient() {
         ImmutableList<String> others = otherHosts.get();
-        boolean asksAnother = failures % 2 == 1 && !others.isEmpty();
-        return asksAnother ? others.get(random.nextInt(others.size())) : controlHost.get();
+        boolean useOtherHost = failures % 2 == 1 && !others.isEmpty();
+        return useOtherHost ? others.get(random.nextInt(others.size())) : controlHost.get();
     }
 
-    private void ended(HarmReport report, boolean taken, String reason) {
-        underWay = false;
+    private void onReportEnded(HarmReport report, boolean taken, String reason) {
+        inFlight = false;
         failures = taken ? 0 : failures + 1;
         if (!taken) {
             LOGGER.log(Logger.Level.DEBUG, "a report of harmful requests is made again: {0}", reason);
-            guard.restoreReport(report);
+            filter.restoreReport(report);
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -33,14 +33,14 @@
 final class HarmTrials {
     private static final Logger LOGGER = System.getLogger(HarmTrials.class.getName());
     /** How long a caller is kept waiting for the grant: agreement takes some tens of milliseconds. */
-    private static final Duration GRANT_WAIT = Duration.ofMillis(300);
+    private static final Duration GRANT_TIMEOUT = Duration.ofMillis(300);
     /**
      * How long an arrival waits while another one is tried, before it looks again, so that a bystander that is cleared
      * meanwhile is served instead of being sent away. By itself it showed no difference in 400 schedules.
      */
-    private static final Duration OTHER_TRIAL_WAIT = Duration.ofMillis(80);
+    private static final Duration RECHECK_DELAY = Duration.ofMillis(80);
     /** How often it asks; that bounds how long a request that may be harmful is kept here. */
-    private static final int ASKS = 3;
+    private static final int MAX_GRANT_REQUESTS = 3;
 
     private final FleetView view;
     private final QueryRuns runs;
@@ -74,11 +74,11 @@
         /** Another one is being tried, so that it was sent to no leaf. */
         NOT_RUN,
         /** It is sent to no leaf any more. */
-        BARRED,
+        QUARANTINED,
         /** It was sent to a leaf, where its call broke, and may have run. */
-        BROKEN,
+        DISCONNECTED,
         /** It was sent to a leaf that has not answered in time, and may still run. */
-        SILENT
+        TIMED_OUT
     }
 
     /**
@@ -86,61 +86,68 @@
      *
      * @param query tells what other hosts are told of the request
      */
-    void tryOut(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
-        ask(call, query, ASKS, taker);
+    void start(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
+        requestGrant(call, query, MAX_GRANT_REQUESTS, taker);
     }
 
-    private void ask(RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
+    private void requestGrant(RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> taker) {
         TakeTrial.Builder trial =
                 HarmfulRequestFilter.newTrialRequest(call.request().arrival());
-        network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_WAIT)
+        network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_TIMEOUT)
                 .subscribe()
                 .with(
                         reply -> loop.execute(
-                                () -> decided(reply.getTakeTrialResult(), call, query, asksLeft - 1, taker)),
+                                () -> onGrantResult(reply.getTakeTrialResult(), call, query, requestsLeft - 1, taker)),
                         failure -> {
                             LOGGER.log(Logger.Level.DEBUG, "no word on a trial: {0}", failure.getMessage());
                             TakeTrialResult undecided = TakeTrialResult.getDefaultInstance();
-                            loop.execute(() -> decided(undecided, call, query, asksLeft - 1, taker));
+                            loop.execute(() -> onGrantResult(undecided, call, query, requestsLeft - 1, taker));
                         });
     }
 
     /** A host to which control gives no answer tries by itself: cut off, it serves what it can. */
-    private void decided(
-            TakeTrialResult result, RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
+    private void onGrantResult(
+            TakeTrialResult result,
+            RoutedCall call,
+            Supplier<StageCall> query,
+            int requestsLeft,
+            Consumer<Result> taker) {
         boolean granted = result.getDecided()
                 ? result.getGranted()
                 : view.harmFilter().tryStartLocalTrial(call.request().arrival(), clock.nowNanos());
         if (granted) {
-            sendFirst(call, query, taker);
-        } else if (asksLeft > 0 && hasTimeToWait(call)) {
+            callFirstShard(call, query, taker);
+        } else if (requestsLeft > 0 && hasTimeToWait(call)) {
             loop.schedule(
-                    () -> lookAgain(call, query, asksLeft, taker), OTHER_TRIAL_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+                    () -> recheckPermission(call, query, requestsLeft, taker),
+                    RECHECK_DELAY.toMillis(),
+                    TimeUnit.MILLISECONDS);
         } else {
             taker.accept(Result.NOT_RUN);
         }
     }
 
     private boolean hasTimeToWait(RoutedCall call) {
-        return call.times().deadlineNanos() - clock.nowNanos() > 2 * OTHER_TRIAL_WAIT.toNanos();
+        return call.times().deadlineNanos() - clock.nowNanos() > 2 * RECHECK_DELAY.toNanos();
     }
 
-    private void lookAgain(RoutedCall call, Supplier<StageCall> query, int asksLeft, Consumer<Result> taker) {
+    private void recheckPermission(
+            RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> taker) {
         switch (view.harmFilter().permission(call.request()::fingerprints)) {
             case FREE -> taker.accept(Result.SERVE);
-            case ON_TRIAL -> ask(call, query, asksLeft, taker);
-            default -> taker.accept(Result.BARRED);
+            case ON_TRIAL -> requestGrant(call, query, requestsLeft, taker);
+            default -> taker.accept(Result.QUARANTINED);
         }
     }
 
     /**
      * Lets another arrival be tried at once, since the trial of the one that was granted it is over.
      *
-     * @param broke true if it reached a leaf and its call broke there
+     * @param disconnected true if it reached a leaf and its call broke there
      */
-    void giveBack(RoutedCall call, boolean broke) {
-        TakeTrial.Builder trial = view.harmFilter().endTrial(call.request().arrival(), broke, clock.nowNanos());
-        network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_WAIT)
+    void release(RoutedCall call, boolean disconnected) {
+        TakeTrial.Builder trial = view.harmFilter().endTrial(call.request().arrival(), disconnected, clock.nowNanos());
+        network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_TIMEOUT)
                 .subscribe()
                 .with(
                         reply -> LOGGER.log(Logger.Level.DEBUG, "a trial was given back"),
@@ -150,7 +157,7 @@
                                 failure.getMessage()));
     }
 
-    private void sendFirst(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
+    private void callFirstShard(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
         ImmutableList<String> services = call.route().target().services();
         if (!(call.route().target() instanceof RouteTarget.Scatter) || services.size() == 1) {
             taker.accept(Result.SERVE);
@@ -159,36 +166,36 @@
         long nowNanos = clock.nowNanos();
         long expectedNanos = view.latency(call.route()).medianNanos();
         String shard = services.get(random.nextInt(services.size()));
-        PermittedLeaves pool = view.pool(shard).permitted(call.homes());
+        PermittedLeaves pool = view.pool(shard).permitted(call.homeRegions());
         Optional<Leaf> leaf = pool.choose(candidate -> true, expectedNanos, random, nowNanos);
         // One leaf more than the query needs, so it is paid for like a retry.
         if (leaf.isEmpty() || !pool.budget().tryWithdraw(nowNanos)) {
-            giveBack(call, false);
+            release(call, false);
             taker.accept(Result.NOT_RUN);
             return;
         }
-        First first = new First(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), result -> {
+        FirstShardCall firstCall = new FirstShardCall(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), result -> {
             // A leaf that was silent may still end: nobody else is tried until its time is over.
-            if (result != Result.SILENT) {
-                giveBack(call, result == Result.BROKEN);
+            if (result != Result.TIMED_OUT) {
+                release(call, result == Result.DISCONNECTED);
             }
             taker.accept(result);
         });
         LeafConnections.CallHandle ticket = runs.holderPath(query.get())
-                .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), first);
+                .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), firstCall);
         // Half of the time that is left: the query itself needs the rest.
         long waitNanos = Math.max(0, call.times().deadlineNanos() - nowNanos) / 2;
-        loop.schedule(() -> first.giveUp(ticket), waitNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> firstCall.abandon(ticket), waitNanos, TimeUnit.NANOSECONDS);
     }
 
     /** The call on the first shard. */
-    private final class First implements LeafCallback {
+    private final class FirstShardCall implements LeafCallback {
         private final Leaf leaf;
         private final Leaf.Call call;
         private final Consumer<Result> taker;
-        private boolean over;
+        private boolean ended;
 
-        First(Leaf leaf, Leaf.Call call, Consumer<Result> taker) {
+        FirstShardCall(Leaf leaf, Leaf.Call call, Consumer<Result> taker) {
             this.leaf = leaf;
             this.call = call;
             this.taker = taker;
@@ -196,7 +203,7 @@
 
         @Override
         public void onAnswer(LeafAnswer answer) {
-            if (!over) {
+            if (!ended) {
                 leaf.end(call, answer.outcome(), answer.load(), clock.nowNanos());
                 end(answer.outcome().isNotRun() ? Result.NOT_RUN : Result.SERVE);
             }
@@ -204,24 +211,24 @@
 
         @Override
         public void onFailure(LeafOutcome outcome) {
-            if (!over) {
+            if (!ended) {
                 leaf.end(call, outcome, Optional.empty(), clock.nowNanos());
-                boolean broke = outcome == LeafOutcome.BROKEN || outcome == LeafOutcome.GARBLED;
-                Result sent = broke ? Result.BROKEN : Result.SILENT;
+                boolean disconnected = outcome == LeafOutcome.BROKEN || outcome == LeafOutcome.GARBLED;
+                Result sent = disconnected ? Result.DISCONNECTED : Result.TIMED_OUT;
                 end(outcome.isNotRun() ? Result.NOT_RUN : sent);
             }
         }
 
-        void giveUp(LeafConnections.CallHandle ticket) {
-            if (!over) {
+        void abandon(LeafConnections.CallHandle ticket) {
+            if (!ended) {
                 leaf.abandon(call, clock.nowNanos());
-                over = true;
-                taker.accept(ticket.abandon() ? Result.NOT_RUN : Result.SILENT);
+                ended = true;
+                taker.accept(ticket.abandon() ? Result.NOT_RUN : Result.TIMED_OUT);
             }
         }
 
         private void end(Result result) {
-            over = true;
+            ended = true;
             taker.accept(result);
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
@@ -35,17 +35,17 @@
      * @param arrivedNanos when the call arrived here; its time counts from then
      * @return what to call to give it up
      */
-    Runnable ask(StageCall call, long arrivedNanos, LeafRequest request, Consumer<Envelope.Builder> reply) {
+    Runnable call(StageCall call, long arrivedNanos, LeafRequest request, Consumer<Envelope.Builder> reply) {
         Optional<Leaf> leaf = view.leaf(call.getLeaf()).filter(Leaf::acceptsWork);
         if (leaf.isEmpty()) {
             // This host may be behind: that it does not know a leaf says nothing of the leaf.
-            reply.accept(ended(LeafOutcome.NO_CONNECTION));
+            reply.accept(failure(LeafOutcome.NO_CONNECTION));
             return () -> {};
         }
         long nowNanos = clock.nowNanos();
         long deadlineNanos = arrivedNanos + TimeUnit.MICROSECONDS.toNanos(call.getDeadlineMicros());
         if (nowNanos - deadlineNanos >= 0) {
-            reply.accept(ended(LeafOutcome.NO_CONNECTION));
+            reply.accept(failure(LeafOutcome.NO_CONNECTION));
             return () -> {};
         }
         long expectedNanos = view.configuration()
@@ -55,17 +55,17 @@
         Exchange exchange =
                 new Exchange(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), call.getWholeAnswer(), reply);
         exchange.ticket = Optional.of(view.connectionsTo(leaf.get()).send(request, deadlineNanos, exchange));
-        return exchange::giveUp;
+        return exchange::abandon;
     }
 
-    private static Envelope.Builder ended(LeafOutcome outcome) {
+    private static Envelope.Builder failure(LeafOutcome outcome) {
         return Envelope.newBuilder()
                 .setStageResult(StageResult.newBuilder()
                         .setStatus(outcome.isNotRun() ? StageResult.Status.NOT_RUN : StageResult.Status.FAILED)
                         .setLeafOutcome(outcome.name()));
     }
 
-    private static StageResult.Builder whole(LeafAnswer answer) {
+    private static StageResult.Builder wholeAnswer(LeafAnswer answer) {
         StageResult.Builder result = StageResult.newBuilder()
                 .setStatus(answer.outcome().isNotRun() ? StageResult.Status.NOT_RUN : StageResult.Status.ANSWERED)
                 .setStatusCode(answer.status())
@@ -97,11 +97,12 @@
         public void onAnswer(LeafAnswer answer) {
             leaf.end(call, answer.outcome(), answer.load(), clock.nowNanos());
             if (wholeAnswer) {
-                reply.accept(Envelope.newBuilder().setStageResult(whole(answer)));
+                reply.accept(Envelope.newBuilder().setStageResult(wholeAnswer(answer)));
                 return;
             }
             if (answer.outcome() != LeafOutcome.SUCCEEDED || answer.signature().isEmpty()) {
-                reply.accept(ended(answer.outcome() == LeafOutcome.SUCCEEDED ? LeafOutcome.FAILED : answer.outcome()));
+                reply.accept(
+                        failure(answer.outcome() == LeafOutcome.SUCCEEDED ? LeafOutcome.FAILED : answer.outcome()));
                 return;
             }
             reply.accept(Envelope.newBuilder()
@@ -115,11 +116,11 @@
         public void onFailure(LeafOutcome outcome) {
             if (leaf.isUnderWay(call)) {
                 leaf.end(call, outcome, Optional.empty(), clock.nowNanos());
-                reply.accept(ended(outcome));
+                reply.accept(failure(outcome));
             }
         }
 
-        void giveUp() {
+        void abandon() {
             if (leaf.isUnderWay(call)) {
                 leaf.abandon(call, clock.nowNanos());
                 ticket.ifPresent(LeafConnections.CallHandle::abandon);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -48,37 +48,37 @@
     }
 
     @Override
-    public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback taker) {
+    public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback listener) {
         Optional<StageLinks.Link> holder =
                 links.firstUsable(view.holdersOf(leaf), leaf.id(), homes, query.getPassedOverList());
         if (holder.isEmpty()) {
-            return view.connectionsTo(leaf).send(request, deadlineNanos, taker);
+            return view.connectionsTo(leaf).send(request, deadlineNanos, listener);
         }
-        HeldCall call = new HeldCall(holder.get(), leaf.id(), request, taker);
+        HolderCall call = new HolderCall(holder.get(), leaf.id(), request, listener);
         call.send(deadlineNanos);
         return call;
     }
 
     /** One call through one holder. */
-    private final class HeldCall implements LeafConnections.CallHandle {
+    private final class HolderCall implements LeafConnections.CallHandle {
         private final StageLinks.Link holder;
         private final String leafId;
         private final LeafRequest request;
-        private final LeafCallback taker;
-        private final long number = links.nextCall();
-        private boolean over;
-        private boolean made;
+        private final LeafCallback listener;
+        private final long number = links.nextCallNumber();
+        private boolean ended;
+        private boolean messageCreated;
 
-        HeldCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafCallback taker) {
+        HolderCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafCallback taker) {
             this.holder = holder;
             this.leafId = leafId;
             this.request = request;
-            this.taker = taker;
+            this.listener = taker;
         }
 
         void send(long deadlineNanos) {
             long remainingNanos = Math.max(1, deadlineNanos - clock.nowNanos());
-            holder.begin();
+            holder.onCallStarted();
             links.callStage(
                             holder,
                             homes,
@@ -86,13 +86,13 @@
                             Duration.ofNanos(remainingNanos),
                             progress -> {})
                     .subscribe()
-                    .with(reply -> take(reply.getStageResult()), this::fail);
+                    .with(reply -> onResult(reply.getStageResult()), this::onFailure);
         }
 
         private StageCall.Builder message(long deadlineNanos) {
-            made = true;
+            messageCreated = true;
             // What was given up before there was a link is sent to no leaf any more: its caller may have been told so.
-            long remainingNanos = over ? 0 : deadlineNanos - clock.nowNanos() - holder.roundTripNanos() / 2;
+            long remainingNanos = ended ? 0 : deadlineNanos - clock.nowNanos() - holder.roundTripNanos() / 2;
             return query.toBuilder()
                     .clearShards()
                     .setLeaf(leafId)
@@ -102,31 +102,31 @@
 
         @Override
         public boolean abandon() {
-            if (over) {
+            if (ended) {
                 return false;
             }
-            over = true;
-            holder.end();
+            ended = true;
+            holder.onCallEnded();
             links.cancel(holder, number);
-            return !made;
+            return !messageCreated;
         }
 
-        private void take(StageResult result) {
-            if (over) {
+        private void onResult(StageResult result) {
+            if (ended) {
                 return;
             }
-            over = true;
-            holder.end();
-            holder.told(result.getLagMicros(), clock.nowNanos());
+            ended = true;
+            holder.onCallEnded();
+            holder.recordLag(result.getLagMicros(), clock.nowNanos());
             if (result.getStatusCode() > 0) {
                 LeafAnswer answer = LeafAnswer.of(result.getStatusCode(), headers(result), result.getRecords(), names);
                 if (answer.showsSurvival()) {
-                    survived();
+                    recordSurvival();
                 }
-                taker.onAnswer(answer);
+                listener.onAnswer(answer);
             } else if (result.getStatus() == StageResult.Status.ANSWERED && result.getSignaturesCount() == 1) {
-                survived();
-                taker.onAnswer(new LeafAnswer(
+                recordSurvival();
+                listener.onAnswer(new LeafAnswer(
                         OK,
                         EmptyHttpHeaders.INSTANCE,
                         result.getRecords(),
@@ -136,25 +136,25 @@
             } else {
                 LeafOutcome outcome = outcomeOf(result);
                 if (!outcome.isSent() && outcome != LeafOutcome.BARRED) {
-                    holder.cannotReach(leafId, clock.nowNanos());
+                    holder.recordUnreachable(leafId, clock.nowNanos());
                 }
-                taker.onFailure(outcome);
+                listener.onFailure(outcome);
             }
         }
 
-        private void survived() {
+        private void recordSurvival() {
             view.harmFilter().recordSurvival(request.fingerprints(), clock.nowNanos());
         }
 
-        private void fail(Throwable failure) {
-            if (over) {
+        private void onFailure(Throwable failure) {
+            if (ended) {
                 return;
             }
-            over = true;
-            holder.end();
+            ended = true;
+            holder.onCallEnded();
             holder.suspect(clock.nowNanos());
             boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-            taker.onFailure(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
+            listener.onFailure(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
         }
 
         private HttpHeaders headers(StageResult result) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
@@ -19,9 +19,9 @@
     private static final EventLog EVENTS = EventLog.of(LeafHarm.class);
 
     private final Leaf leaf;
-    private final long leafStart;
-    private final HarmfulRequestFilter guard;
-    private final LogLimit lines;
+    private final long incarnationHash;
+    private final HarmfulRequestFilter filter;
+    private final LogLimit logLimit;
     private final MonotonicClock clock;
 
     /**
@@ -32,29 +32,29 @@
      */
     LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter guard, LogLimit lines, MonotonicClock clock) {
         this.leaf = leaf;
-        this.leafStart = Hashing.sha256()
+        this.incarnationHash = Hashing.sha256()
                 .hashString(leaf.service() + "\n" + leaf.id() + "\n" + incarnation, StandardCharsets.UTF_8)
                 .asLong();
-        this.guard = guard;
-        this.lines = lines;
+        this.filter = guard;
+        this.logLimit = lines;
         this.clock = clock;
     }
 
     @Override
     public boolean maySend(LeafRequest request) {
         // What is on trial was let through as one arrival where it came; its calls are not stopped halfway.
-        return guard.permission(request::fingerprints) != Permission.QUARANTINED;
+        return filter.permission(request::fingerprints) != Permission.QUARANTINED;
     }
 
     @Override
     public void onAnswered(LeafRequest request) {
-        guard.recordSurvival(request.fingerprints(), clock.nowNanos());
+        filter.recordSurvival(request.fingerprints(), clock.nowNanos());
     }
 
     @Override
     public void onFailed(LeafRequest request, LeafOutcome outcome) {
-        guard.recordDisconnect(request.arrival(), clock.nowNanos());
-        if (lines.admit()) {
+        filter.recordDisconnect(request.arrival(), clock.nowNanos());
+        if (logLimit.admit()) {
             EVENTS.info("call_broken")
                     .with("request", request.requestId())
                     .with("fingerprint", request.fingerprints().path().toString())
@@ -69,8 +69,8 @@
     public void onLeafEnded(ImmutableList<LeafRequest> onIt) {
         ImmutableList<Arrival> arrivals =
                 onIt.stream().map(LeafRequest::arrival).distinct().collect(ImmutableList.toImmutableList());
-        guard.recordLeafEnd(leafStart, arrivals, clock.nowNanos());
-        if (lines.admit()) {
+        filter.recordLeafEnd(incarnationHash, arrivals, clock.nowNanos());
+        if (logLimit.admit()) {
             EVENTS.info("leaf_ended_under_calls")
                     .with("leaf", leaf.id())
                     .with("service", leaf.service())
@@ -83,12 +83,12 @@
     /** Bounds the lines about all leafs of this host. Owned by the event loop. */
     static final class LogLimit {
         /** A leaf that ends breaks a call for each slot and some that wait; a few leafs a second can be followed. */
-        private static final int LINES_A_SECOND = 20;
+        private static final int MAX_LINES_PER_SECOND = 20;
 
         private final LogRateLimiter bound;
 
         LogLimit(MonotonicClock clock) {
-            this.bound = new LogRateLimiter(clock, LINES_A_SECOND);
+            this.bound = new LogRateLimiter(clock, MAX_LINES_PER_SECOND);
         }
 
         private boolean admit() {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
@@ -12,8 +12,8 @@
      * Sends a request to a leaf.
      *
      * @param deadlineNanos when the sender stops waiting
-     * @param taker takes what comes of it
+     * @param listener takes what comes of it
      * @return what to call to give the request up
      */
-    LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback taker);
+    LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback listener);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
@@ -31,7 +31,7 @@
 final class LeafSender {
     private static final EventLog EVENTS = EventLog.of(LeafSender.class);
     /** How long a call may go on after its caller went away: leafs should not work for nobody. */
-    private static final Duration LINGER = Duration.ofMillis(300);
+    private static final Duration CALLER_GONE_LINGER = Duration.ofMillis(300);
 
     private final LeafRequest request;
     private final long leafDeadlineNanos;
@@ -40,7 +40,7 @@
     private final LeafPath path;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final Map<Attempt, Sent> underWay = new HashMap<>();
+    private final Map<Attempt, PendingCall> pending = new HashMap<>();
     private @Nullable ScheduledFuture<?> wake;
 
     LeafSender(
@@ -61,49 +61,49 @@
     }
 
     /** Takes what came of an attempt. */
-    interface Taker {
+    interface Listener {
         /** Takes a whole answer, which may be a failure of the leaf. */
-        void answered(Attempt attempt, LeafAnswer answer);
+        void onAnswer(Attempt attempt, LeafAnswer answer);
 
         /** Takes the failure of an attempt without an answer. */
-        void failed(Attempt attempt, LeafOutcome outcome);
+        void onFailure(Attempt attempt, LeafOutcome outcome);
     }
 
     /** Sends an attempt. */
-    void send(Attempt attempt, Taker taker) {
+    void send(Attempt attempt, Listener listener) {
         Leaf leaf = attempt.leaf();
         Leaf.Call call = leaf.begin(expectedNanos, clock.nowNanos());
         LeafCallback exchange = new LeafCallback() {
             @Override
             public void onAnswer(LeafAnswer answer) {
                 long nowNanos = clock.nowNanos();
-                underWay.remove(attempt);
-                end(leaf, call, answer.outcome(), answer.load(), nowNanos);
+                pending.remove(attempt);
+                endCall(leaf, call, answer.outcome(), answer.load(), nowNanos);
                 if (answer.outcome() == LeafOutcome.SUCCEEDED) {
                     latency.record(nowNanos - call.sentNanos(), nowNanos);
                 }
-                taker.answered(attempt, answer);
+                listener.onAnswer(attempt, answer);
             }
 
             @Override
             public void onFailure(LeafOutcome outcome) {
-                underWay.remove(attempt);
+                pending.remove(attempt);
                 if (!leaf.isUnderWay(call)) {
                     // This host gave it up, and closed the connection itself.
                     return;
                 }
-                end(leaf, call, outcome, Optional.empty(), clock.nowNanos());
-                taker.failed(attempt, outcome);
+                endCall(leaf, call, outcome, Optional.empty(), clock.nowNanos());
+                listener.onFailure(attempt, outcome);
             }
         };
         LeafConnections.CallHandle ticket = path.send(leaf, request, leafDeadlineNanos, exchange);
         if (leaf.isUnderWay(call)) {
-            underWay.put(attempt, new Sent(ticket, call));
+            pending.put(attempt, new PendingCall(ticket, call));
         }
     }
 
     /** Notes what came of a call; a leaf that is set aside for it, or no longer, leaves a line. */
-    private void end(Leaf leaf, Leaf.Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
+    private void endCall(Leaf leaf, Leaf.Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
         boolean ejectedBefore = leaf.isEjected(nowNanos);
         leaf.end(call, outcome, load, nowNanos);
         boolean ejected = leaf.isEjected(nowNanos);
@@ -118,8 +118,8 @@
     }
 
     /** Gives up an attempt; its taker hears nothing of it that matters any more. */
-    void giveUp(Attempt attempt) {
-        Sent sent = underWay.remove(attempt);
+    void abandon(Attempt attempt) {
+        PendingCall sent = pending.remove(attempt);
         if (sent != null) {
             attempt.leaf().abandon(sent.call(), clock.nowNanos());
             if (sent.ticket().abandon()) {
@@ -143,13 +143,13 @@
     /** Notes that the caller went away. */
     void callerGone() {
         cancelWake();
-        if (!underWay.isEmpty()) {
-            loop.schedule(this::giveUpAll, LINGER.toNanos(), TimeUnit.NANOSECONDS);
+        if (!pending.isEmpty()) {
+            loop.schedule(this::abandonAll, CALLER_GONE_LINGER.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void giveUpAll() {
-        List.copyOf(underWay.keySet()).forEach(this::giveUp);
+    private void abandonAll() {
+        List.copyOf(pending.keySet()).forEach(this::abandon);
     }
 
     private void cancelWake() {
@@ -160,5 +160,5 @@
     }
 
     /** A call that was sent, or waits for a connection. */
-    private record Sent(LeafConnections.CallHandle ticket, Leaf.Call call) {}
+    private record PendingCall(LeafConnections.CallHandle ticket, Leaf.Call call) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -57,7 +57,7 @@
 
     /** Creates a run that may leave shards far away to other hosts. */
     ScatterRun scatter(RoutedCall call, RouteTarget.Scatter target, StageCaller caller, AnswerSink sink) {
-        ImmutableList<PermittedLeaves> pools = pools(call, target);
+        ImmutableList<PermittedLeaves> pools = permittedPools(call, target);
         RequestBounds bounds = bounds(call, hedgeDelayNanos(call.route()));
         ImmutableList<StageAttempt> stages = view.usesStages()
                 ? links.plan(
@@ -78,16 +78,16 @@
      * Creates a run on behalf of another host that says when to hedge. Where shards are held, those whose best leafs
      * are held elsewhere are left to their holders in turn, in one call each, unless the call was passed on before.
      */
-    ScatterRun scatterHere(
+    ScatterRun scatterForHost(
             RoutedCall call,
             RouteTarget.Scatter target,
             long hedgeDelayNanos,
-            boolean mayPassOn,
+            boolean mayForward,
             StageCaller caller,
             AnswerSink sink) {
         RequestBounds bounds = bounds(call, hedgeDelayNanos);
-        ImmutableList<PermittedLeaves> pools = pools(call, target);
-        ImmutableList<StageAttempt> stages = mayPassOn && view.usesHolders()
+        ImmutableList<PermittedLeaves> pools = permittedPools(call, target);
+        ImmutableList<StageAttempt> stages = mayForward && view.usesHolders()
                 ? links.plan(
                         pools,
                         bounds.expectedNanos(),
@@ -117,10 +117,10 @@
         return new ScatterRun(call, query, sender(call, path), caller, sink, metrics, clock, log);
     }
 
-    private ImmutableList<PermittedLeaves> pools(RoutedCall call, RouteTarget.Scatter target) {
+    private ImmutableList<PermittedLeaves> permittedPools(RoutedCall call, RouteTarget.Scatter target) {
         ImmutableList.Builder<PermittedLeaves> pools =
                 ImmutableList.builderWithExpectedSize(target.shards().size());
-        target.shards().forEach(shard -> pools.add(view.pool(shard).permitted(call.homes())));
+        target.shards().forEach(shard -> pools.add(view.pool(shard).permitted(call.homeRegions())));
         return pools.build();
     }
 
@@ -137,7 +137,7 @@
         boolean repeatable = call.route().kind() == RequestKind.IDEMPOTENT;
         RequestBounds bounds = bounds(call, hedgeDelayNanos(call.route()));
         ForwardedRequest forwarded =
-                new ForwardedRequest(view.pool(service).permitted(call.homes()), repeatable, bounds, random);
+                new ForwardedRequest(view.pool(service).permitted(call.homeRegions()), repeatable, bounds, random);
         LeafPath path = view.isHeld(service)
                 ? holderPath(query.get().toBuilder().setWholeAnswer(true).build())
                 : (leaf, request, deadlineNanos, taker) ->
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestCapacity.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RequestCapacity.java
@@ -18,16 +18,16 @@
 /** Begins requests as this host has room for them. Owned by the event loop. */
 final class RequestCapacity {
     /** What a leaf call takes of a host with a third of a core. */
-    private static final Duration CALL_COST = Duration.ofNanos(300_000);
+    private static final Duration LEAF_CALL_COST = Duration.ofNanos(300_000);
     /** What a team without a limit weighs: a few requests a second. */
-    private static final double USUAL_WEIGHT = 10;
+    private static final double DEFAULT_TEAM_WEIGHT = 10;
 
     private final FleetView view;
     private final GatewayMetrics metrics;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final EntryAdmission<Held> room;
-    private boolean looking;
+    private final EntryAdmission<PendingRequest> admission;
+    private boolean drainScheduled;
 
     RequestCapacity(
             FleetView view, GatewayMetrics metrics, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
@@ -35,15 +35,15 @@
         this.metrics = metrics;
         this.clock = clock;
         this.loop = loop;
-        this.room = new EntryAdmission<>(clock.nowNanos(), CALL_COST, random);
+        this.admission = new EntryAdmission<>(clock.nowNanos(), LEAF_CALL_COST, random);
     }
 
     /** A request, told from others by identity. */
-    private static final class Held {
+    private static final class PendingRequest {
         private final Runnable start;
         private final Consumer<Duration> refuse;
 
-        Held(Runnable start, Consumer<Duration> refuse) {
+        PendingRequest(Runnable start, Consumer<Duration> refuse) {
             this.start = start;
             this.refuse = refuse;
         }
@@ -52,15 +52,15 @@
     /**
      * Begins a request, now or when there is room for it, or refuses it.
      *
-     * @param calls how many leafs it asks
+     * @param leafCalls how many leafs it asks
      * @param refuse takes when its caller may come back
      * @return what to call if its caller goes away while it waits, if it does
      */
-    Optional<Runnable> admit(RoutedCall call, int calls, Runnable start, Consumer<Duration> refuse) {
+    Optional<Runnable> admit(RoutedCall call, int leafCalls, Runnable start, Consumer<Duration> refuse) {
         long nowNanos = clock.nowNanos();
-        Held held = new Held(start, refuse);
-        QueuedRequest<Held> applicant = new QueuedRequest<>(
-                held,
+        PendingRequest pending = new PendingRequest(start, refuse);
+        QueuedRequest<PendingRequest> queued = new QueuedRequest<>(
+                pending,
                 call.priority(),
                 call.caller().teamName(),
                 call.caller()
@@ -68,40 +68,40 @@
                         .map(Team::limit)
                         .filter(limit -> !limit.isUnlimited())
                         .map(RateLimit::perSecond)
-                        .orElse(USUAL_WEIGHT),
-                calls,
+                        .orElse(DEFAULT_TEAM_WEIGHT),
+                leafCalls,
                 view.latency(call.route()).medianNanos(),
                 call.times().goalNanos(),
                 call.times().deadlineNanos());
-        carryOut(room.offer(applicant, lagNanos(nowNanos), nowNanos));
-        if (!room.isQueued(held)) {
+        execute(admission.offer(queued, lagNanos(nowNanos), nowNanos));
+        if (!admission.isQueued(pending)) {
             return Optional.empty();
         }
         metrics.recordQueuedRequest();
-        lookLater();
-        return Optional.of(() -> room.withdraw(held));
+        scheduleDrain();
+        return Optional.of(() -> admission.withdraw(pending));
     }
 
     /** Returns how the room stands, for a log line. */
     String describe() {
-        return "waiting=" + room.queuedCount() + " lagMillis="
+        return "waiting=" + admission.queuedCount() + " lagMillis="
                 + TimeUnit.NANOSECONDS.toMillis(lagNanos(clock.nowNanos())) + " turnMillis="
-                + room.startInterval().toMillis();
+                + admission.startInterval().toMillis();
     }
 
-    private void lookLater() {
-        if (!looking) {
-            looking = true;
-            loop.schedule(this::look, LagSamplingPeriod.BUSY_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
+    private void scheduleDrain() {
+        if (!drainScheduled) {
+            drainScheduled = true;
+            loop.schedule(this::drain, LagSamplingPeriod.BUSY_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void look() {
-        looking = false;
+    private void drain() {
+        drainScheduled = false;
         long nowNanos = clock.nowNanos();
-        carryOut(room.drain(lagNanos(nowNanos), nowNanos));
-        if (room.queuedCount() > 0) {
-            lookLater();
+        execute(admission.drain(lagNanos(nowNanos), nowNanos));
+        if (admission.queuedCount() > 0) {
+            scheduleDrain();
         }
     }
 
@@ -109,11 +109,11 @@
         return view.routing().eventLoopLag().lagNanos(nowNanos);
     }
 
-    private static void carryOut(List<AdmissionAction<Held>> actions) {
-        for (AdmissionAction<Held> action : actions) {
-            if (action instanceof AdmissionAction.Start<Held> start) {
+    private static void execute(List<AdmissionAction<PendingRequest>> actions) {
+        for (AdmissionAction<PendingRequest> action : actions) {
+            if (action instanceof AdmissionAction.Start<PendingRequest> start) {
                 start.request().start.run();
-            } else if (action instanceof AdmissionAction.Refuse<Held> refuse) {
+            } else if (action instanceof AdmissionAction.Refuse<PendingRequest> refuse) {
                 refuse.request().refuse.accept(refuse.retryAfter());
             }
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
@@ -25,7 +25,7 @@
         long arrivedNanos,
         RequestTimes times) {
     /** Returns the regions that may serve it. */
-    HomeRegions homes() {
+    HomeRegions homeRegions() {
         return caller.homeRegions(route);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -18,8 +18,8 @@
 import org.bramblerack.request.routed.StageReply;
 
 /** Carries out the decisions of one scattered query. Owned by the event loop. */
-final class ScatterRun implements LeafSender.Taker {
-    private static final long LATE_SLACK_NANOS = Duration.ofMillis(5).toNanos();
+final class ScatterRun implements LeafSender.Listener {
+    private static final long LATE_TOLERANCE_NANOS = Duration.ofMillis(5).toNanos();
 
     private final ScatterQuery query;
     private final LeafSender sender;
@@ -29,10 +29,10 @@
     private final StageCaller stages;
     private final RoutedCall call;
     private final DecisionLog log;
-    private final StageEvents stageTaker = new StageEvents();
-    private Runnable onStillAtWork = () -> {};
-    private LongConsumer onSealedAtGoal = writtenNanos -> {};
-    private Runnable onLostWhole = () -> {};
+    private final StageListener stageListener = new StageListener();
+    private Runnable onProgress = () -> {};
+    private LongConsumer onFinalizedAtGoal = writtenNanos -> {};
+    private Runnable onNoShardAnswered = () -> {};
 
     ScatterRun(
             RoutedCall call,
@@ -54,38 +54,38 @@
     }
 
     /** Sets what to do when shards are late and the query is still at work. */
-    void onStillAtWork(Runnable task) {
-        onStillAtWork = task;
+    void onProgress(Runnable task) {
+        onProgress = task;
     }
 
     /** Sets what to tell when an answer that had waited for the goal was written. */
-    void onSealedAtGoal(LongConsumer taker) {
-        onSealedAtGoal = taker;
+    void onFinalizedAtGoal(LongConsumer consumer) {
+        onFinalizedAtGoal = consumer;
     }
 
     /** Sets what to do if the query was sent, broke, and no leaf of any shard has answered it. */
-    void onLostWhole(Runnable task) {
-        onLostWhole = task;
+    void onNoShardAnswered(Runnable task) {
+        onNoShardAnswered = task;
     }
 
     void start() {
-        carryOut(query.start(clock.nowNanos()));
+        execute(query.start(clock.nowNanos()));
         if (query.isAwaitingStages()) {
             // The host that asked would take the longer silence of a call that was passed on for a failure, and make
             // an attempt that the last host makes as well.
-            onStillAtWork.run();
+            onProgress.run();
         }
     }
 
     private void wake() {
-        carryOut(query.wake(clock.nowNanos()));
+        execute(query.wake(clock.nowNanos()));
         if (!query.isOver()) {
-            onStillAtWork.run();
+            onProgress.run();
         }
     }
 
     void callerGone() {
-        carryOut(query.callerGone());
+        execute(query.callerGone());
         sender.callerGone();
     }
 
@@ -93,66 +93,66 @@
         return query.isOver();
     }
 
-    ImmutableList<Integer> askedTwice() {
+    ImmutableList<Integer> hedgedShards() {
         return query.hedgedShards();
     }
 
     @Override
-    public void answered(Attempt attempt, LeafAnswer answer) {
+    public void onAnswer(Attempt attempt, LeafAnswer answer) {
         Optional<String> signature = answer.signature();
         if (answer.outcome() == LeafOutcome.SUCCEEDED && signature.isPresent()) {
             PartReply part = new PartReply(signature.get(), answer.body());
-            carryOut(query.onAnswer(attempt, part, clock.nowNanos()));
+            execute(query.onAnswer(attempt, part, clock.nowNanos()));
         } else {
             LeafOutcome outcome = answer.outcome() == LeafOutcome.SUCCEEDED ? LeafOutcome.FAILED : answer.outcome();
-            failed(attempt, outcome);
+            onFailure(attempt, outcome);
         }
     }
 
     @Override
-    public void failed(Attempt attempt, LeafOutcome outcome) {
+    public void onFailure(Attempt attempt, LeafOutcome outcome) {
         metrics.count(outcome);
-        carryOut(query.onFailure(attempt, outcome, clock.nowNanos()));
+        execute(query.onFailure(attempt, outcome, clock.nowNanos()));
     }
 
     /** Takes what comes of the shards that other hosts ask. */
-    private final class StageEvents implements StageCaller.Taker {
+    private final class StageListener implements StageCaller.Listener {
         @Override
-        public void progressed(StageAttempt stage, List<Integer> askedTwice) {
+        public void onProgress(StageAttempt stage, List<Integer> askedTwice) {
             query.onStageProgress(stage, askedTwice);
             if (!query.isOver()) {
-                onStillAtWork.run();
+                onProgress.run();
             }
         }
 
         @Override
-        public void brought(StageAttempt stage, StageReply piece) {
-            carryOut(query.onStagePartial(stage, piece, clock.nowNanos()));
+        public void onPartial(StageAttempt stage, StageReply piece) {
+            execute(query.onStagePartial(stage, piece, clock.nowNanos()));
         }
 
         @Override
-        public void answered(StageAttempt stage, StageReply reply) {
-            carryOut(query.onStageReply(stage, reply, clock.nowNanos()));
+        public void onReply(StageAttempt stage, StageReply reply) {
+            execute(query.onStageReply(stage, reply, clock.nowNanos()));
         }
 
         @Override
-        public void failed(StageAttempt stage, boolean notRun) {
-            carryOut(query.onStageFailure(stage, notRun, clock.nowNanos()));
+        public void onFailure(StageAttempt stage, boolean notRun) {
+            execute(query.onStageFailure(stage, notRun, clock.nowNanos()));
         }
     }
 
     /** Logs how the query ended, what its answer lacks, and what was tried for that. */
-    private void explain(MergedAnswer answer) {
-        boolean late = clock.nowNanos() - call.times().goalNanos() > LATE_SLACK_NANOS;
+    private void logOutcome(MergedAnswer answer) {
+        boolean late = clock.nowNanos() - call.times().goalNanos() > LATE_TOLERANCE_NANOS;
         if (answer.missing() == 0 && !late) {
-            log.ordinary(call, "WHOLE");
+            log.logNormal(call, "WHOLE");
         } else {
-            explain(answer.missing() > 0 ? "PARTIAL" : "LATE", answer.missing());
+            logOutcome(answer.missing() > 0 ? "PARTIAL" : "LATE", answer.missing());
         }
     }
 
-    private void explain(String outcome, int missing) {
-        log.imperfect(
+    private void logOutcome(String outcome, int missing) {
+        log.logDegraded(
                 call,
                 outcome,
                 line -> line.with("missing", missing)
@@ -161,46 +161,46 @@
     }
 
     /** Before the last reply: retries are made between wakes, and the host that asked must not make a third attempt. */
-    private void sayWhatWasAskedTwice() {
+    private void reportHedgedShards() {
         if (!query.hedgedShards().isEmpty()) {
-            onStillAtWork.run();
+            onProgress.run();
         }
     }
 
-    private void carryOut(List<RoutedAction> actions) {
+    private void execute(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
             if (action instanceof RoutedAction.CallLeaf ask) {
                 metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
                 sender.send(ask.attempt(), this);
             } else if (action instanceof RoutedAction.CallStage ask) {
-                stages.call(ask.stage(), stageTaker);
+                stages.call(ask.stage(), stageListener);
             } else if (action instanceof RoutedAction.SuspectStage suspect) {
                 stages.suspect(suspect.stage());
             } else if (action instanceof RoutedAction.AbandonStage giveUp) {
-                if (stages.giveUp(giveUp.stage())) {
+                if (stages.abandon(giveUp.stage())) {
                     query.onStageNeverSent(giveUp.stage());
                 }
             } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                sender.giveUp(giveUp.attempt());
+                sender.abandon(giveUp.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
                 sender.wakeAt(wake.atNanos(), this::wake);
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
                 sender.finish();
-                sayWhatWasAskedTwice();
-                explain(deliver.answer());
+                reportHedgedShards();
+                logOutcome(deliver.answer());
                 sink.deliver(deliver.answer());
                 if (query.wasFinalizedAtGoal()) {
-                    onSealedAtGoal.accept(clock.nowNanos());
+                    onFinalizedAtGoal.accept(clock.nowNanos());
                 }
             } else if (action instanceof RoutedAction.DeliverPartial deliver) {
-                sink.deliverPiece(deliver.partial());
+                sink.deliverPartial(deliver.partial());
             } else if (action instanceof RoutedAction.Refuse refuse) {
                 sender.finish();
-                sayWhatWasAskedTwice();
+                reportHedgedShards();
                 RefusalReason reason = query.finalRefusalReason(refuse.reason());
-                explain(reason.name(), query.missingShardCount());
+                logOutcome(reason.name(), query.missingShardCount());
                 if (reason == RefusalReason.TOO_FEW_SHARDS && query.noShardAnswered()) {
-                    onLostWhole.run();
+                    onNoShardAnswered.run();
                 }
                 sink.refuse(reason);
             } else if (action instanceof RoutedAction.Count count) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -21,7 +21,7 @@
 /** Has other hosts ask shards of one query. Owned by the event loop. */
 final class StageCaller {
     /** What a host takes to write and read the last word about a call that has no answer. */
-    private static final long LAST_WORD_SLACK_NANOS = Duration.ofMillis(5).toNanos();
+    private static final long FINAL_REPLY_SLACK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final StageCall call;
     private final ImmutableList<String> shardServices;
@@ -30,8 +30,8 @@
     private final HomeRegions homes;
     private final MonotonicClock clock;
     private final GatewayMetrics metrics;
-    private final Runnable survived;
-    private final Map<StageAttempt, Sent> underWay = new HashMap<>();
+    private final Runnable onSurvival;
+    private final Map<StageAttempt, PendingCall> pending = new HashMap<>();
 
     /**
      * Creates a caller.
@@ -55,7 +55,7 @@
         this.homes = HomeRegions.of(call.getHomeRegionsList());
         this.clock = clock;
         this.metrics = metrics;
-        this.survived = survived;
+        this.onSurvival = survived;
     }
 
     /** Returns what all hosts are told of the query. */
@@ -64,46 +64,46 @@
     }
 
     /** Takes what comes of a stage. */
-    interface Taker {
+    interface Listener {
         /** Takes word that the host is at work, and at which shards it asked second leafs. */
-        void progressed(StageAttempt stage, List<Integer> askedTwice);
+        void onProgress(StageAttempt stage, List<Integer> askedTwice);
 
         /** Takes what the host gathered so far. */
-        void brought(StageAttempt stage, StageReply piece);
+        void onPartial(StageAttempt stage, StageReply piece);
 
         /** Takes the last of what the host gathered. */
-        void answered(StageAttempt stage, StageReply reply);
+        void onReply(StageAttempt stage, StageReply reply);
 
         /** Takes a failure; {@code notRun} is true if no leaf was asked. */
-        void failed(StageAttempt stage, boolean notRun);
+        void onFailure(StageAttempt stage, boolean notRun);
     }
 
-    void call(StageAttempt stage, Taker taker) {
+    void call(StageAttempt stage, Listener taker) {
         StageLinks.Link link = links.link(stage.host());
-        Sent sent = new Sent(link, links.nextCall());
-        underWay.put(stage, sent);
+        PendingCall sent = new PendingCall(link, links.nextCallNumber());
+        pending.put(stage, sent);
         Duration wait = Duration.ofNanos(Math.max(1, times.deadlineNanos() - clock.nowNanos()));
-        link.begin();
+        link.onCallStarted();
         links.callStage(
                         link,
                         homes,
                         () -> message(stage, sent),
                         wait,
-                        progress -> progressed(stage, progress.getStageProgress(), taker))
+                        progress -> onProgress(stage, progress.getStageProgress(), taker))
                 .subscribe()
-                .with(reply -> take(stage, link, reply.getStageResult(), taker), failure -> {
-                    end(stage, link, false);
-                    if (!sent.givenUp) {
+                .with(reply -> onResult(stage, link, reply.getStageResult(), taker), failure -> {
+                    endCall(stage, link, false);
+                    if (!sent.abandoned) {
                         link.suspect(clock.nowNanos());
                     }
                     boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-                    taker.failed(stage, notSent);
+                    taker.onFailure(stage, notSent);
                 });
     }
 
-    private StageCall.Builder message(StageAttempt stage, Sent sent) {
-        sent.made = true;
-        if (sent.givenUp) {
+    private StageCall.Builder message(StageAttempt stage, PendingCall sent) {
+        sent.messageCreated = true;
+        if (sent.abandoned) {
             // Its caller may have been told that it was sent to no leaf: a call without shards is refused.
             return call.toBuilder().clearShards().clearServices().setCall(sent.number);
         }
@@ -111,11 +111,11 @@
         long roundTripNanos = sent.link.roundTripNanos();
         long goalNanos = StageTiming.remoteGoalNanos(times.goalNanos() - nowNanos, roundTripNanos);
         // Its last word, which may be that it sent nothing, is to be here when the caller is answered.
-        long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - LAST_WORD_SLACK_NANOS;
+        long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - FINAL_REPLY_SLACK_NANOS;
         return call.toBuilder()
                 .addAllShards(stage.shards())
                 .addAllServices(Lists.transform(stage.shards(), shardServices::get))
-                .addAllPassedOver(links.passedOver())
+                .addAllPassedOver(links.skippedHosts())
                 .setCall(sent.number)
                 .setGoalMicros(TimeUnit.NANOSECONDS.toMicros(goalNanos))
                 .setDeadlineMicros(TimeUnit.NANOSECONDS.toMicros(deadlineNanos));
@@ -131,69 +131,69 @@
      *
      * @return true if the call was never sent, and will not be
      */
-    boolean giveUp(StageAttempt stage) {
-        Sent sent = underWay.get(stage);
+    boolean abandon(StageAttempt stage) {
+        PendingCall sent = pending.get(stage);
         if (sent == null) {
             return false;
         }
-        sent.givenUp = true;
+        sent.abandoned = true;
         links.cancel(sent.link, sent.number);
-        return !sent.made;
+        return !sent.messageCreated;
     }
 
-    private void progressed(StageAttempt stage, StageProgress progress, Taker taker) {
-        links.link(stage.host()).told(progress.getLagMicros(), clock.nowNanos());
-        taker.progressed(stage, progress.getAskedTwiceList());
+    private void onProgress(StageAttempt stage, StageProgress progress, Listener taker) {
+        links.link(stage.host()).recordLag(progress.getLagMicros(), clock.nowNanos());
+        taker.onProgress(stage, progress.getAskedTwiceList());
         boolean matches = progress.getShardsCount() == progress.getSignaturesCount();
         if (progress.getShardsCount() > 0 && matches) {
-            survived.run();
-            taker.brought(
+            onSurvival.run();
+            taker.onPartial(
                     stage,
-                    parts(progress.getShardsList(), progress.getSignaturesList(), List.of(), progress.getRecords()));
+                    toReply(progress.getShardsList(), progress.getSignaturesList(), List.of(), progress.getRecords()));
         }
     }
 
-    private void take(StageAttempt stage, StageLinks.Link link, StageResult result, Taker taker) {
+    private void onResult(StageAttempt stage, StageLinks.Link link, StageResult result, Listener taker) {
         boolean answered = result.getStatus() == StageResult.Status.ANSWERED
                 && result.getShardsCount() == result.getSignaturesCount();
-        link.told(result.getLagMicros(), clock.nowNanos());
-        end(stage, link, answered);
+        link.recordLag(result.getLagMicros(), clock.nowNanos());
+        endCall(stage, link, answered);
         if (answered && result.getShardsCount() > 0) {
-            survived.run();
+            onSurvival.run();
         }
         if (answered) {
-            taker.answered(
+            taker.onReply(
                     stage,
-                    parts(
+                    toReply(
                             result.getShardsList(),
                             result.getSignaturesList(),
                             result.getNotSentList(),
                             result.getRecords()));
         } else {
-            taker.failed(stage, result.getStatus() == StageResult.Status.NOT_RUN);
+            taker.onFailure(stage, result.getStatus() == StageResult.Status.NOT_RUN);
         }
     }
 
-    private static StageReply parts(
+    private static StageReply toReply(
             List<Integer> shards, List<String> signatures, List<Integer> notSent, ByteString records) {
         return new StageReply(
                 ImmutableList.copyOf(shards), ImmutableList.copyOf(signatures), ImmutableList.copyOf(notSent), records);
     }
 
-    private void end(StageAttempt stage, StageLinks.Link link, boolean answered) {
-        underWay.remove(stage);
-        link.end();
+    private void endCall(StageAttempt stage, StageLinks.Link link, boolean answered) {
+        pending.remove(stage);
+        link.onCallEnded();
         metrics.recordStage(answered);
     }
 
     /** A call that was sent and not answered yet. */
-    private static final class Sent {
+    private static final class PendingCall {
         private final StageLinks.Link link;
         private final long number;
-        private boolean givenUp;
-        private boolean made;
+        private boolean abandoned;
+        private boolean messageCreated;
 
-        Sent(StageLinks.Link link, long number) {
+        PendingCall(StageLinks.Link link, long number) {
             this.link = link;
             this.number = number;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCalls.java
@@ -13,8 +13,8 @@
     private final Map<Key, Runnable> underWay = new HashMap<>();
 
     /** Notes a call that begins. */
-    void begin(String sender, long number, Runnable giveUp) {
-        underWay.put(new Key(sender, number), giveUp);
+    void begin(String sender, long number, Runnable onCancel) {
+        underWay.put(new Key(sender, number), onCancel);
     }
 
     /** Notes a call whose reply is sent. */
@@ -24,9 +24,9 @@
 
     /** Gives a call up that nobody waits for; one that is over or was never begun is nothing to give up. */
     void cancel(String sender, long number) {
-        Runnable giveUp = underWay.remove(new Key(sender, number));
-        if (giveUp != null) {
-            giveUp.run();
+        Runnable onCancel = underWay.remove(new Key(sender, number));
+        if (onCancel != null) {
+            onCancel.run();
         }
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -45,24 +45,24 @@
  */
 final class StageLinks {
     private static final EventLog EVENTS = EventLog.of(StageLinks.class);
-    private static final Duration PROBE_EVERY = Duration.ofMillis(700);
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(700);
     /** A round trip between regions, which opening a link takes, and some room for a slow start. */
-    private static final Duration PROBE_SOON = Duration.ofMillis(50);
+    private static final Duration PROBE_DELAY_AFTER_CHANGE = Duration.ofMillis(50);
 
-    private static final Duration PROBE_WAIT = Duration.ofMillis(500);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(500);
     private static final long SUSPECT_NANOS = Duration.ofSeconds(2).toNanos();
     /** What a round trip between regions is taken to need before it was measured. */
-    private static final long FIRST_ROUND_TRIP_NANOS = Duration.ofMillis(25).toNanos();
+    private static final long INITIAL_ROUND_TRIP_NANOS = Duration.ofMillis(25).toNanos();
 
-    private static final double SMOOTHING = 0.3;
+    private static final double ROUND_TRIP_SMOOTHING = 0.3;
     private final FleetView view;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final RandomGenerator random;
     private final Map<String, Link> links = new HashMap<>();
-    private long lastCall;
-    private boolean probesSoon;
+    private long lastCallNumber;
+    private boolean probesScheduled;
     private @Nullable ScheduledFuture<?> probing;
 
     StageLinks(FleetView view, PeerNetwork network, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
@@ -75,20 +75,20 @@
 
     void start() {
         probing = loop.scheduleWithFixedDelay(
-                this::probe, PROBE_EVERY.toMillis(), PROBE_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+                this::probe, PROBE_INTERVAL.toMillis(), PROBE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Probes soon, since hosts came or went: changes come in series, and the first probe only opens the links. */
-    void hostsChanged() {
-        if (!probesSoon) {
-            probesSoon = true;
-            loop.schedule(this::probe, PROBE_SOON.toMillis(), TimeUnit.MILLISECONDS);
+    void onHostsChanged() {
+        if (!probesScheduled) {
+            probesScheduled = true;
+            loop.schedule(this::probe, PROBE_DELAY_AFTER_CHANGE.toMillis(), TimeUnit.MILLISECONDS);
             loop.schedule(
                     () -> {
-                        probesSoon = false;
+                        probesScheduled = false;
                         probe();
                     },
-                    2 * PROBE_SOON.toMillis(),
+                    2 * PROBE_DELAY_AFTER_CHANGE.toMillis(),
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -102,15 +102,15 @@
     /**
      * Divides the shards of a query between this host and others; see {@link StagePlanner#plan}.
      *
-     * @param passedOver the hosts that whoever asks this one passed over
+     * @param skippedHosts the hosts that whoever asks this one passed over
      */
     ImmutableList<StageAttempt> plan(
             ImmutableList<PermittedLeaves> pools,
             long expectedNanos,
             long hedgeDelayNanos,
             StagePlanner.Relays relays,
-            Collection<String> passedOver) {
-        StagePlanner planner = new StagePlanner(new KnownWays(ImmutableSet.copyOf(passedOver)), random);
+            Collection<String> skippedHosts) {
+        StagePlanner planner = new StagePlanner(new FleetTopology(ImmutableSet.copyOf(skippedHosts)), random);
         return planner.plan(pools, expectedNanos, hedgeDelayNanos, relays, clock.nowNanos());
     }
 
@@ -127,14 +127,14 @@
      * the whole fleet no host is known to answer, and to go round the holders would take connections to every leaf from
      * every host.
      *
-     * @param passedOver the hosts that whoever asks this one passed over; they count if this one stands in for them
+     * @param skippedHosts the hosts that whoever asks this one passed over; they count if this one stands in for them
      */
-    Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> passedOver) {
+    Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> skippedHosts) {
         if (hosts.isEmpty()) {
             return Optional.empty();
         }
         long nowNanos = clock.nowNanos();
-        return HolderChoice.choose(hosts, passedOver, new HolderChoice.HostView() {
+        return HolderChoice.choose(hosts, skippedHosts, new HolderChoice.HostView() {
                     @Override
                     public boolean isSelf(String host) {
                         return view.isSelf(host);
@@ -142,28 +142,28 @@
 
                     @Override
                     public boolean isUsable(String host) {
-                        return maySee(host, homes)
-                                && link(host).mayBeTried(nowNanos)
+                        return mayReceive(host, homes)
+                                && link(host).mayBeCalled(nowNanos)
                                 && link(host).mayReach(leafId, nowNanos);
                     }
 
                     @Override
                     public boolean isLagging(String host) {
-                        return StageLinks.this.isBehind(link(host), nowNanos);
+                        return StageLinks.this.isLagging(link(host), nowNanos);
                     }
                 })
                 .map(this::link);
     }
 
-    private boolean isBehind(Link link, long nowNanos) {
-        return view.routing().uses(RoutingFeature.HOST_ROOM) && link.room.isLagging(nowNanos);
+    private boolean isLagging(Link link, long nowNanos) {
+        return view.routing().uses(RoutingFeature.HOST_ROOM) && link.capacity.isLagging(nowNanos);
     }
 
     /** Returns the hosts that get no shards of this one now, since they are behind or do not answer. */
-    ImmutableSet<String> passedOver() {
+    ImmutableSet<String> skippedHosts() {
         long nowNanos = clock.nowNanos();
         return links.values().stream()
-                .filter(link -> !link.mayBeTried(nowNanos) || isBehind(link, nowNanos))
+                .filter(link -> !link.mayBeCalled(nowNanos) || isLagging(link, nowNanos))
                 .map(Link::host)
                 .collect(ImmutableSet.toImmutableSet());
     }
@@ -173,31 +173,31 @@
      *
      * @param homes the regions that may see the body
      * @param message makes the call as soon as the link is there
-     * @param progress takes what the host says of its progress before the reply
+     * @param onProgress takes what the host says of its progress before the reply
      */
     Uni<Envelope> callStage(
             Link link,
             HomeRegions homes,
             Supplier<StageCall.Builder> message,
-            Duration wait,
-            Consumer<Envelope> progress) {
-        if (!maySee(link.host, homes)) {
+            Duration timeout,
+            Consumer<Envelope> onProgress) {
+        if (!mayReceive(link.host, homes)) {
             return Uni.createFrom()
                     .failure(new PeerFailure(
                             PeerFailure.Kind.NOT_SENT, link.host + " is in no region that may serve the request"));
         }
         return network.requestWhenConnected(
-                link.host, () -> Envelope.newBuilder().setStageCall(message.get()), wait, progress);
+                link.host, () -> Envelope.newBuilder().setStageCall(message.get()), timeout, onProgress);
     }
 
-    private boolean maySee(String host, HomeRegions homes) {
+    private boolean mayReceive(String host, HomeRegions homes) {
         return homes.isUnrestricted()
                 || view.regionOf(host).filter(homes::allows).isPresent();
     }
 
     /** Returns a number that no other call of this host has. */
-    long nextCall() {
-        return ++lastCall;
+    long nextCallNumber() {
+        return ++lastCallNumber;
     }
 
     /** Tells a host that nobody waits for the result of a call any more. */
@@ -218,21 +218,23 @@
      */
     void probe() {
         boolean throughHolders = view.usesHolders();
-        Set<String> wanted = throughHolders ? view.holders() : hostsElsewhere();
-        links.keySet().removeIf(host -> !wanted.contains(host));
-        for (String host : wanted) {
+        Set<String> probedHosts = throughHolders ? view.holders() : hostsInOtherRegions();
+        links.keySet().removeIf(host -> !probedHosts.contains(host));
+        for (String host : probedHosts) {
             Link link = link(host);
             if (throughHolders && link.confirmed) {
                 continue;
             }
             long sentNanos = clock.nowNanos();
-            network.request(host, Envelope.newBuilder().setPing(Ping.getDefaultInstance()), PROBE_WAIT)
+            network.request(host, Envelope.newBuilder().setPing(Ping.getDefaultInstance()), PROBE_TIMEOUT)
                     .subscribe()
-                    .with(reply -> link.answered(clock.nowNanos() - sentNanos), failure -> probeFailed(link, failure));
+                    .with(
+                            reply -> link.recordRoundTrip(clock.nowNanos() - sentNanos),
+                            failure -> onProbeFailure(link, failure));
         }
     }
 
-    private Set<String> hostsElsewhere() {
+    private Set<String> hostsInOtherRegions() {
         Set<String> hosts = new HashSet<>();
         for (HostRecord host : view.entryHosts()) {
             if (!host.getRegion().equals(view.location().region())) {
@@ -242,7 +244,7 @@
         return hosts;
     }
 
-    private void probeFailed(Link link, Throwable failure) {
+    private void onProbeFailure(Link link, Throwable failure) {
         boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
         if (!notSent) {
             // The connection hangs, or the host does: another connection is made with the next probe.
@@ -252,16 +254,16 @@
     }
 
     /** What the planner asks of the links. */
-    private final class KnownWays implements StagePlanner.Topology {
-        private final ImmutableSet<String> passedOver;
+    private final class FleetTopology implements StagePlanner.Topology {
+        private final ImmutableSet<String> skippedHosts;
 
-        KnownWays(ImmutableSet<String> passedOver) {
-            this.passedOver = passedOver;
+        FleetTopology(ImmutableSet<String> passedOver) {
+            this.skippedHosts = passedOver;
         }
 
         @Override
         public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
-            return firstUsable(view.holdersOf(leaf), leaf.id(), homes, passedOver)
+            return firstUsable(view.holdersOf(leaf), leaf.id(), homes, skippedHosts)
                     .map(Link::host);
         }
 
@@ -284,7 +286,7 @@
 
         @Override
         public boolean isLagging(String host) {
-            return StageLinks.this.isBehind(link(host), clock.nowNanos());
+            return StageLinks.this.isLagging(link(host), clock.nowNanos());
         }
 
         @Override
@@ -309,14 +311,14 @@
     /** What is known of the way to one host. */
     static final class Link {
         private final String host;
-        private long roundTripNanos = FIRST_ROUND_TRIP_NANOS;
-        private long suspectUntilNanos = Long.MIN_VALUE / 2;
+        private long roundTripNanos = INITIAL_ROUND_TRIP_NANOS;
+        private long suspectedUntilNanos = Long.MIN_VALUE / 2;
         /** False until something was heard of it, good or bad. */
-        private boolean tried;
+        private boolean contacted;
 
         private boolean confirmed;
         private final Map<String, Long> unreachableUntilNanos = new HashMap<>();
-        private final HostCapacity room = new HostCapacity();
+        private final HostCapacity capacity = new HostCapacity();
         private int inFlight;
 
         private Link(String host) {
@@ -328,11 +330,11 @@
         }
 
         boolean isUsable(long nowNanos) {
-            return confirmed && nowNanos - suspectUntilNanos >= 0;
+            return confirmed && nowNanos - suspectedUntilNanos >= 0;
         }
 
         /** Notes that the host has no connection to a leaf, or does not know it (yet). */
-        void cannotReach(String leafId, long nowNanos) {
+        void recordUnreachable(String leafId, long nowNanos) {
             unreachableUntilNanos.values().removeIf(untilNanos -> nowNanos - untilNanos >= 0);
             unreachableUntilNanos.put(leafId, nowNanos + SUSPECT_NANOS);
         }
@@ -342,27 +344,27 @@
             return untilNanos == null || nowNanos - untilNanos >= 0;
         }
 
-        boolean mayBeTried(long nowNanos) {
-            return !tried || isUsable(nowNanos);
+        boolean mayBeCalled(long nowNanos) {
+            return !contacted || isUsable(nowNanos);
         }
 
         long roundTripNanos() {
             return roundTripNanos;
         }
 
-        void begin() {
+        void onCallStarted() {
             inFlight++;
         }
 
-        void end() {
+        void onCallEnded() {
             inFlight--;
         }
 
         /** Notes how far the host says that it is behind. */
-        void told(long lagMicros, long nowNanos) {
-            boolean before = room.isLagging(nowNanos);
-            room.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
-            if (room.isLagging(nowNanos) != before) {
+        void recordLag(long lagMicros, long nowNanos) {
+            boolean before = capacity.isLagging(nowNanos);
+            capacity.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
+            if (capacity.isLagging(nowNanos) != before) {
                 EVENTS.info(before ? "host_caught_up" : "host_behind")
                         .with("host", host)
                         .with("lagMicros", lagMicros)
@@ -374,21 +376,21 @@
             if (confirmed) {
                 EVENTS.info("host_suspected").with("host", host).write();
             }
-            suspectUntilNanos = nowNanos + SUSPECT_NANOS;
-            tried = true;
+            suspectedUntilNanos = nowNanos + SUSPECT_NANOS;
+            contacted = true;
             confirmed = false;
         }
 
-        private void answered(long tookNanos) {
+        private void recordRoundTrip(long measuredNanos) {
             if (!confirmed) {
                 EVENTS.info("host_answers")
                         .with("host", host)
-                        .with("tookMicros", TimeUnit.NANOSECONDS.toMicros(tookNanos))
+                        .with("tookMicros", TimeUnit.NANOSECONDS.toMicros(measuredNanos))
                         .write();
             }
-            tried = true;
+            contacted = true;
             confirmed = true;
-            roundTripNanos += (long) (SMOOTHING * (tookNanos - roundTripNanos));
+            roundTripNanos += (long) (ROUND_TRIP_SMOOTHING * (measuredNanos - roundTripNanos));
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -43,12 +43,12 @@
     private final FleetView view;
     private final QueryRuns runs;
     private final CallHeaders names;
-    private final FinalizeLead sealLead;
+    private final FinalizeLead finalizeLead;
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final HeldLeafCalls leafCalls;
     private final StageCalls calls = new StageCalls();
-    private boolean refusesWork;
+    private boolean refusingWork;
 
     StageServer(
             FleetView view,
@@ -60,7 +60,7 @@
         this.view = view;
         this.runs = runs;
         this.names = names;
-        this.sealLead = sealLead;
+        this.finalizeLead = sealLead;
         this.clock = clock;
         this.loop = loop;
         this.leafCalls = new HeldLeafCalls(view, clock);
@@ -68,7 +68,7 @@
 
     /** Refuses new queries from now on; those under way are finished. */
     void refuseWork() {
-        refusesWork = true;
+        refusingWork = true;
     }
 
     /** Gives up a call of another host that nobody waits for any more. */
@@ -82,13 +82,13 @@
      * <p>A query begins once everything that has arrived was read: on a host that is behind, as just after a start, the
      * word that nobody waits for it any more is often among that.
      */
-    void handle(String sender, StageCall call, Consumer<Envelope.Builder> plainReply) {
-        Consumer<Envelope.Builder> reply = message -> plainReply.accept(withLag(message));
+    void handle(String sender, StageCall call, Consumer<Envelope.Builder> sendReply) {
+        Consumer<Envelope.Builder> reply = message -> sendReply.accept(withLag(message));
         Consumer<Envelope.Builder> lastReply = message -> {
             calls.end(sender, call.getCall());
             reply.accept(message);
         };
-        HomeRegions homes = homes(call);
+        HomeRegions homes = homeRegions(call);
         LeafRequest request = LeafRequest.create(
                 call.getMethod(),
                 call.getUri(),
@@ -109,13 +109,13 @@
                 }
             });
         } else {
-            AtomicBoolean over = new AtomicBoolean();
-            Runnable giveUp = leafCalls.ask(call, arrivedNanos, request, message -> {
-                over.set(true);
+            AtomicBoolean ended = new AtomicBoolean();
+            Runnable cancelTask = leafCalls.call(call, arrivedNanos, request, message -> {
+                ended.set(true);
                 lastReply.accept(message);
             });
-            if (!over.get()) {
-                calls.begin(sender, call.getCall(), giveUp);
+            if (!ended.get()) {
+                calls.begin(sender, call.getCall(), cancelTask);
             }
         }
     }
@@ -141,7 +141,7 @@
             LeafRequest request,
             Consumer<Envelope.Builder> reply,
             Consumer<Envelope.Builder> lastReply) {
-        Optional<String> refusal = refusal(call, homes, request, arrivedNanos);
+        Optional<String> refusal = refusalReason(call, homes, request, arrivedNanos);
         if (refusal.isPresent()) {
             reply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
@@ -157,7 +157,7 @@
         // However little is in is sent back, since only the host that asked knows the rest.
         RouteTarget.Scatter target =
                 new RouteTarget.Scatter(ImmutableList.copyOf(call.getServicesList()), call.getTopRecords(), 0);
-        ScatterRun run = runs.scatterHere(
+        ScatterRun run = runs.scatterForHost(
                 new RoutedCall(
                         // Says the homes and the rank, also those of the team.
                         route(call, target, homes, maxAttempts),
@@ -169,11 +169,11 @@
                 target,
                 TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros()),
                 !call.getPassedOn(),
-                runs.stageCaller(passedOn(call, homes, maxAttempts), target.shards(), times, request),
-                new Replier(reply, lastReply, call.getShardsList(), sender));
-        run.onStillAtWork(() -> reply.accept(Envelope.newBuilder()
+                runs.stageCaller(forwardedCall(call, homes, maxAttempts), target.shards(), times, request),
+                new ReplySink(reply, lastReply, call.getShardsList(), sender));
+        run.onProgress(() -> reply.accept(Envelope.newBuilder()
                 .setStageProgress(StageProgress.newBuilder()
-                        .addAllAskedTwice(translate(run.askedTwice(), call.getShardsList())))));
+                        .addAllAskedTwice(toQueryShards(run.hedgedShards(), call.getShardsList())))));
         run.start();
         if (!run.isOver()) {
             calls.begin(sender, call.getCall(), run::callerGone);
@@ -184,8 +184,8 @@
      * Returns why a call is not run, if it is not. One that waited here for longer than the host that asked waits for a
      * first word is asked elsewhere by now; begun all the same, it would take one leaf more than the route allows.
      */
-    private Optional<String> refusal(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
-        if (refusesWork) {
+    private Optional<String> refusalReason(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
+        if (refusingWork) {
             return Optional.of("this host is stopping");
         }
         if (!namesShards(call)) {
@@ -198,15 +198,15 @@
             return Optional.of("no region may serve the route by all that hosts know of it");
         }
         long waitedNanos = clock.nowNanos() - arrivedNanos;
-        boolean givenUp = waitedNanos >= TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros());
-        return givenUp ? Optional.of("this host is behind") : Optional.empty();
+        boolean tooLate = waitedNanos >= TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros());
+        return tooLate ? Optional.of("this host is behind") : Optional.empty();
     }
 
     /**
      * Returns the regions that may serve a call: those that the host that asked knows of its route and its team and
      * those that this host does, since for a moment the two may follow different versions of the configuration.
      */
-    private HomeRegions homes(StageCall call) {
+    private HomeRegions homeRegions(StageCall call) {
         RoutingConfiguration known = view.configuration();
         HomeRegions ofRoute =
                 known.routeNamed(call.getRoute()).map(Route::homeRegions).orElse(HomeRegions.ANY);
@@ -225,7 +225,7 @@
     }
 
     /** Returns what hosts are told that are asked in turn; shards and times are added for each. */
-    private static StageCall passedOn(StageCall call, HomeRegions homes, int maxAttempts) {
+    private static StageCall forwardedCall(StageCall call, HomeRegions homes, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
                 .clearServices()
@@ -272,11 +272,11 @@
     /** Returns how long after a call came what is in by then is sent; on a host that is behind, earlier. */
     private long goalNanos(StageCall call) {
         Duration goal = Duration.ofNanos(Math.max(0, TimeUnit.MICROSECONDS.toNanos(call.getGoalMicros())));
-        return StageTiming.localGoalNanos(goal.toNanos(), sealLead.overrunNanos(goal));
+        return StageTiming.localGoalNanos(goal.toNanos(), finalizeLead.overrunNanos(goal));
     }
 
     /** Turns the numbers of shards of a part into those of the whole. */
-    private static ImmutableList<Integer> translate(List<Integer> numbers, List<Integer> shards) {
+    private static ImmutableList<Integer> toQueryShards(List<Integer> numbers, List<Integer> shards) {
         return numbers.stream().map(shards::get).collect(ImmutableList.toImmutableList());
     }
 
@@ -290,36 +290,36 @@
     }
 
     /** Sends the end of a query back to the host that asked. */
-    private record Replier(
-            Consumer<Envelope.Builder> progress,
-            Consumer<Envelope.Builder> reply,
+    private record ReplySink(
+            Consumer<Envelope.Builder> sendProgress,
+            Consumer<Envelope.Builder> sendReply,
             List<Integer> shards,
             String onBehalfOf)
             implements AnswerSink {
         @Override
-        public void deliverPiece(MergedAnswer piece) {
-            progress.accept(Envelope.newBuilder()
+        public void deliverPartial(MergedAnswer piece) {
+            sendProgress.accept(Envelope.newBuilder()
                     .setStageProgress(StageProgress.newBuilder()
                             .addAllSignatures(piece.signatures())
-                            .addAllShards(translate(piece.shards(), shards))
+                            .addAllShards(toQueryShards(piece.shards(), shards))
                             .setRecords(piece.records())));
         }
 
         @Override
         public void deliver(MergedAnswer answer) {
-            reply.accept(Envelope.newBuilder()
+            sendReply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
                             .setStatus(StageResult.Status.ANSWERED)
                             .addAllSignatures(answer.signatures())
-                            .addAllShards(translate(answer.shards(), shards))
-                            .addAllNotSent(translate(answer.notSent(), shards))
+                            .addAllShards(toQueryShards(answer.shards(), shards))
+                            .addAllNotSent(toQueryShards(answer.notSent(), shards))
                             .setRecords(answer.records())));
         }
 
         @Override
         public void refuse(RefusalReason reason) {
             StageResult.Status status = reason.isNotRun() ? StageResult.Status.NOT_RUN : StageResult.Status.FAILED;
-            reply.accept(Envelope.newBuilder()
+            sendReply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder().setStatus(status).setReason(reason.name())));
         }
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
@@ -55,9 +55,9 @@
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
-    private final AtomicReference<StageCall> asked = new AtomicReference<>(StageCall.getDefaultInstance());
+    private final AtomicReference<StageCall> lastCall = new AtomicReference<>(StageCall.getDefaultInstance());
     private final AtomicReference<StageResult> answer = new AtomicReference<>(StageResult.getDefaultInstance());
-    private final List<String> askedHosts = new CopyOnWriteArrayList<>();
+    private final List<String> calledHosts = new CopyOnWriteArrayList<>();
     private HostAndPort holderAddress = HostAndPort.fromHost("127.0.0.1");
     private FleetView view;
     private HttpListener callers;
@@ -68,7 +68,7 @@
     void start() throws Exception {
         holderAddress = HostAndPort.fromParts("127.0.0.1", freePort());
         HostAndPort callerAddress = HostAndPort.fromParts("127.0.0.1", freePort());
-        holder = new PeerServer(holderAddress, answersAs("holder"), group, LinkPolicy.OPEN, new PeerTraffic());
+        holder = new PeerServer(holderAddress, answerAs("holder"), group, LinkPolicy.OPEN, new PeerTraffic());
         holder.start();
         view = GatewayFixture.view(group, clock);
         Gateway gateway = new Gateway(
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void theWholeAnswerOfTheLeafIsPassedOn() throws Exception {
+    void theWholeAnswerOfTheLeafIsForwarded() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(203)
@@ -113,13 +113,13 @@
         assertThat(response.headers().firstValue("signature")).isEqualTo(Optional.of("stamp"));
         assertThat(response.headers().firstValue("x-own")).isEqualTo(Optional.of("kept"));
         assertThat(response.body()).isEqualTo("body");
-        StageCall call = requireNonNull(asked.get());
+        StageCall call = requireNonNull(lastCall.get());
         assertThat(call.getLeaf()).isEqualTo("i-1");
         assertThat(call.getWholeAnswer()).isTrue();
     }
 
     @Test
-    void aFailureOfTheLeafIsPassedOnAsItIs() throws Exception {
+    void aFailureOfTheLeafIsForwardedUnchanged() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(500)
@@ -131,7 +131,7 @@
 
     /** It must not run twice, and a lost link leaves open whether it ran. */
     @Test
-    void aRequestWhoseHolderFailsIsNotSaidToHaveNotRun() throws Exception {
+    void aLostHolderCallIsNotReportedAsNotRun() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.FAILED)
                 .setLeafOutcome("BROKEN")
@@ -141,7 +141,7 @@
 
     /** A host that is behind reads a request late: the time that it waited is no longer its caller's. */
     @Test
-    void whatARequestWaitedHereIsTakenFromItsTime() throws Exception {
+    void waitingTimeIsSubtractedFromTheDeadline() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(200)
@@ -149,24 +149,24 @@
                 .addHeaderValues("stamp")
                 .build());
         long waitedMillis = 400;
-        behind(waitedMillis);
+        delayEventLoop(waitedMillis);
         assertThat(get(800).statusCode()).isEqualTo(200);
-        long leftMicros = requireNonNull(asked.get()).getDeadlineMicros();
+        long leftMicros = requireNonNull(lastCall.get()).getDeadlineMicros();
         assertThat(leftMicros).isAtMost(TimeUnit.MILLISECONDS.toMicros(800 - waitedMillis));
     }
 
     @Test
-    void aRequestWhoseTimeIsUpWhenItIsReadIsSentNowhere() throws Exception {
-        behind(400);
+    void aRequestThatExpiredBeforeItWasReadIsNotSent() throws Exception {
+        delayEventLoop(400);
         assertThat(get(300).statusCode()).isEqualTo(503);
-        assertThat(requireNonNull(asked.get()).getLeaf()).isEmpty();
+        assertThat(requireNonNull(lastCall.get()).getLeaf()).isEmpty();
     }
 
     /** A host at a fifth of its speed is late with each call, while the one that stands in for it idles. */
     @Test
-    void theCallsOfAHolderThatSaysThatItIsBehindGoToTheHostThatStandsInForIt() throws Exception {
+    void callsToALaggingHolderGoToItsBackup() throws Exception {
         HostAndPort otherAddress = HostAndPort.fromParts("127.0.0.1", freePort());
-        PeerServer other = new PeerServer(otherAddress, answersAs("other"), group, LinkPolicy.OPEN, new PeerTraffic());
+        PeerServer other = new PeerServer(otherAddress, answerAs("other"), group, LinkPolicy.OPEN, new PeerTraffic());
         other.start();
         TableDelta both = tables(holderAddress.toString()).toBuilder()
                 .setRevision(2)
@@ -194,14 +194,14 @@
             assertThat(get().statusCode()).isEqualTo(200);
         }
         other.stop();
-        assertThat(ImmutableSet.copyOf(askedHosts)).hasSize(2);
-        assertThat(ImmutableSet.copyOf(askedHosts.subList(1, 4))).hasSize(1);
-        assertThat(askedHosts.get(0)).isNotEqualTo(askedHosts.get(1));
+        assertThat(ImmutableSet.copyOf(calledHosts)).hasSize(2);
+        assertThat(ImmutableSet.copyOf(calledHosts.subList(1, 4))).hasSize(1);
+        assertThat(calledHosts.get(0)).isNotEqualTo(calledHosts.get(1));
     }
 
     /** Makes the host's regular task late, as it is on a processor that has too much to do. */
-    private void behind(long lateMillis) throws Exception {
-        long lateNanos = TimeUnit.MILLISECONDS.toNanos(lateMillis) + LagSamplingPeriod.BUSY_PERIOD.toNanos();
+    private void delayEventLoop(long delayMillis) throws Exception {
+        long lateNanos = TimeUnit.MILLISECONDS.toNanos(delayMillis) + LagSamplingPeriod.BUSY_PERIOD.toNanos();
         group.submit(() -> view.routing().eventLoopLag().onTaskRun(clock.nowNanos() - lateNanos))
                 .get();
     }
@@ -219,11 +219,11 @@
         return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    private PeerHandler answersAs(String host) {
+    private PeerHandler answerAs(String host) {
         return (message, reply) -> {
             if (message.hasStageCall()) {
-                askedHosts.add(host);
-                asked.set(message.getStageCall());
+                calledHosts.add(host);
+                lastCall.set(message.getStageCall());
                 reply.accept(Envelope.newBuilder().setStageResult(requireNonNull(answer.get())));
             }
         };
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -52,8 +52,8 @@
  */
 final class StageServerTest {
     private static final int VERSION_HERE = 5;
-    private static final long NANOS_A_MICRO = 1_000;
-    private static final long MICROS_A_SECOND = Duration.ofSeconds(1).toNanos() / 1_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long MICROS_PER_SECOND = Duration.ofSeconds(1).toNanos() / 1_000;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aRouteThatIsNotKnownHereIsServedAsTheCallDescribesIt() throws Exception {
+    void anUnknownRouteIsServedAsTheCallDescribesIt() throws Exception {
         StageResult result = call(query().setRoute("of-a-version-to-come"));
         assertThat(result.getStatus()).isEqualTo(StageResult.Status.ANSWERED);
     }
@@ -116,7 +116,7 @@
 
     /** A host that is behind must not talk others out of a leaf that has just come. */
     @Test
-    void aLeafThatIsNotKnownHereIsNotSaidToBeGone() throws Exception {
+    void aCallToAnUnknownLeafReportsNoConnection() throws Exception {
         StageResult result = call(query().clearServices().clearShards().setLeaf("i-new"));
         assertThat(result.getLeafOutcome()).isEqualTo(LeafOutcome.NO_CONNECTION.name());
         assertThat(result.getStatus()).isEqualTo(StageResult.Status.NOT_RUN);
@@ -127,7 +127,7 @@
      * day, where two are allowed.
      */
     @Test
-    void whoAskedIsToldAtOnceThatACallWasPassedOn() throws Exception {
+    void progressIsReportedAtOnceForAForwardedCall() throws Exception {
         HostRecord other = HostRecord.newBuilder()
                 .setName("other")
                 .setPeerAddress("127.0.0.1:" + freePort())
@@ -164,7 +164,7 @@
 
     /** What has arrived at a host that is behind is read before the first of it is begun. */
     @Test
-    void aQueryThatIsCancelledRightBehindItsCallReachesNoLeaf() throws Exception {
+    void aQueryThatIsCancelledAtOnceReachesNoLeaf() throws Exception {
         Envelope call = Envelope.newBuilder()
                 .setSender("127.0.0.1:2")
                 .setStageCall(query().setCall(9))
@@ -187,8 +187,8 @@
      * answer, with time that had long passed, and as a third attempt.
      */
     @Test
-    void aCallThatWaitedHereForLongIsNotRun() throws Exception {
-        behind(query().getHedgeDelayMicros() * NANOS_A_MICRO);
+    void aCallThatWaitedLongerThanTheHedgeDelayIsNotRun() throws Exception {
+        delayEventLoop(query().getHedgeDelayMicros() * NANOS_PER_MICRO);
         assertThat(call(query()).getStatus()).isEqualTo(StageResult.Status.NOT_RUN);
         assertThat(call(query().setLeaf("i-1").setDeadlineMicros(1)).getStatus())
                 .isEqualTo(StageResult.Status.NOT_RUN);
@@ -196,9 +196,9 @@
     }
 
     @Test
-    void theTimeThatACallWaitedHereIsTakenFromWhatItsLeafsAreGiven() throws Exception {
+    void waitingTimeIsSubtractedFromTheLeafDeadline() throws Exception {
         long waitedMillis = 400;
-        behind(TimeUnit.MILLISECONDS.toNanos(waitedMillis));
+        delayEventLoop(TimeUnit.MILLISECONDS.toNanos(waitedMillis));
         call(query());
         long leftMillis = TimeUnit.MICROSECONDS.toMillis(query().getDeadlineMicros());
         assertThat(leafMillis.get()).isGreaterThan(0);
@@ -207,20 +207,20 @@
 
     /** The host that asked may have asked a leaf itself by then, so that two here would be three. */
     @Test
-    void aCallThatWaitedHereForAMomentMakesOneAttemptLess() throws Exception {
+    void aCallThatWaitedBrieflyMakesOneAttemptLess() throws Exception {
         failing.set(true);
         call(query());
         assertThat(leafRequests.getAndSet(0)).isEqualTo(2);
-        behind(StageTiming.SILENCE_SLACK_NANOS + TimeUnit.MILLISECONDS.toNanos(20));
+        delayEventLoop(StageTiming.SILENCE_SLACK_NANOS + TimeUnit.MILLISECONDS.toNanos(20));
         call(query());
         assertThat(leafRequests.get()).isEqualTo(1);
     }
 
     /** Makes the host's regular task late, as it is on a processor that has too much to do. */
-    private void behind(long lateNanos) throws Exception {
+    private void delayEventLoop(long delayNanos) throws Exception {
         group.submit(() -> {
                     EventLoopLag lag = view.routing().eventLoopLag();
-                    lag.onTaskRun(clock.nowNanos() - lateNanos - LagSamplingPeriod.BUSY_PERIOD.toNanos());
+                    lag.onTaskRun(clock.nowNanos() - delayNanos - LagSamplingPeriod.BUSY_PERIOD.toNanos());
                 })
                 .get();
     }
@@ -251,9 +251,9 @@
                 .addServices("s")
                 .setTopRecords(5)
                 .setMaxAttempts(2)
-                .setHedgeDelayMicros(MICROS_A_SECOND)
-                .setGoalMicros(2 * MICROS_A_SECOND)
-                .setDeadlineMicros(3 * MICROS_A_SECOND);
+                .setHedgeDelayMicros(MICROS_PER_SECOND)
+                .setGoalMicros(2 * MICROS_PER_SECOND)
+                .setDeadlineMicros(3 * MICROS_PER_SECOND);
     }
 
     private void answerAsLeaf(HttpExchange exchange) {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -63,10 +63,10 @@
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
-    private final ConcurrentLinkedQueue<HttpHeaders> atLeaf = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<StageCall> atHosts = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<HttpHeaders> receivedByLeaf = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<StageCall> receivedByHolder = new ConcurrentLinkedQueue<>();
     private final MetricRegistry metrics = new MetricRegistry();
-    private Confirmation confirmation = taker -> taker.accept(true);
+    private VersionCheck versionCheck = taker -> taker.accept(true);
     private volatile TeamRateLimits limits = TeamRateLimits.NONE;
     private FleetView view;
     private HttpListener callers;
@@ -94,7 +94,7 @@
 
             @Override
             public void confirmNewest(Consumer<Boolean> taker) {
-                confirmation.ask(taker);
+                versionCheck.ask(taker);
             }
         };
         Gateway gateway = new Gateway(
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aRequestWhoseCallerLeftBeforeItWasPermittedIsGivenBackAndReachesNoLeaf() throws Exception {
+    void aRequestWhoseCallerLeftBeforeThePermitIsRefundedAndReachesNoLeaf() throws Exception {
         CompletableFuture<Consumer<TeamRateLimits.Decision>> asked = new CompletableFuture<>();
         AtomicInteger givenBack = new AtomicInteger();
         limits = (caller, taker) -> asked.complete(taker);
@@ -142,7 +142,7 @@
         assertThat(givenBack.get()).isEqualTo(1);
         limits = TeamRateLimits.NONE;
         assertThat(status("/one/x", KEY)).isEqualTo(200);
-        assertThat(atLeaf).hasSize(1);
+        assertThat(receivedByLeaf).hasSize(1);
     }
 
     @ParameterizedTest
@@ -163,8 +163,8 @@
     void theLeafReceivesTheTeamOnceAndNeverTheKey(String fields) throws Exception {
         assertThat(status("/one/x", KEY, fields)).isEqualTo(200);
         assertThat(status("/one/x", fields, KEY)).isEqualTo(200);
-        assertThat(atLeaf).hasSize(2);
-        for (HttpHeaders told : atLeaf) {
+        assertThat(receivedByLeaf).hasSize(2);
+        for (HttpHeaders told : receivedByLeaf) {
             assertThat(told.getAll("team")).containsExactly("ours");
             assertThat(told.contains("Authorization")).isFalse();
             assertThat(told.toString()).doesNotContain("key-1");
@@ -174,14 +174,14 @@
     /** What some parsers would read as the field is no request, or a part of the key before it, which is then wrong. */
     @ParameterizedTest
     @ValueSource(strings = {"team : evil", "team\t: evil", "X: a\rteam: evil", "X: a\0b", " team: evil"})
-    void aMalformedHeadIsRefusedOrTellsTheLeafNothing(String fields) throws Exception {
+    void aMalformedHeadIsRefusedOrAddsNoTeam(String fields) throws Exception {
         int status = status("/one/x", KEY, fields);
         if (status == 200) {
-            assertThat(requireNonNull(atLeaf.peek()).getAll("team")).containsExactly("ours");
-            assertThat(requireNonNull(atLeaf.peek()).toString()).doesNotContain("\r");
+            assertThat(requireNonNull(receivedByLeaf.peek()).getAll("team")).containsExactly("ours");
+            assertThat(requireNonNull(receivedByLeaf.peek()).toString()).doesNotContain("\r");
         } else {
             assertThat(status).isAnyOf(400, 401);
-            assertThat(atLeaf).isEmpty();
+            assertThat(receivedByLeaf).isEmpty();
         }
     }
 
@@ -197,31 +197,31 @@
                 "Team: ours",
                 "Proxy-Authorization: Token key-1"
             })
-    void aCallerThatIsNotKnownIsRefusedAndReachesNoLeaf(String fields) throws Exception {
+    void anUnknownCallerIsRefusedAndReachesNoLeaf(String fields) throws Exception {
         String answer = answer("/one/x", fields);
         assertThat(answer).startsWith("HTTP/1.1 401");
         assertThat(answer).contains("www-authenticate: Token");
         assertThat(answer).doesNotContain("retry:");
         assertThat(answer).doesNotContain("key-1");
-        assertThat(atLeaf).isEmpty();
+        assertThat(receivedByLeaf).isEmpty();
         assertThat(metrics.counter("gateway_refused_unknown_key").getCount()).isEqualTo(1);
     }
 
     /** It may have missed the version that added the key. */
     @Test
-    void aHostThatCannotMakeSureOfItsVersionSendsTheCallerElsewhere() throws Exception {
-        confirmation = taker -> taker.accept(false);
+    void aHostThatCannotConfirmItsVersionAnswersRetryLater() throws Exception {
+        versionCheck = taker -> taker.accept(false);
         String answer = answer("/one/x", "Authorization: Token new");
         assertThat(answer).startsWith("HTTP/1.1 503");
         assertThat(answer).contains("retry: 0.3");
-        assertThat(atLeaf).isEmpty();
+        assertThat(receivedByLeaf).isEmpty();
         assertThat(status("/one/x", KEY)).isEqualTo(200);
         assertThat(metrics.counter("gateway_refused_key_undecided").getCount()).isEqualTo(1);
     }
 
     @Test
-    void aKeyWhoseVersionComesWhileTheHostMakesSureIsServed() throws Exception {
-        confirmation = taker -> {
+    void aKeyThatArrivesDuringTheVersionCheckIsServed() throws Exception {
+        versionCheck = taker -> {
             view.apply(tables(2), Optional.of(configuration(2, Teams.of(List.of(team("ours", "new"))))));
             taker.accept(true);
         };
@@ -230,23 +230,23 @@
     }
 
     @Test
-    void aKeyThatMovesNamesItsNewTeamFromThenOn() throws Exception {
+    void aMovedKeyIdentifiesItsNewTeam() throws Exception {
         assertThat(status("/one/x", "Authorization: Token key-2")).isEqualTo(200);
         apply(2, false, Teams.of(List.of(team("ours", "key-1"), team("theirs", "key-2", "key-3"))));
         assertThat(status("/one/x", "Authorization: Token key-2")).isEqualTo(200);
-        assertThat(atLeaf.stream().map(told -> told.get("team")).toList())
+        assertThat(receivedByLeaf.stream().map(told -> told.get("team")).toList())
                 .containsExactly("ours", "theirs")
                 .inOrder();
     }
 
     @Test
-    void aPublicRouteNeedsNoKeyAndPassesNoneOn() throws Exception {
+    void aPublicRouteNeedsNoKeyAndForwardsNone() throws Exception {
         assertThat(status("/public/x", "team: evil")).isEqualTo(200);
         assertThat(status("/public/x", "Authorization: Token nobody", "team: evil"))
                 .isEqualTo(200);
         assertThat(status("/public/x", "Authorization: Basic own")).isEqualTo(200);
         assertThat(status("/public/x", KEY)).isEqualTo(200);
-        ImmutableList<HttpHeaders> told = ImmutableList.copyOf(atLeaf);
+        ImmutableList<HttpHeaders> told = ImmutableList.copyOf(receivedByLeaf);
         assertThat(told.stream().map(headers -> headers.get("team", "")).toList())
                 .containsExactly("", "", "", "ours")
                 .inOrder();
@@ -261,15 +261,15 @@
     void withoutTeamsTheCredentialsOfCallersReachTheLeaf() throws Exception {
         apply(2, false, Teams.NONE);
         assertThat(status("/one/x", KEY)).isEqualTo(200);
-        assertThat(requireNonNull(atLeaf.peek()).get("Authorization")).isEqualTo("Token key-1");
-        assertThat(requireNonNull(atLeaf.peek()).contains("team")).isFalse();
+        assertThat(requireNonNull(receivedByLeaf.peek()).get("Authorization")).isEqualTo("Token key-1");
+        assertThat(requireNonNull(receivedByLeaf.peek()).contains("team")).isFalse();
     }
 
     @Test
     void anotherHostReceivesTheTeamAndNotTheKey() throws Exception {
         apply(2, true, Teams.of(List.of(team("ours", "key-1"))));
         assertThat(status("/one/x", KEY, "team: evil")).isEqualTo(502);
-        StageCall call = requireNonNull(atHosts.peek());
+        StageCall call = requireNonNull(receivedByHolder.peek());
         assertThat(call.getTeam()).isEqualTo("ours");
         assertThat(call.getPriority()).isEqualTo(3);
         assertThat(call.toString()).doesNotContain("key-1");
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void aRequestThatNoRegionMayServeReachesNobody() throws Exception {
+    void aRequestThatNoRegionMayServeIsNotSent() throws Exception {
         Team bound = new Team(
                 "bound",
                 ImmutableSet.of(KeyDigest.of("key-1")),
@@ -289,8 +289,8 @@
         apply(3, false, Teams.of(List.of(bound)));
         assertThat(status("/home/x", KEY)).isEqualTo(503);
         assertThat(status("/one/x", KEY)).isEqualTo(503);
-        assertThat(atLeaf).isEmpty();
-        assertThat(atHosts).isEmpty();
+        assertThat(receivedByLeaf).isEmpty();
+        assertThat(receivedByHolder).isEmpty();
     }
 
     private int status(String path, String... fields) throws Exception {
@@ -309,7 +309,7 @@
     }
 
     private void answerAsLeaf(HttpExchange exchange) {
-        atLeaf.add(exchange.headers());
+        receivedByLeaf.add(exchange.headers());
         FullHttpResponse response = HttpExchange.response(200, Unpooled.EMPTY_BUFFER);
         response.headers().set("signature", "s").set("request-id", "r-1");
         exchange.respond(response);
@@ -317,7 +317,7 @@
 
     private void answerAsHolder(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasStageCall()) {
-            atHosts.add(message.getStageCall());
+            receivedByHolder.add(message.getStageCall());
             reply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
                             .setStatus(StageResult.Status.FAILED)
@@ -387,7 +387,7 @@
 
     /** How a host makes sure of its version. */
     @FunctionalInterface
-    private interface Confirmation {
+    private interface VersionCheck {
         void ask(Consumer<Boolean> taker);
     }
 }
