--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -25,30 +25,24 @@
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
-    /** How many digits of a second tell milliseconds. */
+    /** Decimal places of seconds in the Retry-After field. */
     private static final int MILLIS_SCALE = 3;
-    /** No use in coming back: the answer will be the same. */
+    /** Omits the Retry-After field, since a retry would get the same answer. */
     private static final Duration NO_RETRY = Duration.ZERO;
-    /** When to come back if no leaf takes work, or keys are not known: a change takes about 0.3 s to be known. */
+    /** Covers the time in which a change of the tables reaches this host. */
     private static final Duration RETRY_NO_LEAF = Duration.ofMillis(200);
-    /**
-     * When to come back to a fleet whose hosts have just started: a host knows its tables about a second after its
-     * start, and a caller that comes back much sooner is only refused again.
-     */
+    /** Delay after a start of the fleet, when a host needs about a second to receive its tables. */
     private static final Duration RETRY_NOT_READY = Duration.ofMillis(700);
-    /** When to try another host: at once, since every answer of this one ends its connection. */
+    /** Short, since the next request goes to another host: this host closes the connection with each answer. */
     private static final Duration RETRY_STOPPING = Duration.ofMillis(40);
-    /** When to come back after leafs were full or late: a few times the work of one request. */
+    /** Delay after leaves were full or late: a few times the duration of a request. */
     private static final Duration RETRY_BUSY = Duration.ofMillis(70);
 
-    /**
-     * When to come back with a request of which another is being tried: a third of the time for which nobody else may
-     * be tried, since an answer to that one lets others through at once.
-     */
+    /** Delay while another arrival of a suspect request is on trial: a fraction of the maximum duration of a trial. */
     private static final Duration RETRY_ON_TRIAL = Duration.ofMillis(350);
     /**
-     * When to come back with a request that is sent to no leaf: it stays so for an hour, unless it was taken for
-     * another, which shows within seconds.
+     * Delay for quarantined requests. They stay quarantined for an hour, but one that was quarantined in error is
+     * cleared within seconds.
      */
     private static final Duration RETRY_HARMFUL = Duration.ofSeconds(60);
 
@@ -81,7 +75,7 @@
         exchange.respond(response);
     }
 
-    /** Passes on what a leaf answered. */
+    /** Forwards the answer of a leaf. */
     void forward(LeafAnswer answer) {
         FullHttpResponse response = HttpExchange.response(
                 answer.status(), Unpooled.wrappedBuffer(answer.body().asReadOnlyByteBuffer()));
@@ -94,7 +88,7 @@
         exchange.respond(response);
     }
 
-    /** Adds what to do if the request turns out not to have run. */
+    /** Adds a task to run if the request turns out not to have run. */
     void onNotRun(Runnable task) {
         Runnable before = onNotRun;
         onNotRun = () -> {
@@ -103,17 +97,17 @@
         };
     }
 
-    /** Sets what to do if a leaf has run the request and answered. */
+    /** Sets the task to run if a leaf has run the request and answered. */
     void onSurvival(Runnable task) {
         onSurvival = task;
     }
 
-    /** Sets what to do if the last call to a leaf broke and the request may have run. */
+    /** Sets the task to run if the connection of the last leaf call was lost and the request may have run. */
     void onDisconnected(Runnable task) {
         onDisconnected = task;
     }
 
-    /** Refuses a request and says when to come back. */
+    /** Refuses a request with the given Retry-After time. */
     void refuse(RefusalReason reason, Duration retryAfter) {
         refuse(reason, Optional.of(retryAfter));
     }
@@ -173,7 +167,7 @@
                 response.text());
     }
 
-    /** Tells the caller that the request was not looked at and when to come back. */
+    /** Refuses a request because this host does not have its configuration yet. */
     void refuseNotReady() {
         refuse(
                 UNAVAILABLE,
@@ -181,7 +175,7 @@
                 "this host does not know its configuration yet; come back soon");
     }
 
-    /** Tells the caller that the request was not looked at, and to try another host. */
+    /** Refuses a request because this host is stopping; the caller should use another host. */
     void refuseStopping() {
         refuse(
                 UNAVAILABLE,
@@ -208,9 +202,9 @@
     }
 
     /**
-     * What a caller is told of a refusal.
+     * The answer to a refused request.
      *
-     * @param retryFrom when it may come back at the earliest; callers are spread from there
+     * @param retryFrom the earliest time of a retry, to which jitter is added; zero if a retry is useless
      */
     private record RefusalResponse(int status, Duration retryFrom, String text) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -35,7 +35,7 @@
 import org.bramblerack.wire.StageCall;
 
 /**
- * Takes the requests of callers, finds their routes in the configuration in force, and has them run.
+ * Routes the requests of callers by the configuration in force and runs them.
  *
  * <p>A request is bound to the configuration that was in force when it arrived. Owned by the event loop.
  */
@@ -45,14 +45,12 @@
     private static final long SECOND_PROBE_DELAY_MILLIS = 30;
     private static final int NOT_FOUND = 404;
     private static final int TOO_LARGE = 413;
-    /** What a caller that names no time is taken to wait; the route's time-out bounds it. */
+    /** Applies to callers that send no deadline; the timeout of the route still bounds it. */
     private static final long DEFAULT_CALLER_WAIT_NANOS = Duration.ofDays(1).toNanos();
-    /** The final answer is on its way this long before the caller stops waiting. */
+    /** The final answer is sent this long before the deadline of the caller. */
     private static final long ANSWER_TRANSIT_NANOS = Duration.ofMillis(15).toNanos();
 
-    /**
-     * A query that was held back starts at the latest when this many goals are left, in which it is mostly answered.
-     */
+    /** A deferred query starts at the latest this many goals before its deadline, the time that most queries need. */
     private static final int DEFERRED_START_GOALS = 2;
 
     private final FleetView view;
@@ -78,12 +76,12 @@
     private boolean refusingCallers;
 
     /**
-     * Creates a gateway; it takes requests from then on.
+     * Creates a gateway, which serves requests at once.
      *
-     * @param controlHost tells which control host is followed at the moment
-     * @param tablesKnown true once the view is that of a control host that is in touch with a leader
-     * @param tables tells whether the configuration in force here is the newest
-     * @param limits bounds how many requests a team makes
+     * @param controlHost returns the control host that this host currently follows
+     * @param tablesKnown returns true once the tables come from a control host that has a leader
+     * @param tables confirms whether the configuration in force on this host is the newest
+     * @param limits enforces the rate limits of teams
      */
     public Gateway(
             FleetView view,
@@ -119,7 +117,7 @@
         this.stageServer = new StageServer(view, runs, names, finalizeLead, clock, loop);
     }
 
-    /** Begins to probe the links to other hosts. */
+    /** Starts probing the links to other hosts and logging the counters. */
     public void start() {
         stages.start();
         lagTimer.start();
@@ -132,18 +130,18 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Probes the links to other hosts now, on the event loop. */
+    /** Probes the links to other hosts now and once more shortly after. Called on the event loop. */
     void probeNow() {
         stages.probe();
         loop.schedule(stages::probe, SECOND_PROBE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes no more work from other hosts; requests of callers are still served. */
+    /** Refuses new work from other hosts; requests of callers are still served. */
     public void beginStop() {
         loop.execute(stageServer::refuseWork);
     }
 
-    /** Refuses the requests of callers from now on, since they would not be finished; those under way are. */
+    /** Refuses new requests of callers; requests in flight are finished. */
     public void refuseCallers() {
         loop.execute(() -> refusingCallers = true);
     }
@@ -153,14 +151,14 @@
         loop.execute(stages::stop);
     }
 
-    /** Returns true if requests can be served. */
+    /** Returns true if the tables are known and complete, so that requests can be served. */
     public boolean isReady() {
         return tablesKnown.getAsBoolean() && view.isComplete();
     }
 
     @Override
     public void handle(Envelope message, Consumer<Envelope.Builder> reply) {
-        // Other kinds are of a newer program: not understood, so not answered.
+        // Other kinds of messages are sent by newer versions of the program and get no reply.
         if (limits.handle(message, reply)) {
             return;
         }
@@ -190,7 +188,7 @@
             refusedUnrouted(exchange, "NOT_READY");
             return;
         }
-        // A connection is held to the limits of the time when it was opened; a body to those of now.
+        // Limits of a connection are fixed when it opens; the limit of the body is read for each request.
         if (exchange.body().length > view.configuration().limits().maxBodyBytes()) {
             exchange.respond(TOO_LARGE, "text/plain", "the body is longer than the configuration allows\n");
             refusedUnrouted(exchange, "BODY_TOO_LONG");
@@ -199,7 +197,7 @@
         identify(exchange, answers, VersionCheck.NOT_CHECKED);
     }
 
-    /** Finds the route of a request and in whose name it is made, by the configuration in force now. */
+    /** Finds the route and identifies the caller of a request, by the configuration in force. */
     private void identify(HttpExchange exchange, CallerAnswers answers, VersionCheck versionCheck) {
         Optional<Route> route = view.configuration().find(exchange.headers().get("Host", ""), exchange.path());
         if (route.isEmpty()) {
@@ -212,7 +210,7 @@
         CallerCheck.Result check = CallerCheck.check(teams, route.get(), credentials);
         if (check instanceof CallerCheck.Result.Known known) {
             if (!teams.isEmpty() && credentials.stream().anyMatch(CallerCheck::mayContainKey)) {
-                // From here on nothing can tell it to a leaf or another host.
+                // The key must not reach a leaf or another host.
                 exchange.headers().remove(HttpHeaderNames.AUTHORIZATION);
             }
             requestPermit(exchange, route.get(), known.caller(), answers);
@@ -221,7 +219,7 @@
         }
     }
 
-    /** Refuses a caller that is not known, once it is certain that no newer version of the configuration knows it. */
+    /** Refuses an unknown caller, after confirming that no newer version of the configuration knows its key. */
     private void handleUnknownCaller(
             HttpExchange exchange,
             CallerAnswers answers,
@@ -241,14 +239,14 @@
         logUnrouted(exchange, reason.name(), line -> line.with("shown", presented.name()));
     }
 
-    /** Whether the configuration in force here is the newest. */
+    /** Whether the configuration in force on this host was confirmed as the newest. */
     private enum VersionCheck {
         NOT_CHECKED,
         CONFIRMED,
         UNCERTAIN
     }
 
-    /** Asks whether the team may make one more request. */
+    /** Requests a permit from the rate limit of the team. */
     private void requestPermit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
         if (caller.homeRegions(route).allowsNone()) {
             answers.refuse(RefusalReason.NO_LEAF_AT_HOME);
@@ -286,7 +284,7 @@
         });
     }
 
-    /** Begins a request that may be made, unless its caller left while that was asked for. */
+    /** Starts a permitted request, or refunds the permit if the caller has left. */
     private void onPermitted(HttpExchange exchange, RoutedCall call, CallerAnswers answers, Runnable refund) {
         if (exchange.isCallerGone()) {
             refund.run();
@@ -329,7 +327,7 @@
         log.logDegraded(call, reason.name(), line -> {});
     }
 
-    /** Serves a request once this host has room for it. */
+    /** Serves a request as soon as this host has capacity for it. */
     private void admit(HttpExchange exchange, RoutedCall call, CallerAnswers caller) {
         int calls = call.route().target() instanceof RouteTarget.Scatter target
                 ? target.shards().size()
@@ -360,7 +358,7 @@
         }
     }
 
-    /** Starts a query, or holds it back if its answer will be late in any case and others need the leafs. */
+    /** Starts a query, or defers it if its answer will miss the goal anyway and other queries need the leaves. */
     private void begin(HttpExchange exchange, RoutedCall call, RouteTarget.Scatter target, ScatterRun run) {
         long arrivedNanos = call.arrivedNanos();
         long usedNanos = callerElapsedTime.elapsedNanos(
@@ -394,7 +392,7 @@
                 details);
     }
 
-    /** Returns what other hosts are told of a query. */
+    /** Returns the template of the calls to other hosts for a query. */
     private StageCall queryCall(HttpExchange exchange, RoutedCall routed, RouteTarget.Scatter target) {
         return stageCall(exchange, routed).toBuilder()
                 .setTopRecords(target.topRecords())
@@ -402,7 +400,7 @@
                 .build();
     }
 
-    /** Returns what other hosts are told of a request. */
+    /** Returns the template of the calls to other hosts for a request. */
     private StageCall stageCall(HttpExchange exchange, RoutedCall routed) {
         Route route = routed.route();
         StageCall.Builder call = StageCall.newBuilder()
@@ -423,7 +421,10 @@
         return call.build();
     }
 
-    /** Returns the times of a request; what it may have waited here before it was read is no longer the caller's. */
+    /**
+     * Returns the deadlines of a request. Time that it waited on this host before it was read counts against the
+     * deadline of the caller.
+     */
     private RequestTimes times(HttpExchange exchange, Route route) {
         long receivedNanos = exchange.receivedNanos();
         long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(receivedNanos);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -17,7 +17,7 @@
 import org.bramblerack.request.routed.StageAttempt;
 import org.bramblerack.request.routed.StageReply;
 
-/** Carries out the decisions of one scattered query. Owned by the event loop. */
+/** Executes the actions of one scattered query. Owned by the event loop. */
 final class ScatterRun implements LeafSender.Listener {
     private static final long LATE_TOLERANCE_NANOS = Duration.ofMillis(5).toNanos();
 
@@ -53,17 +53,17 @@
         this.log = log;
     }
 
-    /** Sets what to do when shards are late and the query is still at work. */
+    /** Sets the task that reports progress while the query waits for late shards. */
     void onProgress(Runnable task) {
         onProgress = task;
     }
 
-    /** Sets what to tell when an answer that had waited for the goal was written. */
+    /** Sets the consumer of the time at which an answer that was finalized at the goal was written. */
     void onFinalizedAtGoal(LongConsumer consumer) {
         onFinalizedAtGoal = consumer;
     }
 
-    /** Sets what to do if the query was sent, broke, and no leaf of any shard has answered it. */
+    /** Sets the task that runs if the query ended because leaf connections were lost and no shard answered. */
     void onNoShardAnswered(Runnable task) {
         onNoShardAnswered = task;
     }
@@ -71,8 +71,8 @@
     void start() {
         execute(query.start(clock.nowNanos()));
         if (query.isAwaitingStages()) {
-            // The host that asked would take the longer silence of a call that was passed on for a failure, and make
-            // an attempt that the last host makes as well.
+            // Without a progress report the calling host would treat the longer silence of a forwarded call as a
+            // failure and make an additional attempt.
             onProgress.run();
         }
     }
@@ -115,7 +115,7 @@
         execute(query.onFailure(attempt, outcome, clock.nowNanos()));
     }
 
-    /** Takes what comes of the shards that other hosts ask. */
+    /** Applies the events of the stages to the query. */
     private final class StageListener implements StageCaller.Listener {
         @Override
         public void onProgress(StageAttempt stage, List<Integer> askedTwice) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Logs how the query ended, what its answer lacks, and what was tried for that. */
+    /** Logs the outcome of the query, and for a degraded one the missing shards and the attempts made. */
     private void logOutcome(MergedAnswer answer) {
         boolean late = clock.nowNanos() - call.times().goalNanos() > LATE_TOLERANCE_NANOS;
         if (answer.missing() == 0 && !late) {
@@ -160,7 +160,10 @@
                         .with("onBehalfOf", sink.onBehalfOf()));
     }
 
-    /** Before the last reply: retries are made between wakes, and the host that asked must not make a third attempt. */
+    /**
+     * Reports hedged shards before the final reply: retries start between wake-ups, and the calling host must not make
+     * a third attempt.
+     */
     private void reportHedgedShards() {
         if (!query.hedgedShards().isEmpty()) {
             onProgress.run();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -18,9 +18,9 @@
 import org.bramblerack.wire.StageProgress;
 import org.bramblerack.wire.StageResult;
 
-/** Has other hosts ask shards of one query. Owned by the event loop. */
+/** Delegates shards of one query to other hosts. Owned by the event loop. */
 final class StageCaller {
-    /** What a host takes to write and read the last word about a call that has no answer. */
+    /** Time for a host to write, and for this host to read, the final reply of a call without an answer. */
     private static final long FINAL_REPLY_SLACK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final StageCall call;
@@ -34,11 +34,11 @@
     private final Map<StageAttempt, PendingCall> pending = new HashMap<>();
 
     /**
-     * Creates a caller.
+     * Creates a caller for one query.
      *
-     * @param call what all hosts are told of the query; shards and times are added for each
+     * @param call the template of the calls to other hosts; shards and time limits are added for each
      * @param shardServices the services that are the shards of the query, in their order
-     * @param survived is run when leafs have answered the query elsewhere
+     * @param onSurvival runs when leaves called by another host have answered the query
      */
     StageCaller(
             StageCall call,
@@ -58,23 +58,23 @@
         this.onSurvival = survived;
     }
 
-    /** Returns what all hosts are told of the query. */
+    /** Returns the template of the calls to other hosts. */
     StageCall query() {
         return call;
     }
 
-    /** Takes what comes of a stage. */
+    /** Receives the events of stages. */
     interface Listener {
-        /** Takes word that the host is at work, and at which shards it asked second leafs. */
+        /** Handles a progress report of a host, with the shards at which it called a second leaf. */
         void onProgress(StageAttempt stage, List<Integer> askedTwice);
 
-        /** Takes what the host gathered so far. */
+        /** Handles a partial result. */
         void onPartial(StageAttempt stage, StageReply piece);
 
-        /** Takes the last of what the host gathered. */
+        /** Handles the final reply. */
         void onReply(StageAttempt stage, StageReply reply);
 
-        /** Takes a failure; {@code notRun} is true if no leaf was asked. */
+        /** Handles a failure; {@code notRun} is true if no leaf was called. */
         void onFailure(StageAttempt stage, boolean notRun);
     }
 
@@ -104,13 +104,13 @@
     private StageCall.Builder message(StageAttempt stage, PendingCall sent) {
         sent.messageCreated = true;
         if (sent.abandoned) {
-            // Its caller may have been told that it was sent to no leaf: a call without shards is refused.
+            // The query may have been reported as not run: a call without shards is refused.
             return call.toBuilder().clearShards().clearServices().setCall(sent.number);
         }
         long nowNanos = clock.nowNanos();
         long roundTripNanos = sent.link.roundTripNanos();
         long goalNanos = StageTiming.remoteGoalNanos(times.goalNanos() - nowNanos, roundTripNanos);
-        // Its last word, which may be that it sent nothing, is to be here when the caller is answered.
+        // The final reply, which may report that nothing was sent, must arrive before the caller is answered.
         long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - FINAL_REPLY_SLACK_NANOS;
         return call.toBuilder()
                 .addAllShards(stage.shards())
@@ -121,13 +121,13 @@
                 .setDeadlineMicros(TimeUnit.NANOSECONDS.toMicros(deadlineNanos));
     }
 
-    /** Leaves a host alone for a while that is silent for too long; its reply still counts if it comes. */
+    /** Avoids for a while a host that has been silent for too long; its reply still counts if it comes. */
     void suspect(StageAttempt stage) {
         links.link(stage.host()).suspect(clock.nowNanos());
     }
 
     /**
-     * Tells a host that nobody waits for its reply any more, so that it owes none.
+     * Notifies the host of a stage that its reply is no longer needed.
      *
      * @return true if the call was never sent, and will not be
      */
@@ -186,7 +186,7 @@
         metrics.recordStage(answered);
     }
 
-    /** A call that was sent and not answered yet. */
+    /** A call that has no final reply yet. */
     private static final class PendingCall {
         private final StageLinks.Link link;
         private final long number;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCalls.java
@@ -4,25 +4,28 @@
 import java.util.Map;
 
 /**
- * The calls of other hosts that are under way here, so that they can be cancelled.
+ * The calls of other hosts that are in flight on this host, so that they can be cancelled.
  *
- * <p>Invariant: a call is listed from when it begins until its reply is sent or it is cancelled. Owned by the event
- * loop.
+ * <p>Invariant: a call is listed from its start until its reply is sent or it is cancelled. Owned by the event loop.
  */
 final class StageCalls {
     private final Map<Key, Runnable> underWay = new HashMap<>();
 
-    /** Notes a call that begins. */
+    /**
+     * Records the start of a call.
+     *
+     * @param onCancel runs if the call is cancelled
+     */
     void begin(String sender, long number, Runnable onCancel) {
         underWay.put(new Key(sender, number), onCancel);
     }
 
-    /** Notes a call whose reply is sent. */
+    /** Records that the reply of a call was sent. */
     void end(String sender, long number) {
         underWay.remove(new Key(sender, number));
     }
 
-    /** Gives a call up that nobody waits for; one that is over or was never begun is nothing to give up. */
+    /** Cancels a call; no effect if it has ended or never started. */
     void cancel(String sender, long number) {
         Runnable onCancel = underWay.remove(new Key(sender, number));
         if (onCancel != null) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -38,20 +38,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Knows the ways to the hosts that ask shards on behalf of this one.
+ * The links to the hosts that call shards on behalf of this host.
  *
- * <p>Links to such hosts are probed, so that a dead one is known soon and its round trip can be counted on. A link that
- * failed is left alone for a while. Owned by the event loop.
+ * <p>Links are probed to detect failed hosts early and to measure round-trip times. A host that failed is not called
+ * for a while. Owned by the event loop.
  */
 final class StageLinks {
     private static final EventLog EVENTS = EventLog.of(StageLinks.class);
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(700);
-    /** A round trip between regions, which opening a link takes, and some room for a slow start. */
+    /** Covers the round trip between regions that opening a link takes. */
     private static final Duration PROBE_DELAY_AFTER_CHANGE = Duration.ofMillis(50);
 
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(500);
     private static final long SUSPECT_NANOS = Duration.ofSeconds(2).toNanos();
-    /** What a round trip between regions is taken to need before it was measured. */
+    /** A round trip between regions, used until one has been measured. */
     private static final long INITIAL_ROUND_TRIP_NANOS = Duration.ofMillis(25).toNanos();
 
     private static final double ROUND_TRIP_SMOOTHING = 0.3;
@@ -78,7 +78,10 @@
                 this::probe, PROBE_INTERVAL.toMillis(), PROBE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Probes soon, since hosts came or went: changes come in series, and the first probe only opens the links. */
+    /**
+     * Schedules two probes after hosts joined or left; the first opens the links, the second measures them. Changes in
+     * a series are batched.
+     */
     void onHostsChanged() {
         if (!probesScheduled) {
             probesScheduled = true;
@@ -102,7 +105,7 @@
     /**
      * Divides the shards of a query between this host and others; see {@link StagePlanner#plan}.
      *
-     * @param skippedHosts the hosts that whoever asks this one passed over
+     * @param skippedHosts the hosts that the calling host skipped
      */
     ImmutableList<StageAttempt> plan(
             ImmutableList<PermittedLeaves> pools,
@@ -122,12 +125,12 @@
     }
 
     /**
-     * Returns the way to the first of some hosts that can be asked now and is not behind; empty if this host is to ask
-     * the leaf itself, as when it stands in for those before it. One that was never asked is tried: after a start of
-     * the whole fleet no host is known to answer, and to go round the holders would take connections to every leaf from
-     * every host.
+     * Returns the link to the first of some hosts that can be called now and is not lagging; empty if this host should
+     * call the leaf itself, for example as the backup of the hosts before it. A host that was never contacted counts as
+     * usable: after a restart of the whole fleet no host has been contacted yet, and calling leaves directly would open
+     * connections from every host to every leaf.
      *
-     * @param skippedHosts the hosts that whoever asks this one passed over; they count if this one stands in for them
+     * @param skippedHosts the hosts that the calling host skipped; they count if this host is their backup
      */
     Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> skippedHosts) {
         if (hosts.isEmpty()) {
@@ -159,7 +162,7 @@
         return view.routing().uses(RoutingFeature.HOST_ROOM) && link.capacity.isLagging(nowNanos);
     }
 
-    /** Returns the hosts that get no shards of this one now, since they are behind or do not answer. */
+    /** Returns the hosts that are not used now because they lag or do not answer. */
     ImmutableSet<String> skippedHosts() {
         long nowNanos = clock.nowNanos();
         return links.values().stream()
@@ -169,11 +172,12 @@
     }
 
     /**
-     * Has another host ask leafs. Every such call goes this way, so here is the last check that its body may go there.
+     * Sends a call to another host. All such calls go through this method, which is the last check that the host may
+     * receive the body.
      *
-     * @param homes the regions that may see the body
-     * @param message makes the call as soon as the link is there
-     * @param onProgress takes what the host says of its progress before the reply
+     * @param homes the regions that may receive the body
+     * @param message creates the call once the link is connected
+     * @param onProgress receives the progress that the host reports before its reply
      */
     Uni<Envelope> callStage(
             Link link,
@@ -195,26 +199,26 @@
                 || view.regionOf(host).filter(homes::allows).isPresent();
     }
 
-    /** Returns a number that no other call of this host has. */
+    /** Returns a number that is unique among the calls of this host. */
     long nextCallNumber() {
         return ++lastCallNumber;
     }
 
-    /** Tells a host that nobody waits for the result of a call any more. */
+    /** Notifies a host that the result of a call is no longer needed. */
     void cancel(Link link, long call) {
         network.send(
                 link.host,
                 Envelope.newBuilder().setStageCancel(StageCancel.newBuilder().setCall(call)));
     }
 
-    /** Returns what is known of the way to a host. */
+    /** Returns the state of the link to a host, which is created if absent. */
     Link link(String host) {
         return links.computeIfAbsent(host, unused -> new Link(host));
     }
 
     /**
-     * Probes the links that may be needed: in a fleet that uses holders, those to holders that are not known to answer;
-     * otherwise those to every host in another region.
+     * Probes the links that may be needed: in a fleet that uses holders, those to holders that are not confirmed to
+     * answer; otherwise those to every host in another region.
      */
     void probe() {
         boolean throughHolders = view.usesHolders();
@@ -247,13 +251,13 @@
     private void onProbeFailure(Link link, Throwable failure) {
         boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
         if (!notSent) {
-            // The connection hangs, or the host does: another connection is made with the next probe.
+            // The connection or the host is stuck: the next probe opens a new connection.
             link.suspect(clock.nowNanos());
             network.disconnect(link.host);
         }
     }
 
-    /** What the planner asks of the links. */
+    /** The view of the links that the planner uses. */
     private final class FleetTopology implements StagePlanner.Topology {
         private final ImmutableSet<String> skippedHosts;
 
@@ -308,12 +312,12 @@
         }
     }
 
-    /** What is known of the way to one host. */
+    /** The state of the link to one host. */
     static final class Link {
         private final String host;
         private long roundTripNanos = INITIAL_ROUND_TRIP_NANOS;
         private long suspectedUntilNanos = Long.MIN_VALUE / 2;
-        /** False until something was heard of it, good or bad. */
+        /** False until the first answer or failure. */
         private boolean contacted;
 
         private boolean confirmed;
@@ -333,7 +337,7 @@
             return confirmed && nowNanos - suspectedUntilNanos >= 0;
         }
 
-        /** Notes that the host has no connection to a leaf, or does not know it (yet). */
+        /** Records that the host has no connection to a leaf, or does not know it yet. */
         void recordUnreachable(String leafId, long nowNanos) {
             unreachableUntilNanos.values().removeIf(untilNanos -> nowNanos - untilNanos >= 0);
             unreachableUntilNanos.put(leafId, nowNanos + SUSPECT_NANOS);
@@ -360,7 +364,7 @@
             inFlight--;
         }
 
-        /** Notes how far the host says that it is behind. */
+        /** Records the event-loop lag that the host reported. */
         void recordLag(long lagMicros, long nowNanos) {
             boolean before = capacity.isLagging(nowNanos);
             capacity.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -34,10 +34,11 @@
 import org.bramblerack.wire.StageResult;
 
 /**
- * Runs scattered queries near the leafs on behalf of other hosts.
+ * Runs scattered queries and single leaf calls on behalf of other hosts.
  *
- * <p>Which shards a query has is said by the host that took it from its caller, whichever version of the configuration
- * is in force here: while a version spreads, or hosts are cut off from control, hosts differ. Owned by the event loop.
+ * <p>The calling host names the shards of a query, independent of the version of the configuration in force on this
+ * host: versions differ between hosts while a new one spreads or a host is cut off from control. Owned by the event
+ * loop.
  */
 final class StageServer {
     private final FleetView view;
@@ -66,21 +67,21 @@
         this.leafCalls = new HeldLeafCalls(view, clock);
     }
 
-    /** Refuses new queries from now on; those under way are finished. */
+    /** Refuses new queries; queries in flight are finished. */
     void refuseWork() {
         refusingWork = true;
     }
 
-    /** Gives up a call of another host that nobody waits for any more. */
+    /** Cancels a call of another host whose result is no longer needed. */
     void cancel(String sender, StageCancel cancel) {
         calls.cancel(sender, cancel.getCall());
     }
 
     /**
-     * Runs a query, or asks the one leaf that is named, and replies.
+     * Runs a query, or calls the one leaf that is named, and replies.
      *
-     * <p>A query begins once everything that has arrived was read: on a host that is behind, as just after a start, the
-     * word that nobody waits for it any more is often among that.
+     * <p>A query starts after all messages that have arrived were read, since on a lagging host its cancellation may be
+     * among them.
      */
     void handle(String sender, StageCall call, Consumer<Envelope.Builder> sendReply) {
         Consumer<Envelope.Builder> reply = message -> sendReply.accept(withLag(message));
@@ -97,7 +98,7 @@
                 homes,
                 call.getTeam(),
                 names);
-        // Its times count from when it came, so that no leaf is given more time than the caller has left.
+        // Time limits count from the arrival of the call, so that no leaf gets more time than the caller has left.
         long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(clock.nowNanos());
         if (call.getLeaf().isEmpty()) {
             AtomicBoolean cancelled = new AtomicBoolean();
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Adds how far this host is behind, so that others know which host has room. */
+    /** Adds the event-loop lag of this host, by which other hosts avoid lagging hosts. */
     private Envelope.Builder withLag(Envelope.Builder message) {
         long lagMicros =
                 TimeUnit.NANOSECONDS.toMicros(view.routing().eventLoopLag().averageLagNanos());
@@ -132,7 +133,7 @@
         return message;
     }
 
-    /** Runs a query and replies, with word of progress before if shards are asked twice. */
+    /** Runs a query and replies; reports progress before the reply if shards are hedged. */
     private void runQuery(
             String sender,
             StageCall call,
@@ -154,12 +155,12 @@
                 arrivedNanos + TimeUnit.MICROSECONDS.toNanos(call.getDeadlineMicros()),
                 arrivedNanos + TimeUnit.MICROSECONDS.toNanos(call.getDeadlineMicros()));
         int maxAttempts = maxAttempts(call, arrivedNanos);
-        // However little is in is sent back, since only the host that asked knows the rest.
+        // Any partial result is returned, since only the calling host knows the other shards.
         RouteTarget.Scatter target =
                 new RouteTarget.Scatter(ImmutableList.copyOf(call.getServicesList()), call.getTopRecords(), 0);
         ScatterRun run = runs.scatterForHost(
                 new RoutedCall(
-                        // Says the homes and the rank, also those of the team.
+                        // The route includes the home regions and the priority of the team.
                         route(call, target, homes, maxAttempts),
                         CallerIdentity.ANONYMOUS,
                         call.getConfigurationVersion(),
@@ -181,8 +182,9 @@
     }
 
     /**
-     * Returns why a call is not run, if it is not. One that waited here for longer than the host that asked waits for a
-     * first word is asked elsewhere by now; begun all the same, it would take one leaf more than the route allows.
+     * Returns why a call is not run, or empty if it is. A call that waited here for longer than the calling host waits
+     * for progress is refused: the calling host has called other leaves by then, and running it as well would exceed
+     * the attempts of the route.
      */
     private Optional<String> refusalReason(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
         if (refusingWork) {
@@ -203,8 +205,8 @@
     }
 
     /**
-     * Returns the regions that may serve a call: those that the host that asked knows of its route and its team and
-     * those that this host does, since for a moment the two may follow different versions of the configuration.
+     * Returns the regions that may serve a call: those that both the calling host and this host allow for its route and
+     * its team, since the two may use different versions of the configuration.
      */
     private HomeRegions homeRegions(StageCall call) {
         RoutingConfiguration known = view.configuration();
@@ -216,15 +218,17 @@
     }
 
     /**
-     * Returns how many leafs of a shard may be asked here. The host that asked makes an attempt of its own if it waits
-     * for the first word longer than it allows for the way: then a call that waited here has one left.
+     * Returns how many leaves of a shard this host may call. If the call waited longer than the slack of the silence
+     * timeout, the calling host may make one attempt itself, so that one less is left.
      */
     private int maxAttempts(StageCall call, long arrivedNanos) {
         boolean waited = clock.nowNanos() - arrivedNanos > StageTiming.SILENCE_SLACK_NANOS;
         return waited ? Math.max(1, call.getMaxAttempts() - 1) : call.getMaxAttempts();
     }
 
-    /** Returns what hosts are told that are asked in turn; shards and times are added for each. */
+    /**
+     * Returns the template of the calls that forward a call to other hosts; shards and time limits are added for each.
+     */
     private static StageCall forwardedCall(StageCall call, HomeRegions homes, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
@@ -246,9 +250,10 @@
     }
 
     /**
-     * Returns the route of a call as it is here, or as the call describes it if it is not known here (any more).
+     * Returns the route of a call by the configuration of this host, or as the call describes it if the route is
+     * unknown here or differs.
      *
-     * <p>Evidence of how long calls take is kept by its name.
+     * <p>The latencies of calls are recorded under the name of the route.
      */
     private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homes, int maxAttempts) {
         return view.configuration()
@@ -269,13 +274,13 @@
                         homes));
     }
 
-    /** Returns how long after a call came what is in by then is sent; on a host that is behind, earlier. */
+    /** Returns how long after its arrival the answer to a call is due; earlier if this host lags. */
     private long goalNanos(StageCall call) {
         Duration goal = Duration.ofNanos(Math.max(0, TimeUnit.MICROSECONDS.toNanos(call.getGoalMicros())));
         return StageTiming.localGoalNanos(goal.toNanos(), finalizeLead.overrunNanos(goal));
     }
 
-    /** Turns the numbers of shards of a part into those of the whole. */
+    /** Translates shard numbers within a stage to those of the whole query. */
     private static ImmutableList<Integer> toQueryShards(List<Integer> numbers, List<Integer> shards) {
         return numbers.stream().map(shards::get).collect(ImmutableList.toImmutableList());
     }
@@ -289,7 +294,7 @@
         return headers;
     }
 
-    /** Sends the end of a query back to the host that asked. */
+    /** Sends partial results and the final result of a query to the calling host. */
     private record ReplySink(
             Consumer<Envelope.Builder> sendProgress,
             Consumer<Envelope.Builder> sendReply,
