--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
@@ -45,15 +45,15 @@
     }
 
     private void startDue() {
-        boolean room = false;
+        boolean started = false;
         long nowNanos = clock.nowNanos();
         do {
-            room = false;
+            started = false;
             for (DeferredQuery query : starts.pollDue(hasCapacity(nowNanos), nowNanos)) {
-                room = true;
+                started = true;
                 query.run().start();
             }
-        } while (room && !starts.isEmpty());
+        } while (started && !starts.isEmpty());
         if (!starts.isEmpty() && !checkScheduled) {
             checkScheduled = true;
             loop.schedule(this::onCheckTimer, CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ForwardRun.java
@@ -84,11 +84,12 @@
 
     private void execute(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.CallLeaf ask) {
-                metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
-                sender.send(ask.attempt(), this);
-            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                sender.abandon(giveUp.attempt());
+            if (action instanceof RoutedAction.CallLeaf callLeaf) {
+                metrics.recordCall(
+                        callLeaf.attempt().purpose(), callLeaf.attempt().leaf().distance());
+                sender.send(callLeaf.attempt(), this);
+            } else if (action instanceof RoutedAction.AbandonAttempt abandon) {
+                sender.abandon(abandon.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
                 sender.wakeAt(wake.atNanos(), () -> execute(request.wake(clock.nowNanos())));
             } else if (action instanceof RoutedAction.DeliverAnswer deliver) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
@@ -44,13 +44,13 @@
      * @param otherHosts returns the peer addresses of the other entry hosts
      */
     HarmReporter(
-            HarmfulRequestFilter guard,
+            HarmfulRequestFilter filter,
             PeerNetwork network,
             Supplier<String> controlHost,
             Supplier<ImmutableList<String>> otherHosts,
             EventLoop loop,
             RandomGenerator random) {
-        this.filter = guard;
+        this.filter = filter;
         this.otherHosts = otherHosts;
         this.random = random;
         this.network = network;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -85,27 +85,27 @@
      * Requests a trial. If it is granted and the request has several shards, sends it to a leaf of one shard first.
      *
      * @param query returns the template of the calls to other hosts
-     * @param taker receives the result
+     * @param callback receives the result
      */
-    void start(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
-        requestGrant(call, query, MAX_GRANT_REQUESTS, taker);
+    void start(RoutedCall call, Supplier<StageCall> query, Consumer<Result> callback) {
+        requestGrant(call, query, MAX_GRANT_REQUESTS, callback);
     }
 
-    private void requestGrant(RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> taker) {
+    private void requestGrant(RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> callback) {
         TakeTrial.Builder trial =
                 HarmfulRequestFilter.newTrialRequest(call.request().arrival());
         network.request(controlHost.get(), Envelope.newBuilder().setTakeTrial(trial), GRANT_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> loop.execute(
-                                () -> onGrantResult(reply.getTakeTrialResult(), call, query, requestsLeft - 1, taker)),
+                        reply -> loop.execute(() ->
+                                onGrantResult(reply.getTakeTrialResult(), call, query, requestsLeft - 1, callback)),
                         failure -> {
                             LOGGER.log(
                                     Logger.Level.DEBUG,
                                     "the control host did not decide on a trial, deciding locally: {0}",
                                     failure.getMessage());
                             TakeTrialResult undecided = TakeTrialResult.getDefaultInstance();
-                            loop.execute(() -> onGrantResult(undecided, call, query, requestsLeft - 1, taker));
+                            loop.execute(() -> onGrantResult(undecided, call, query, requestsLeft - 1, callback));
                         });
     }
 
@@ -118,19 +118,19 @@
             RoutedCall call,
             Supplier<StageCall> query,
             int requestsLeft,
-            Consumer<Result> taker) {
+            Consumer<Result> callback) {
         boolean granted = result.getDecided()
                 ? result.getGranted()
                 : view.harmFilter().tryStartLocalTrial(call.request().arrival(), clock.nowNanos());
         if (granted) {
-            callFirstShard(call, query, taker);
+            callOneShard(call, query, callback);
         } else if (requestsLeft > 0 && hasTimeToWait(call)) {
             loop.schedule(
-                    () -> recheckPermission(call, query, requestsLeft, taker),
+                    () -> recheckPermission(call, query, requestsLeft, callback),
                     RECHECK_DELAY.toMillis(),
                     TimeUnit.MILLISECONDS);
         } else {
-            taker.accept(Result.NOT_RUN);
+            callback.accept(Result.NOT_RUN);
         }
     }
 
@@ -139,11 +139,11 @@
     }
 
     private void recheckPermission(
-            RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> taker) {
+            RoutedCall call, Supplier<StageCall> query, int requestsLeft, Consumer<Result> callback) {
         switch (view.harmFilter().permission(call.request()::fingerprints)) {
-            case FREE -> taker.accept(Result.SERVE);
-            case ON_TRIAL -> requestGrant(call, query, requestsLeft, taker);
-            default -> taker.accept(Result.QUARANTINED);
+            case FREE -> callback.accept(Result.SERVE);
+            case ON_TRIAL -> requestGrant(call, query, requestsLeft, callback);
+            default -> callback.accept(Result.QUARANTINED);
         }
     }
 
@@ -164,10 +164,10 @@
                                 failure.getMessage()));
     }
 
-    private void callFirstShard(RoutedCall call, Supplier<StageCall> query, Consumer<Result> taker) {
+    private void callOneShard(RoutedCall call, Supplier<StageCall> query, Consumer<Result> callback) {
         ImmutableList<String> services = call.route().target().services();
         if (!(call.route().target() instanceof RouteTarget.Scatter) || services.size() == 1) {
-            taker.accept(Result.SERVE);
+            callback.accept(Result.SERVE);
             return;
         }
         long nowNanos = clock.nowNanos();
@@ -178,34 +178,34 @@
         // The trial call is in addition to the calls of the query, so it is charged to the budget like a retry.
         if (leaf.isEmpty() || !pool.budget().tryWithdraw(nowNanos)) {
             release(call, false);
-            taker.accept(Result.NOT_RUN);
+            callback.accept(Result.NOT_RUN);
             return;
         }
-        FirstShardCall firstCall = new FirstShardCall(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), result -> {
+        TrialCall trialCall = new TrialCall(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), result -> {
             // A leaf that timed out may still end: no other trial starts until this one expires.
             if (result != Result.TIMED_OUT) {
                 release(call, result == Result.DISCONNECTED);
             }
-            taker.accept(result);
+            callback.accept(result);
         });
         LeafConnections.CallHandle ticket = runs.holderPath(query.get())
-                .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), firstCall);
+                .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), trialCall);
         // Half of the remaining time; the query itself needs the rest.
         long waitNanos = Math.max(0, call.times().deadlineNanos() - nowNanos) / 2;
-        loop.schedule(() -> firstCall.abandon(ticket), waitNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> trialCall.abandon(ticket), waitNanos, TimeUnit.NANOSECONDS);
     }
 
     /** The trial call to one leaf of the first shard. */
-    private final class FirstShardCall implements LeafCallback {
+    private final class TrialCall implements LeafCallback {
         private final Leaf leaf;
         private final Leaf.Call call;
-        private final Consumer<Result> taker;
+        private final Consumer<Result> callback;
         private boolean ended;
 
-        FirstShardCall(Leaf leaf, Leaf.Call call, Consumer<Result> taker) {
+        TrialCall(Leaf leaf, Leaf.Call call, Consumer<Result> callback) {
             this.leaf = leaf;
             this.call = call;
-            this.taker = taker;
+            this.callback = callback;
         }
 
         @Override
@@ -230,13 +230,13 @@
             if (!ended) {
                 leaf.abandon(call, clock.nowNanos());
                 ended = true;
-                taker.accept(ticket.abandon() ? Result.NOT_RUN : Result.TIMED_OUT);
+                callback.accept(ticket.abandon() ? Result.NOT_RUN : Result.TIMED_OUT);
             }
         }
 
         private void end(Result result) {
             ended = true;
-            taker.accept(result);
+            callback.accept(result);
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -48,13 +48,13 @@
     }
 
     @Override
-    public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback listener) {
+    public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback callback) {
         Optional<StageLinks.Link> holder =
                 links.firstUsable(view.holdersOf(leaf), leaf.id(), homes, query.getPassedOverList());
         if (holder.isEmpty()) {
-            return view.connectionsTo(leaf).send(request, deadlineNanos, listener);
+            return view.connectionsTo(leaf).send(request, deadlineNanos, callback);
         }
-        HolderCall call = new HolderCall(holder.get(), leaf.id(), request, listener);
+        HolderCall call = new HolderCall(holder.get(), leaf.id(), request, callback);
         call.send(deadlineNanos);
         return call;
     }
@@ -64,16 +64,16 @@
         private final StageLinks.Link holder;
         private final String leafId;
         private final LeafRequest request;
-        private final LeafCallback listener;
+        private final LeafCallback callback;
         private final long number = links.nextCallNumber();
         private boolean ended;
         private boolean messageCreated;
 
-        HolderCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafCallback taker) {
+        HolderCall(StageLinks.Link holder, String leafId, LeafRequest request, LeafCallback callback) {
             this.holder = holder;
             this.leafId = leafId;
             this.request = request;
-            this.listener = taker;
+            this.callback = callback;
         }
 
         void send(long deadlineNanos) {
@@ -124,10 +124,10 @@
                 if (answer.showsSurvival()) {
                     recordSurvival();
                 }
-                listener.onAnswer(answer);
+                callback.onAnswer(answer);
             } else if (result.getStatus() == StageResult.Status.ANSWERED && result.getSignaturesCount() == 1) {
                 recordSurvival();
-                listener.onAnswer(new LeafAnswer(
+                callback.onAnswer(new LeafAnswer(
                         OK,
                         EmptyHttpHeaders.INSTANCE,
                         result.getRecords(),
@@ -139,7 +139,7 @@
                 if (!outcome.isSent() && outcome != LeafOutcome.BARRED) {
                     holder.recordUnreachable(leafId, clock.nowNanos());
                 }
-                listener.onFailure(outcome);
+                callback.onFailure(outcome);
             }
         }
 
@@ -155,7 +155,7 @@
             holder.onCallEnded();
             holder.suspect(clock.nowNanos());
             boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-            listener.onFailure(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
+            callback.onFailure(notSent ? LeafOutcome.NO_CONNECTION : LeafOutcome.BROKEN);
         }
 
         private HttpHeaders headers(StageResult result) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafHarm.java
@@ -33,13 +33,13 @@
      * @param incarnation distinguishes incarnations of a leaf with the same identifier
      * @param logLimit is shared by all leaves of this host
      */
-    LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter guard, LogLimit lines, MonotonicClock clock) {
+    LeafHarm(Leaf leaf, long incarnation, HarmfulRequestFilter filter, LogLimit logLimit, MonotonicClock clock) {
         this.leaf = leaf;
         this.incarnationHash = Hashing.sha256()
                 .hashString(leaf.service() + "\n" + leaf.id() + "\n" + incarnation, StandardCharsets.UTF_8)
                 .asLong();
-        this.filter = guard;
-        this.logLimit = lines;
+        this.filter = filter;
+        this.logLimit = logLimit;
         this.clock = clock;
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafPath.java
@@ -12,8 +12,8 @@
      * Sends a request to a leaf.
      *
      * @param deadlineNanos when the sender stops waiting
-     * @param listener receives the result
+     * @param callback receives the result
      * @return a handle to abandon the call
      */
-    LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback listener);
+    LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback callback);
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -141,8 +141,8 @@
                 new ForwardedRequest(view.pool(service).permitted(call.homeRegions()), repeatable, bounds, random);
         LeafPath path = view.isHeld(service)
                 ? holderPath(query.get().toBuilder().setWholeAnswer(true).build())
-                : (leaf, request, deadlineNanos, taker) ->
-                        view.connectionsTo(leaf).send(request, deadlineNanos, taker);
+                : (leaf, request, deadlineNanos, callback) ->
+                        view.connectionsTo(leaf).send(request, deadlineNanos, callback);
         return new ForwardRun(call, forwarded, sender(call, path), caller, metrics, clock, log);
     }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -172,19 +172,20 @@
 
     private void execute(List<RoutedAction> actions) {
         for (RoutedAction action : actions) {
-            if (action instanceof RoutedAction.CallLeaf ask) {
-                metrics.recordCall(ask.attempt().purpose(), ask.attempt().leaf().distance());
-                sender.send(ask.attempt(), this);
-            } else if (action instanceof RoutedAction.CallStage ask) {
-                stages.call(ask.stage(), stageListener);
+            if (action instanceof RoutedAction.CallLeaf callLeaf) {
+                metrics.recordCall(
+                        callLeaf.attempt().purpose(), callLeaf.attempt().leaf().distance());
+                sender.send(callLeaf.attempt(), this);
+            } else if (action instanceof RoutedAction.CallStage callStage) {
+                stages.call(callStage.stage(), stageListener);
             } else if (action instanceof RoutedAction.SuspectStage suspect) {
                 stages.suspect(suspect.stage());
-            } else if (action instanceof RoutedAction.AbandonStage giveUp) {
-                if (stages.abandon(giveUp.stage())) {
-                    query.onStageNeverSent(giveUp.stage());
+            } else if (action instanceof RoutedAction.AbandonStage abandon) {
+                if (stages.abandon(abandon.stage())) {
+                    query.onStageNeverSent(abandon.stage());
                 }
-            } else if (action instanceof RoutedAction.AbandonAttempt giveUp) {
-                sender.abandon(giveUp.attempt());
+            } else if (action instanceof RoutedAction.AbandonAttempt abandon) {
+                sender.abandon(abandon.attempt());
             } else if (action instanceof RoutedAction.Wake wake) {
                 sender.wakeAt(wake.atNanos(), this::wake);
             } else if (action instanceof RoutedAction.DeliverMerged deliver) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -78,7 +78,7 @@
         void onFailure(StageAttempt stage, boolean notRun);
     }
 
-    void call(StageAttempt stage, Listener taker) {
+    void call(StageAttempt stage, Listener listener) {
         StageLinks.Link link = links.link(stage.host());
         PendingCall sent = new PendingCall(link, links.nextCallNumber());
         pending.put(stage, sent);
@@ -89,15 +89,15 @@
                         homes,
                         () -> message(stage, sent),
                         wait,
-                        progress -> onProgress(stage, progress.getStageProgress(), taker))
+                        progress -> onProgress(stage, progress.getStageProgress(), listener))
                 .subscribe()
-                .with(reply -> onResult(stage, link, reply.getStageResult(), taker), failure -> {
+                .with(reply -> onResult(stage, link, reply.getStageResult(), listener), failure -> {
                     endCall(stage, link, false);
                     if (!sent.abandoned) {
                         link.suspect(clock.nowNanos());
                     }
                     boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-                    taker.onFailure(stage, notSent);
+                    listener.onFailure(stage, notSent);
                 });
     }
 
@@ -141,19 +141,19 @@
         return !sent.messageCreated;
     }
 
-    private void onProgress(StageAttempt stage, StageProgress progress, Listener taker) {
+    private void onProgress(StageAttempt stage, StageProgress progress, Listener listener) {
         links.link(stage.host()).recordLag(progress.getLagMicros(), clock.nowNanos());
-        taker.onProgress(stage, progress.getAskedTwiceList());
+        listener.onProgress(stage, progress.getAskedTwiceList());
         boolean matches = progress.getShardsCount() == progress.getSignaturesCount();
         if (progress.getShardsCount() > 0 && matches) {
             onSurvival.run();
-            taker.onPartial(
+            listener.onPartial(
                     stage,
                     toReply(progress.getShardsList(), progress.getSignaturesList(), List.of(), progress.getRecords()));
         }
     }
 
-    private void onResult(StageAttempt stage, StageLinks.Link link, StageResult result, Listener taker) {
+    private void onResult(StageAttempt stage, StageLinks.Link link, StageResult result, Listener listener) {
         boolean answered = result.getStatus() == StageResult.Status.ANSWERED
                 && result.getShardsCount() == result.getSignaturesCount();
         link.recordLag(result.getLagMicros(), clock.nowNanos());
@@ -162,7 +162,7 @@
             onSurvival.run();
         }
         if (answered) {
-            taker.onReply(
+            listener.onReply(
                     stage,
                     toReply(
                             result.getShardsList(),
@@ -170,7 +170,7 @@
                             result.getNotSentList(),
                             result.getRecords()));
         } else {
-            taker.onFailure(stage, result.getStatus() == StageResult.Status.NOT_RUN);
+            listener.onFailure(stage, result.getStatus() == StageResult.Status.NOT_RUN);
         }
     }
 
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
@@ -168,7 +168,7 @@
         HostAndPort otherAddress = HostAndPort.fromParts("127.0.0.1", freePort());
         PeerServer other = new PeerServer(otherAddress, answerAs("other"), group, LinkPolicy.OPEN, new PeerTraffic());
         other.start();
-        TableDelta both = tables(holderAddress.toString()).toBuilder()
+        TableDelta bothHolders = tables(holderAddress.toString()).toBuilder()
                 .setRevision(2)
                 .addHosts(HostRecord.newBuilder()
                         .setName("other")
@@ -178,18 +178,19 @@
                         .setEntry(true)
                         .setPhase(HostRecord.Phase.READY))
                 .build();
-        group.submit(() -> view.apply(both, Optional.of(configuration()))).get();
-        StageResult usual = StageResult.newBuilder()
+        group.submit(() -> view.apply(bothHolders, Optional.of(configuration())))
+                .get();
+        StageResult answerWithoutLag = StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(200)
                 .addHeaderNames("signature")
                 .addHeaderValues("stamp")
                 .build();
-        answer.set(usual.toBuilder()
+        answer.set(answerWithoutLag.toBuilder()
                 .setLagMicros(TimeUnit.MILLISECONDS.toMicros(80))
                 .build());
         assertThat(get().statusCode()).isEqualTo(200);
-        answer.set(usual);
+        answer.set(answerWithoutLag);
         for (int call = 0; call < 3; call++) {
             assertThat(get().statusCode()).isEqualTo(200);
         }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -133,7 +133,7 @@
                 .setEntry(true)
                 .setPhase(HostRecord.Phase.READY)
                 .build();
-        LeafRecord there = LeafRecord.newBuilder()
+        LeafRecord leafElsewhere = LeafRecord.newBuilder()
                 .setId("i-2")
                 .setService("s2")
                 .setAddress("127.0.0.1:1")
@@ -144,7 +144,7 @@
         TableDelta delta = TableDelta.newBuilder()
                 .setRevision(2)
                 .addHosts(other)
-                .addLeaves(there)
+                .addLeaves(leafElsewhere)
                 .setThroughHolders(true)
                 .build();
         group.submit(() -> view.apply(delta, Optional.empty())).get();
@@ -154,8 +154,8 @@
                 .setStageCall(query().clearServices().addServices("s2"))
                 .build();
         group.submit(() -> gateway.handle(message, first::complete)).get();
-        boolean toldAtOnce = group.submit(first::isDone).get();
-        assertThat(toldAtOnce).isTrue();
+        boolean reportedAtOnce = group.submit(first::isDone).get();
+        assertThat(reportedAtOnce).isTrue();
         assertThat(first.get().hasStageProgress()).isTrue();
     }
 
@@ -194,9 +194,9 @@
         long waitedMillis = 400;
         delayEventLoop(TimeUnit.MILLISECONDS.toNanos(waitedMillis));
         call(query());
-        long leftMillis = TimeUnit.MICROSECONDS.toMillis(query().getDeadlineMicros());
+        long deadlineMillis = TimeUnit.MICROSECONDS.toMillis(query().getDeadlineMicros());
         assertThat(leafMillis.get()).isGreaterThan(0);
-        assertThat(leafMillis.get()).isAtMost(leftMillis - waitedMillis);
+        assertThat(leafMillis.get()).isAtMost(deadlineMillis - waitedMillis);
     }
 
     /** The calling host may have called a leaf itself by then, so two attempts here would make three. */
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -66,7 +66,7 @@
     private final ConcurrentLinkedQueue<HttpHeaders> receivedByLeaf = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<StageCall> receivedByHolder = new ConcurrentLinkedQueue<>();
     private final MetricRegistry metrics = new MetricRegistry();
-    private VersionCheck versionCheck = taker -> taker.accept(true);
+    private VersionCheck versionCheck = callback -> callback.accept(true);
     private volatile TeamRateLimits limits = TeamRateLimits.NONE;
     private FleetView view;
     private HttpListener callers;
@@ -93,15 +93,15 @@
             }
 
             @Override
-            public void confirmNewest(Consumer<Boolean> taker) {
-                versionCheck.ask(taker);
+            public void confirmNewest(Consumer<Boolean> callback) {
+                versionCheck.run(callback);
             }
         };
         Gateway gateway = new Gateway(
                 view,
                 () -> true,
                 status,
-                (caller, taker) -> limits.requestPermission(caller, taker),
+                (caller, callback) -> limits.requestPermission(caller, callback),
                 () -> "",
                 PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic()),
                 GatewayFixture.NAMES,
@@ -124,22 +124,22 @@
 
     @Test
     void aRequestWhoseCallerLeftBeforeThePermitIsRefundedAndReachesNoLeaf() throws Exception {
-        CompletableFuture<Consumer<TeamRateLimits.Decision>> asked = new CompletableFuture<>();
-        AtomicInteger givenBack = new AtomicInteger();
-        limits = (caller, taker) -> asked.complete(taker);
+        CompletableFuture<Consumer<TeamRateLimits.Decision>> permitRequest = new CompletableFuture<>();
+        AtomicInteger refunds = new AtomicInteger();
+        limits = (caller, callback) -> permitRequest.complete(callback);
         try (Socket socket = new Socket(callerAddress.getHost(), callerAddress.getPort())) {
             socket.getOutputStream()
                     .write(("GET /one/x HTTP/1.1\r\nHost: h\r\ndeadline-ms: 5000\r\n" + KEY + "\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            asked.get(5, TimeUnit.SECONDS);
+            permitRequest.get(5, TimeUnit.SECONDS);
         }
         while (callers.connectionCount() > 0) {
             Thread.onSpinWait();
         }
-        Consumer<TeamRateLimits.Decision> taker = asked.get();
-        group.submit(() -> taker.accept(new TeamRateLimits.Decision.Permitted(givenBack::incrementAndGet)))
+        Consumer<TeamRateLimits.Decision> callback = permitRequest.get();
+        group.submit(() -> callback.accept(new TeamRateLimits.Decision.Permitted(refunds::incrementAndGet)))
                 .get();
-        assertThat(givenBack.get()).isEqualTo(1);
+        assertThat(refunds.get()).isEqualTo(1);
         limits = TeamRateLimits.NONE;
         assertThat(status("/one/x", KEY)).isEqualTo(200);
         assertThat(receivedByLeaf).hasSize(1);
@@ -164,10 +164,10 @@
         assertThat(status("/one/x", KEY, fields)).isEqualTo(200);
         assertThat(status("/one/x", fields, KEY)).isEqualTo(200);
         assertThat(receivedByLeaf).hasSize(2);
-        for (HttpHeaders told : receivedByLeaf) {
-            assertThat(told.getAll("team")).containsExactly("ours");
-            assertThat(told.contains("Authorization")).isFalse();
-            assertThat(told.toString()).doesNotContain("key-1");
+        for (HttpHeaders received : receivedByLeaf) {
+            assertThat(received.getAll("team")).containsExactly("ours");
+            assertThat(received.contains("Authorization")).isFalse();
+            assertThat(received.toString()).doesNotContain("key-1");
         }
     }
 
@@ -210,7 +210,7 @@
     /** This host may have missed the version that added the key. */
     @Test
     void aHostThatCannotConfirmItsVersionAnswersRetryLater() throws Exception {
-        versionCheck = taker -> taker.accept(false);
+        versionCheck = callback -> callback.accept(false);
         String answer = answer("/one/x", "Authorization: Token new");
         assertThat(answer).startsWith("HTTP/1.1 503");
         assertThat(answer).contains("retry: 0.3");
@@ -221,9 +221,9 @@
 
     @Test
     void aKeyThatArrivesDuringTheVersionCheckIsServed() throws Exception {
-        versionCheck = taker -> {
+        versionCheck = callback -> {
             view.apply(tables(2), Optional.of(configuration(2, Teams.of(List.of(team("ours", "new"))))));
-            taker.accept(true);
+            callback.accept(true);
         };
         assertThat(status("/one/x", "Authorization: Token new")).isEqualTo(200);
         assertThat(status("/one/x", KEY)).isEqualTo(401);
@@ -234,7 +234,7 @@
         assertThat(status("/one/x", "Authorization: Token key-2")).isEqualTo(200);
         apply(2, false, Teams.of(List.of(team("ours", "key-1"), team("theirs", "key-2", "key-3"))));
         assertThat(status("/one/x", "Authorization: Token key-2")).isEqualTo(200);
-        assertThat(receivedByLeaf.stream().map(told -> told.get("team")).toList())
+        assertThat(receivedByLeaf.stream().map(received -> received.get("team")).toList())
                 .containsExactly("ours", "theirs")
                 .inOrder();
     }
@@ -246,11 +246,11 @@
                 .isEqualTo(200);
         assertThat(status("/public/x", "Authorization: Basic own")).isEqualTo(200);
         assertThat(status("/public/x", KEY)).isEqualTo(200);
-        ImmutableList<HttpHeaders> told = ImmutableList.copyOf(receivedByLeaf);
-        assertThat(told.stream().map(headers -> headers.get("team", "")).toList())
+        ImmutableList<HttpHeaders> received = ImmutableList.copyOf(receivedByLeaf);
+        assertThat(received.stream().map(headers -> headers.get("team", "")).toList())
                 .containsExactly("", "", "", "ours")
                 .inOrder();
-        assertThat(told.stream()
+        assertThat(received.stream()
                         .map(headers -> headers.get("Authorization", ""))
                         .toList())
                 .containsExactly("", "", "Basic own", "")
@@ -388,6 +388,6 @@
     /** Confirms whether the version of the host is the newest. */
     @FunctionalInterface
     private interface VersionCheck {
-        void ask(Consumer<Boolean> taker);
+        void run(Consumer<Boolean> callback);
     }
 }
