--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -30,7 +30,7 @@
     /** Omits the Retry-After field, since a retry would get the same answer. */
     private static final Duration NO_RETRY = Duration.ZERO;
     /** Covers the time in which a change of the tables reaches this host. */
-    private static final Duration RETRY_NO_LEAF = Duration.ofMillis(200);
+    private static final Duration RETRY_TABLE_CHANGE = Duration.ofMillis(200);
     /** Delay after a start of the fleet, when a host needs about a second to receive its tables. */
     private static final Duration RETRY_NOT_READY = Duration.ofMillis(700);
     /** Short, since the next request goes to another host: this host closes the connection with each answer. */
@@ -126,10 +126,11 @@
         }
         RefusalResponse response =
                 switch (reason) {
-                    case NO_LEAF -> new RefusalResponse(UNAVAILABLE, RETRY_NO_LEAF, "no leaf takes this request now");
+                    case NO_LEAF ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_TABLE_CHANGE, "no leaf takes this request now");
                     case NO_LEAF_AT_HOME ->
                         new RefusalResponse(
-                                UNAVAILABLE, RETRY_NO_LEAF, "no leaf where this may be served takes it now");
+                                UNAVAILABLE, RETRY_TABLE_CHANGE, "no leaf where this may be served takes it now");
                     case ALL_BUSY -> new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "every leaf is full");
                     case HARMFUL ->
                         new RefusalResponse(
@@ -147,7 +148,7 @@
                     case KEY_UNDECIDED ->
                         new RefusalResponse(
                                 UNAVAILABLE,
-                                RETRY_NO_LEAF,
+                                RETRY_TABLE_CHANGE,
                                 "not run: this host does not know the key and may not know the newest ones");
                     case OVER_LIMIT ->
                         new RefusalResponse(
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -188,14 +188,14 @@
             }
             callback.accept(result);
         });
-        LeafConnections.CallHandle ticket = runs.holderPath(query.get())
+        LeafConnections.CallHandle handle = runs.holderPath(query.get())
                 .send(leaf.get(), call.request(), call.times().leafDeadlineNanos(), trialCall);
         // Half of the remaining time; the query itself needs the rest.
         long waitNanos = Math.max(0, call.times().deadlineNanos() - nowNanos) / 2;
-        loop.schedule(() -> trialCall.abandon(ticket), waitNanos, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> trialCall.abandon(handle), waitNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** The trial call to one leaf of the first shard. */
+    /** The trial call to a leaf of one shard. */
     private final class TrialCall implements LeafCallback {
         private final Leaf leaf;
         private final Leaf.Call call;
@@ -226,11 +226,11 @@
             }
         }
 
-        void abandon(LeafConnections.CallHandle ticket) {
+        void abandon(LeafConnections.CallHandle handle) {
             if (!ended) {
                 leaf.abandon(call, clock.nowNanos());
                 ended = true;
-                callback.accept(ticket.abandon() ? Result.NOT_RUN : Result.TIMED_OUT);
+                callback.accept(handle.abandon() ? Result.NOT_RUN : Result.TIMED_OUT);
             }
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HeldLeafCalls.java
@@ -54,7 +54,7 @@
                 .orElse(TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros()));
         Exchange exchange =
                 new Exchange(leaf.get(), leaf.get().begin(expectedNanos, nowNanos), call.getWholeAnswer(), reply);
-        exchange.ticket = Optional.of(view.connectionsTo(leaf.get()).send(request, deadlineNanos, exchange));
+        exchange.handle = Optional.of(view.connectionsTo(leaf.get()).send(request, deadlineNanos, exchange));
         return exchange::abandon;
     }
 
@@ -84,7 +84,7 @@
         private final Leaf.Call call;
         private final boolean wholeAnswer;
         private final Consumer<Envelope.Builder> reply;
-        private Optional<LeafConnections.CallHandle> ticket = Optional.empty();
+        private Optional<LeafConnections.CallHandle> handle = Optional.empty();
 
         Exchange(Leaf leaf, Leaf.Call call, boolean wholeAnswer, Consumer<Envelope.Builder> reply) {
             this.leaf = leaf;
@@ -123,7 +123,7 @@
         void abandon() {
             if (leaf.isUnderWay(call)) {
                 leaf.abandon(call, clock.nowNanos());
-                ticket.ifPresent(LeafConnections.CallHandle::abandon);
+                handle.ifPresent(LeafConnections.CallHandle::abandon);
             }
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
@@ -72,7 +72,7 @@
     void send(Attempt attempt, Listener listener) {
         Leaf leaf = attempt.leaf();
         Leaf.Call call = leaf.begin(expectedNanos, clock.nowNanos());
-        LeafCallback exchange = new LeafCallback() {
+        LeafCallback callback = new LeafCallback() {
             @Override
             public void onAnswer(LeafAnswer answer) {
                 long nowNanos = clock.nowNanos();
@@ -95,9 +95,9 @@
                 listener.onFailure(attempt, outcome);
             }
         };
-        LeafConnections.CallHandle ticket = path.send(leaf, request, leafDeadlineNanos, exchange);
+        LeafConnections.CallHandle handle = path.send(leaf, request, leafDeadlineNanos, callback);
         if (leaf.isUnderWay(call)) {
-            pending.put(attempt, new PendingCall(ticket, call));
+            pending.put(attempt, new PendingCall(handle, call));
         }
     }
 
@@ -118,10 +118,10 @@
 
     /** Abandons an attempt; its listener is not called any more. */
     void abandon(Attempt attempt) {
-        PendingCall sent = pending.remove(attempt);
-        if (sent != null) {
-            attempt.leaf().abandon(sent.call(), clock.nowNanos());
-            if (sent.ticket().abandon()) {
+        PendingCall pendingCall = pending.remove(attempt);
+        if (pendingCall != null) {
+            attempt.leaf().abandon(pendingCall.call(), clock.nowNanos());
+            if (pendingCall.handle().abandon()) {
                 attempt.markNeverSent();
             }
         }
@@ -159,5 +159,5 @@
     }
 
     /** A call that was sent or waits for a connection. */
-    private record PendingCall(LeafConnections.CallHandle ticket, Leaf.Call call) {}
+    private record PendingCall(LeafConnections.CallHandle handle, Leaf.Call call) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -109,8 +109,8 @@
      */
     StageCaller stageCaller(
             StageCall call, ImmutableList<String> shardServices, RequestTimes times, LeafRequest request) {
-        Runnable survived = () -> view.harmFilter().recordSurvival(request.fingerprints(), clock.nowNanos());
-        return new StageCaller(call, shardServices, times, links, clock, metrics, survived);
+        Runnable onSurvival = () -> view.harmFilter().recordSurvival(request.fingerprints(), clock.nowNanos());
+        return new StageCaller(call, shardServices, times, links, clock, metrics, onSurvival);
     }
 
     private ScatterRun run(RoutedCall call, ScatterQuery query, StageCaller caller, AnswerSink sink) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/ScatterRun.java
@@ -118,16 +118,16 @@
     /** Applies the events of the stages to the query. */
     private final class StageListener implements StageCaller.Listener {
         @Override
-        public void onProgress(StageAttempt stage, List<Integer> askedTwice) {
-            query.onStageProgress(stage, askedTwice);
+        public void onProgress(StageAttempt stage, List<Integer> hedgedShards) {
+            query.onStageProgress(stage, hedgedShards);
             if (!query.isOver()) {
                 onProgress.run();
             }
         }
 
         @Override
-        public void onPartial(StageAttempt stage, StageReply piece) {
-            execute(query.onStagePartial(stage, piece, clock.nowNanos()));
+        public void onPartial(StageAttempt stage, StageReply partial) {
+            execute(query.onStagePartial(stage, partial, clock.nowNanos()));
         }
 
         @Override
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -27,7 +27,7 @@
     private final ImmutableList<String> shardServices;
     private final RequestTimes times;
     private final StageLinks links;
-    private final HomeRegions homes;
+    private final HomeRegions homeRegions;
     private final MonotonicClock clock;
     private final GatewayMetrics metrics;
     private final Runnable onSurvival;
@@ -47,15 +47,15 @@
             StageLinks links,
             MonotonicClock clock,
             GatewayMetrics metrics,
-            Runnable survived) {
+            Runnable onSurvival) {
         this.call = call;
         this.shardServices = shardServices;
         this.times = times;
         this.links = links;
-        this.homes = HomeRegions.of(call.getHomeRegionsList());
+        this.homeRegions = HomeRegions.of(call.getHomeRegionsList());
         this.clock = clock;
         this.metrics = metrics;
-        this.onSurvival = survived;
+        this.onSurvival = onSurvival;
     }
 
     /** Returns the template of the calls to other hosts. */
@@ -66,10 +66,10 @@
     /** Receives the events of stages. */
     interface Listener {
         /** Handles a progress report of a host, with the shards at which it called a second leaf. */
-        void onProgress(StageAttempt stage, List<Integer> askedTwice);
+        void onProgress(StageAttempt stage, List<Integer> hedgedShards);
 
         /** Handles a partial result. */
-        void onPartial(StageAttempt stage, StageReply piece);
+        void onPartial(StageAttempt stage, StageReply partial);
 
         /** Handles the final reply. */
         void onReply(StageAttempt stage, StageReply reply);
@@ -80,20 +80,20 @@
 
     void call(StageAttempt stage, Listener listener) {
         StageLinks.Link link = links.link(stage.host());
-        PendingCall sent = new PendingCall(link, links.nextCallNumber());
-        pending.put(stage, sent);
+        PendingCall pendingCall = new PendingCall(link, links.nextCallNumber());
+        pending.put(stage, pendingCall);
         Duration wait = Duration.ofNanos(Math.max(1, times.deadlineNanos() - clock.nowNanos()));
         link.onCallStarted();
         links.callStage(
                         link,
-                        homes,
-                        () -> message(stage, sent),
+                        homeRegions,
+                        () -> message(stage, pendingCall),
                         wait,
                         progress -> onProgress(stage, progress.getStageProgress(), listener))
                 .subscribe()
                 .with(reply -> onResult(stage, link, reply.getStageResult(), listener), failure -> {
                     endCall(stage, link, false);
-                    if (!sent.abandoned) {
+                    if (!pendingCall.abandoned) {
                         link.suspect(clock.nowNanos());
                     }
                     boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
@@ -101,14 +101,14 @@
                 });
     }
 
-    private StageCall.Builder message(StageAttempt stage, PendingCall sent) {
-        sent.messageCreated = true;
-        if (sent.abandoned) {
+    private StageCall.Builder message(StageAttempt stage, PendingCall pendingCall) {
+        pendingCall.messageCreated = true;
+        if (pendingCall.abandoned) {
             // The query may have been reported as not run: a call without shards is refused.
-            return call.toBuilder().clearShards().clearServices().setCall(sent.number);
+            return call.toBuilder().clearShards().clearServices().setCall(pendingCall.number);
         }
         long nowNanos = clock.nowNanos();
-        long roundTripNanos = sent.link.roundTripNanos();
+        long roundTripNanos = pendingCall.link.roundTripNanos();
         long goalNanos = StageTiming.remoteGoalNanos(times.goalNanos() - nowNanos, roundTripNanos);
         // The final reply, which may report that nothing was sent, must arrive before the caller is answered.
         long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - FINAL_REPLY_SLACK_NANOS;
@@ -116,7 +116,7 @@
                 .addAllShards(stage.shards())
                 .addAllServices(Lists.transform(stage.shards(), shardServices::get))
                 .addAllPassedOver(links.skippedHosts())
-                .setCall(sent.number)
+                .setCall(pendingCall.number)
                 .setGoalMicros(TimeUnit.NANOSECONDS.toMicros(goalNanos))
                 .setDeadlineMicros(TimeUnit.NANOSECONDS.toMicros(deadlineNanos));
     }
@@ -132,13 +132,13 @@
      * @return true if the call was never sent, and will not be
      */
     boolean abandon(StageAttempt stage) {
-        PendingCall sent = pending.get(stage);
-        if (sent == null) {
+        PendingCall pendingCall = pending.get(stage);
+        if (pendingCall == null) {
             return false;
         }
-        sent.abandoned = true;
-        links.cancel(sent.link, sent.number);
-        return !sent.messageCreated;
+        pendingCall.abandoned = true;
+        links.cancel(pendingCall.link, pendingCall.number);
+        return !pendingCall.messageCreated;
     }
 
     private void onProgress(StageAttempt stage, StageProgress progress, Listener listener) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -89,13 +89,13 @@
             calls.end(sender, call.getCall());
             reply.accept(message);
         };
-        HomeRegions homes = homeRegions(call);
+        HomeRegions homeRegions = homeRegions(call);
         LeafRequest request = LeafRequest.create(
                 call.getMethod(),
                 call.getUri(),
                 headers(call),
                 call.getBody().toByteArray(),
-                homes,
+                homeRegions,
                 call.getTeam(),
                 names);
         // Time limits count from the arrival of the call, so that no leaf gets more time than the caller has left.
@@ -106,7 +106,7 @@
             loop.execute(() -> {
                 if (!cancelled.get()) {
                     calls.end(sender, call.getCall());
-                    runQuery(sender, call, homes, arrivedNanos, request, reply, lastReply);
+                    runQuery(sender, call, homeRegions, arrivedNanos, request, reply, lastReply);
                 }
             });
         } else {
@@ -137,12 +137,12 @@
     private void runQuery(
             String sender,
             StageCall call,
-            HomeRegions homes,
+            HomeRegions homeRegions,
             long arrivedNanos,
             LeafRequest request,
             Consumer<Envelope.Builder> reply,
             Consumer<Envelope.Builder> lastReply) {
-        Optional<String> refusal = refusalReason(call, homes, request, arrivedNanos);
+        Optional<String> refusal = refusalReason(call, homeRegions, request, arrivedNanos);
         if (refusal.isPresent()) {
             reply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
@@ -161,7 +161,7 @@
         ScatterRun run = runs.scatterForHost(
                 new RoutedCall(
                         // The route includes the home regions and the priority of the team.
-                        route(call, target, homes, maxAttempts),
+                        route(call, target, homeRegions, maxAttempts),
                         CallerIdentity.ANONYMOUS,
                         call.getConfigurationVersion(),
                         request,
@@ -170,7 +170,7 @@
                 target,
                 TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros()),
                 !call.getPassedOn(),
-                runs.stageCaller(forwardedCall(call, homes, maxAttempts), target.shards(), times, request),
+                runs.stageCaller(forwardedCall(call, homeRegions, maxAttempts), target.shards(), times, request),
                 new ReplySink(reply, lastReply, call.getShardsList(), sender));
         run.onProgress(() -> reply.accept(Envelope.newBuilder()
                 .setStageProgress(StageProgress.newBuilder()
@@ -186,7 +186,8 @@
      * for progress is refused: the calling host has called other leaves by then, and running it as well would exceed
      * the attempts of the route.
      */
-    private Optional<String> refusalReason(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
+    private Optional<String> refusalReason(
+            StageCall call, HomeRegions homeRegions, LeafRequest request, long arrivedNanos) {
         if (refusingWork) {
             return Optional.of("this host is stopping");
         }
@@ -196,7 +197,7 @@
         if (view.harmFilter().permission(request::fingerprints) == Permission.QUARANTINED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
-        if (homes.allowsNone()) {
+        if (homeRegions.allowsNone()) {
             return Optional.of("no region may serve the route by all that hosts know of it");
         }
         long waitedNanos = clock.nowNanos() - arrivedNanos;
@@ -229,13 +230,13 @@
     /**
      * Returns the template of the calls that forward a call to other hosts; shards and time limits are added for each.
      */
-    private static StageCall forwardedCall(StageCall call, HomeRegions homes, int maxAttempts) {
+    private static StageCall forwardedCall(StageCall call, HomeRegions homeRegions, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
                 .clearServices()
                 .setMaxAttempts(maxAttempts)
                 .clearHomeRegions()
-                .addAllHomeRegions(homes.regions())
+                .addAllHomeRegions(homeRegions.regions())
                 .setPassedOn(true)
                 .build();
     }
@@ -255,11 +256,11 @@
      *
      * <p>The latencies of calls are recorded under the name of the route.
      */
-    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homes, int maxAttempts) {
+    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homeRegions, int maxAttempts) {
         return view.configuration()
                 .routeNamed(call.getRoute())
                 .filter(known -> known.maxAttempts() == maxAttempts
-                        && known.homeRegions().equals(homes)
+                        && known.homeRegions().equals(homeRegions)
                         && known.priority() == call.getPriority())
                 .orElseGet(() -> new Route(
                         call.getRoute(),
@@ -271,7 +272,7 @@
                         Math.max(0, call.getPriority()),
                         maxAttempts,
                         target,
-                        homes));
+                        homeRegions));
     }
 
     /** Returns how long after its arrival the answer to a call is due; earlier if this host lags. */
@@ -302,12 +303,12 @@
             String onBehalfOf)
             implements AnswerSink {
         @Override
-        public void deliverPartial(MergedAnswer piece) {
+        public void deliverPartial(MergedAnswer partial) {
             sendProgress.accept(Envelope.newBuilder()
                     .setStageProgress(StageProgress.newBuilder()
-                            .addAllSignatures(piece.signatures())
-                            .addAllShards(toQueryShards(piece.shards(), shards))
-                            .setRecords(piece.records())));
+                            .addAllSignatures(partial.signatures())
+                            .addAllShards(toQueryShards(partial.shards(), shards))
+                            .setRecords(partial.records())));
         }
 
         @Override
