--- a/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/EventRate.java
@@ -3,50 +3,47 @@
 import java.time.Duration;
 
 /**
- * How often something happened of late.
+ * The rate of an event over a sliding window of five seconds.
  *
- * <p>Counts over a window that is long enough for a handful of events on a quiet host, and short enough to follow the
- * load. Not safe for use by several threads.
+ * <p>Not safe for use by several threads.
  */
 public final class EventRate {
-    private static final int PARTS = 5;
-    private static final long PART_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final int WINDOWS_A_MINUTE = (int) (Duration.ofMinutes(1).toNanos() / (PARTS * PART_NANOS));
+    private static final int BUCKETS = 5;
+    private static final long BUCKET_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int WINDOWS_PER_MINUTE = (int) (Duration.ofMinutes(1).toNanos() / (BUCKETS * BUCKET_NANOS));
 
     private final long startedNanos;
-    private final int[] counts = new int[PARTS];
-    private long currentPart;
+    private final int[] counts = new int[BUCKETS];
+    private long currentBucket;
 
-    /** Creates a rate of zero. */
     public EventRate(long nowNanos) {
         this.startedNanos = nowNanos;
     }
 
-    /** Notes an event. */
     public void record(long nowNanos) {
         advance(nowNanos);
-        counts[index(currentPart)]++;
+        counts[index(currentBucket)]++;
     }
 
-    /** Returns how many there would be in a minute at the rate of late. */
+    /** Returns the number of events per minute, extrapolated from the window. */
     public int perMinute(long nowNanos) {
         advance(nowNanos);
         int sum = 0;
         for (int count : counts) {
             sum += count;
         }
-        return sum * WINDOWS_A_MINUTE;
+        return sum * WINDOWS_PER_MINUTE;
     }
 
     private void advance(long nowNanos) {
-        long part = Math.max(currentPart, (nowNanos - startedNanos) / PART_NANOS);
-        for (long passed = Math.max(currentPart + 1, part - PARTS + 1); passed <= part; passed++) {
-            counts[index(passed)] = 0;
+        long bucket = Math.max(currentBucket, (nowNanos - startedNanos) / BUCKET_NANOS);
+        for (long next = Math.max(currentBucket + 1, bucket - BUCKETS + 1); next <= bucket; next++) {
+            counts[index(next)] = 0;
         }
-        currentPart = part;
+        currentBucket = bucket;
     }
 
-    private static int index(long part) {
-        return (int) (part % PARTS);
+    private static int index(long bucket) {
+        return (int) (bucket % BUCKETS);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/LogReplay.java
@@ -11,10 +11,10 @@
 import org.bramblerack.wire.SnapshotRecord;
 
 /**
- * Rebuilds what a voter had stored from the records of its log, read in order.
+ * Rebuilds the state of a voter from its snapshot and the records of its log, read in order.
  *
- * <p>Entries that the snapshot covers are skipped. If the log holds another entry than the snapshot at the snapshot's
- * index, the log's entries were never committed and all are dropped. Not safe for use by several threads.
+ * <p>Entries that the snapshot covers are skipped. If the log's entry at the snapshot's index has another term, the
+ * log's entries were never committed and all are dropped. Not safe for use by several threads.
  */
 final class LogReplay {
     private final SnapshotRecord snapshot;
@@ -25,13 +25,13 @@
         this.snapshot = snapshot;
     }
 
-    void take(LogRecord record) throws DiskFault {
+    void apply(LogRecord record) throws DiskFault {
         switch (record.getBodyCase()) {
             case HARD_STATE -> hardState = record.getHardState();
             case ENTRY -> append(record.getEntry());
             case TRUNCATE_FROM -> entries.removeIf(entry -> entry.getIndex() >= record.getTruncateFrom());
             default -> {
-                // A mark of a synced batch carries no state.
+                // A record of the synced offset carries no state.
             }
         }
     }
@@ -43,31 +43,32 @@
                 snapshot.getLastTerm(),
                 snapshot.getState(),
                 ImmutableSortedSet.copyOf(snapshot.getVotersList()),
-                ImmutableList.copyOf(fitting()));
+                ImmutableList.copyOf(entriesAfterSnapshot()));
     }
 
     private void append(LogEntry entry) throws DiskFault {
         if (!entries.isEmpty()
                 && entry.getIndex() != entries.get(entries.size() - 1).getIndex() + 1) {
-            throw new DiskFault("the log lacks the entries before index " + entry.getIndex()
+            throw new DiskFault("entries are missing from the log before index " + entry.getIndex()
                     + "; remove this member from the voters, clear its folder, and add it anew");
         }
         entries.add(entry);
     }
 
-    private List<LogEntry> fitting() throws DiskFault {
-        long covered = snapshot.getLastIndex();
-        boolean conflicts = entries.stream()
-                .anyMatch(entry -> entry.getIndex() == covered && entry.getTerm() != snapshot.getLastTerm());
-        if (conflicts) {
+    private List<LogEntry> entriesAfterSnapshot() throws DiskFault {
+        long snapshotIndex = snapshot.getLastIndex();
+        boolean conflictsWithSnapshot = entries.stream()
+                .anyMatch(entry -> entry.getIndex() == snapshotIndex && entry.getTerm() != snapshot.getLastTerm());
+        if (conflictsWithSnapshot) {
             return ImmutableList.of();
         }
-        List<LogEntry> after =
-                entries.stream().filter(entry -> entry.getIndex() > covered).toList();
-        if (!after.isEmpty() && after.get(0).getIndex() != covered + 1) {
-            throw new DiskFault("the log begins at index " + after.get(0).getIndex() + " but the snapshot ends at "
-                    + covered + "; remove this member from the voters, clear its folder, and add it anew");
+        List<LogEntry> remaining = entries.stream()
+                .filter(entry -> entry.getIndex() > snapshotIndex)
+                .toList();
+        if (!remaining.isEmpty() && remaining.get(0).getIndex() != snapshotIndex + 1) {
+            throw new DiskFault("the log begins at index " + remaining.get(0).getIndex() + " but the snapshot ends at "
+                    + snapshotIndex + "; remove this member from the voters, clear its folder, and add it anew");
         }
-        return after;
+        return remaining;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/OutcomeRecorder.java
@@ -10,19 +10,19 @@
 import org.bramblerack.wire.RecordOutcome;
 
 /**
- * Has the outcomes of once-only requests agreed, trying again until they are.
+ * Commits the outcomes of once-only requests to the replicated log, retrying until it succeeds.
  *
- * <p>Recording twice is harmless, so that nothing is lost but what a stopped process had not recorded; such a request
- * stays in progress and is then shown as unknown. Safe for use by many threads.
+ * <p>Recording an outcome twice is harmless. If the process stops first, the request stays in progress and is later
+ * reported as unknown. Safe for use by many threads.
  */
 final class OutcomeRecorder {
-    private static final Duration TRY = Duration.ofSeconds(2);
-    private static final Duration AGAIN = Duration.ofMillis(300);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final ControlClient control;
     private final InstantSource wallClock;
     private final HostMetrics metrics;
-    private final AtomicInteger unrecorded = new AtomicInteger();
+    private final AtomicInteger pendingCount = new AtomicInteger();
 
     OutcomeRecorder(ControlClient control, InstantSource wallClock, HostMetrics metrics) {
         this.control = control;
@@ -30,9 +30,9 @@
         this.metrics = metrics;
     }
 
-    /** Has an outcome agreed and then runs the callback. */
+    /** Commits an outcome and then runs the callback. */
     void record(RecordOutcome outcome, Runnable recorded) {
-        unrecorded.incrementAndGet();
+        pendingCount.incrementAndGet();
         attempt(
                 Command.newBuilder()
                         .setOutcome(outcome.toBuilder().setAtMillis(wallClock.millis()))
@@ -40,24 +40,24 @@
                 recorded);
     }
 
-    int unrecorded() {
-        return unrecorded.get();
+    int pendingCount() {
+        return pendingCount.get();
     }
 
     private void attempt(Command command, Runnable recorded) {
-        control.propose(command, TRY)
+        control.propose(command, ATTEMPT_TIMEOUT)
                 .onItem()
                 .transformToUni(result -> {
                     if (result instanceof ProposalResult.Applied) {
                         return Uni.createFrom().item(true);
                     }
-                    return Uni.createFrom().item(false).onItem().delayIt().by(AGAIN);
+                    return Uni.createFrom().item(false).onItem().delayIt().by(RETRY_DELAY);
                 })
                 .subscribe()
                 .with(
-                        agreed -> {
-                            if (agreed) {
-                                unrecorded.decrementAndGet();
+                        applied -> {
+                            if (applied) {
+                                pendingCount.decrementAndGet();
                                 recorded.run();
                             } else {
                                 metrics.count("once-only.record-again");
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/QueryCall.java
@@ -7,35 +7,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A query between its arrival and its end.
+ * A query from its arrival to its end.
  *
- * <p>Invariant: it ends once, be it by a result or because its caller went away. Safe for use by many threads.
+ * <p>Invariant: it ends once, by a result or because its caller disconnected. Safe for use by many threads.
  */
 final class QueryCall {
-    private final CallerQuery asked;
+    private final CallerQuery query;
     private final RequestClass requestClass;
     private final Admission.Ticket ticket;
-    private final long askedNanos;
+    private final long receivedNanos;
     private final Consumer<QueryResult> done;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile @Nullable RunningQuery running;
-    private volatile long begunNanos;
+    private volatile long admittedNanos;
 
     QueryCall(
-            CallerQuery asked,
+            CallerQuery query,
             RequestClass requestClass,
             Admission.Ticket ticket,
-            long askedNanos,
+            long receivedNanos,
             Consumer<QueryResult> done) {
-        this.asked = asked;
+        this.query = query;
         this.requestClass = requestClass;
         this.ticket = ticket;
-        this.askedNanos = askedNanos;
+        this.receivedNanos = receivedNanos;
         this.done = done;
     }
 
-    CallerQuery asked() {
-        return asked;
+    CallerQuery query() {
+        return query;
     }
 
     RequestClass requestClass() {
@@ -46,40 +46,40 @@
         return ticket;
     }
 
-    long askedNanos() {
-        return askedNanos;
+    long receivedNanos() {
+        return receivedNanos;
     }
 
     void deliver(QueryResult result) {
         done.accept(result);
     }
 
-    /** Returns true to the first who ends the query. */
-    boolean end() {
+    /** Ends the query; returns true for the first call only. */
+    boolean tryEnd() {
         return ended.compareAndSet(false, true);
     }
 
-    void admitted(long nowNanos) {
-        begunNanos = nowNanos;
+    void onAdmitted(long nowNanos) {
+        admittedNanos = nowNanos;
     }
 
-    long begunNanos() {
-        return begunNanos;
+    long admittedNanos() {
+        return admittedNanos;
     }
 
-    void begun(RunningQuery query) {
+    void onStarted(RunningQuery query) {
         running = query;
     }
 
-    boolean isAdmitted() {
+    boolean isStarted() {
         return running != null;
     }
 
-    /** Stops the work for the query, if it has begun. */
+    /** Cancels the query if it has started. */
     void cancel() {
         RunningQuery query = running;
         if (query != null) {
-            query.callerGone();
+            query.onCallerGone();
         }
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/RunningOperation.java
@@ -16,16 +16,16 @@
 import org.bramblerack.wire.RecordOutcome;
 
 /**
- * Carries out the decisions of one attempt at a once-only request.
+ * Executes the actions of one attempt at a once-only request.
  *
- * <p>Safe for use by many threads: every event takes the request's lock, the first of the lock order. The result is
- * delivered exactly once, outside of the lock.
+ * <p>Safe for use by many threads: every event holds the request's lock, the first in the lock order. The result is
+ * delivered exactly once, without the lock held.
  */
 final class RunningOperation {
-    private static final int SHARD_OF_A_POOL = 0;
+    private static final int POOL_SHARD = 0;
 
     private final OnceOnlyRequest request;
-    private final CallerOperation asked;
+    private final CallerOperation callerOperation;
     private final Operation operation;
     private final String attempt;
     private final LeafRouter router;
@@ -38,7 +38,7 @@
 
     RunningOperation(
             OnceOnlyRequest request,
-            CallerOperation asked,
+            CallerOperation callerOperation,
             Operation operation,
             String attempt,
             LeafRouter router,
@@ -48,7 +48,7 @@
             HostMetrics metrics,
             Consumer<QueryResult> done) {
         this.request = request;
-        this.asked = asked;
+        this.callerOperation = callerOperation;
         this.operation = operation;
         this.attempt = attempt;
         this.router = router;
@@ -59,21 +59,21 @@
         this.done = done;
     }
 
-    /** How the claim is asked for. */
+    /** Proposes the claim of the request. */
     @FunctionalInterface
-    interface Claiming {
-        void claim(Consumer<ClaimResult> decided);
+    interface Claimer {
+        void claim(Consumer<ClaimResult> onResult);
     }
 
-    void start(Claiming claiming) {
-        handle(nowNanos -> request.start(), claiming);
+    void start(Claimer claimer) {
+        handle(nowNanos -> request.start(), claimer);
     }
 
-    private void claimed(ClaimResult verdict) {
-        handle(nowNanos -> request.onClaimResult(verdict, nowNanos));
+    private void onClaimResult(ClaimResult result) {
+        handle(nowNanos -> request.onClaimResult(result, nowNanos));
     }
 
-    private void ended(LeafOutcome outcome) {
+    private void onOutcome(LeafOutcome outcome) {
         if (outcome instanceof LeafOutcome.Replied replied) {
             handle(nowNanos -> request.onReply(replied.reply(), nowNanos));
         } else if (outcome instanceof LeafOutcome.Failed failed) {
@@ -82,24 +82,24 @@
         }
     }
 
-    private void handle(Decision decision) {
-        handle(decision, decided -> {});
+    private void handle(Event event) {
+        handle(event, unused -> {});
     }
 
-    private void handle(Decision decision, Claiming claiming) {
+    private void handle(Event event, Claimer claimer) {
         lock.lock();
         try {
-            for (OnceOnlyAction action : decision.at(clock.nowNanos())) {
-                carryOut(action, claiming);
+            for (OnceOnlyAction action : event.at(clock.nowNanos())) {
+                execute(action, claimer);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private void carryOut(OnceOnlyAction action, Claiming claiming) {
+    private void execute(OnceOnlyAction action, Claimer claimer) {
         if (action instanceof OnceOnlyAction.Claim) {
-            claiming.claim(this::claimed);
+            claimer.claim(this::onClaimResult);
         } else if (action instanceof OnceOnlyAction.Dispatch dispatch) {
             dispatch(dispatch);
         } else if (action instanceof OnceOnlyAction.CancelDispatch cancel) {
@@ -122,27 +122,27 @@
     private void dispatch(OnceOnlyAction.Dispatch dispatch) {
         LeafRequest call = new LeafRequest(
                 dispatch.callId(),
-                asked.requestId().value(),
+                callerOperation.requestId().value(),
                 dispatch.upstream(),
-                SHARD_OF_A_POOL,
+                POOL_SHARD,
                 0,
                 operation.priority(),
                 dispatch.deadlineNanos(),
                 operation.name(),
-                asked.body());
-        router.send(call, this::ended);
+                callerOperation.body());
+        router.send(call, this::onOutcome);
     }
 
     private void recordRan(ByteString answer) {
-        boolean fits = answer.size() <= OnceOnlyRunner.LONGEST_KEPT_ANSWER_BYTES;
+        boolean fits = answer.size() <= OnceOnlyRunner.MAX_STORED_ANSWER_BYTES;
         String reason = fits ? "" : "the answer of " + answer.size() + " bytes was too long to be kept";
         record(OutcomeKind.RAN, fits ? answer : ByteString.EMPTY, reason);
     }
 
     private void record(OutcomeKind kind, ByteString answer, String reason) {
         RecordOutcome outcome = RecordOutcome.newBuilder()
-                .setService(asked.service().toString())
-                .setRequestId(asked.requestId().value())
+                .setService(callerOperation.service().toString())
+                .setRequestId(callerOperation.requestId().value())
                 .setAttempt(attempt)
                 .setKind(kind)
                 .setAnswer(answer)
@@ -151,9 +151,9 @@
         recorder.record(outcome, () -> workers.run(() -> handle(nowNanos -> request.onRecorded())));
     }
 
-    /** One event of the request at a time. */
+    /** An event of the request, handled under its lock. */
     @FunctionalInterface
-    private interface Decision {
+    private interface Event {
         List<OnceOnlyAction> at(long nowNanos);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/event/LogRateLimiter.java
@@ -6,7 +6,7 @@
 import org.bramblerack.process.MonotonicClock;
 
 /**
- * Bounds how many lines of one kind are written in a second, and counts what is left out.
+ * Limits the number of log lines of one kind per second, and counts the suppressed ones.
  *
  * <p>Not safe for use by several threads.
  */
@@ -14,38 +14,38 @@
     private static final long PERIOD_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final MonotonicClock clock;
-    private final int linesASecond;
-    private long periodBeganNanos;
+    private final int linesPerSecond;
+    private long periodStartNanos;
     private int lines;
-    private long leftOut;
+    private long suppressed;
 
-    /** Creates a bound that lets the given number of lines through in each second. */
-    public LogRateLimiter(MonotonicClock clock, int linesASecond) {
-        checkArgument(linesASecond > 0, "%s lines a second", linesASecond);
+    /** Creates a limiter that permits the given number of lines in each second. */
+    public LogRateLimiter(MonotonicClock clock, int linesPerSecond) {
+        checkArgument(linesPerSecond > 0, "linesPerSecond must be positive: %s", linesPerSecond);
         this.clock = clock;
-        this.linesASecond = linesASecond;
-        this.periodBeganNanos = clock.nowNanos();
+        this.linesPerSecond = linesPerSecond;
+        this.periodStartNanos = clock.nowNanos();
     }
 
-    /** Returns true if a line may be written now; otherwise counts it as left out. */
+    /** Returns true if a line may be written now; otherwise counts it as suppressed. */
     public boolean tryAcquire() {
         long nowNanos = clock.nowNanos();
-        if (nowNanos - periodBeganNanos >= PERIOD_NANOS) {
-            periodBeganNanos = nowNanos;
+        if (nowNanos - periodStartNanos >= PERIOD_NANOS) {
+            periodStartNanos = nowNanos;
             lines = 0;
         }
-        if (lines >= linesASecond) {
-            leftOut++;
+        if (lines >= linesPerSecond) {
+            suppressed++;
             return false;
         }
         lines++;
         return true;
     }
 
-    /** Returns how many lines were left out since the last call of this method. */
+    /** Returns the number of lines suppressed since the last call of this method. */
     public long takeSuppressedCount() {
-        long taken = leftOut;
-        leftOut = 0;
-        return taken;
+        long count = suppressed;
+        suppressed = 0;
+        return count;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlPeers.java
@@ -17,7 +17,7 @@
 import org.bramblerack.wire.TakeTrialResult;
 
 /**
- * Hands each message of another host to the part of the control role that it concerns. Safe for use by many threads.
+ * Passes each message from another host to the part of the control role that handles it. Safe for use by many threads.
  */
 final class ControlPeers implements PeerHandler {
     private static final Logger LOGGER = System.getLogger(ControlPeers.class.getName());
@@ -38,9 +38,9 @@
     public void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
             case RAFT -> node.receive(message.getRaft());
-            case HEARD_MEMBERS -> fleet.takeHeard(message.getHeardMembers(), clock.nowNanos());
-            case JOIN_REQUEST -> join(message.getJoinRequest());
-            case PROPOSE -> propose(message.getPropose().getCommand(), reply);
+            case HEARD_MEMBERS -> fleet.mergeContacts(message.getHeardMembers(), clock.nowNanos());
+            case JOIN_REQUEST -> handleJoin(message.getJoinRequest());
+            case PROPOSE -> handlePropose(message.getPropose().getCommand(), reply);
             case CONTROL_READ ->
                 node.read(message.getControlRead())
                         .subscribe()
@@ -51,10 +51,10 @@
                         .with(
                                 delta -> reply.accept(Envelope.newBuilder().setTableDelta(delta)),
                                 failure ->
-                                        // The other host asks elsewhere once it hears nothing.
+                                        // The other host tries another control host when its request times out.
                                         LOGGER.log(
                                                 Logger.Level.DEBUG,
-                                                "tables are not told, the role has stopped: {0}",
+                                                "a table pull was not answered because the control role has stopped: {0}",
                                                 failure.getMessage()));
             case VERSION_QUERY ->
                 fleet.newestVersion()
@@ -70,19 +70,19 @@
             case HARM_REPORT ->
                 fleet.reportHarm(message.getHarmReport())
                         .subscribe()
-                        .with(taken -> reply.accept(Envelope.newBuilder()
+                        .with(acknowledged -> reply.accept(Envelope.newBuilder()
                                 .setHarmReportResult(
-                                        HarmReportResult.newBuilder().setTaken(taken))));
+                                        HarmReportResult.newBuilder().setTaken(acknowledged))));
             default -> {
-                // A message of a newer program: not understood, so not answered.
+                // A message kind of a newer release: ignored.
             }
         }
     }
 
-    /** Admits a host that wants to vote, or passes its wish on to the leader. */
-    private void join(JoinRequest request) {
+    /** Starts replication to a host that requests to join, or forwards its request to the leader. */
+    private void handleJoin(JoinRequest request) {
         if (node.isLeader()) {
-            node.admit(request.getVoter());
+            node.addLearner(request.getVoter());
         } else {
             node.leader()
                     .ifPresent(
@@ -90,12 +90,15 @@
         }
     }
 
-    private void propose(ByteString bytes, Consumer<Envelope.Builder> reply) {
+    private void handlePropose(ByteString bytes, Consumer<Envelope.Builder> reply) {
         Command command;
         try {
             command = Command.parseFrom(bytes);
         } catch (InvalidProtocolBufferException malformed) {
-            LOGGER.log(Logger.Level.WARNING, "a command of another host cannot be read: {0}", malformed.getMessage());
+            LOGGER.log(
+                    Logger.Level.WARNING,
+                    "rejected a proposed command that cannot be parsed: {0}",
+                    malformed.getMessage());
             reply.accept(Envelope.newBuilder()
                     .setProposeResult(ProposeResult.newBuilder().setStatus(ProposeResult.Status.REFUSED)));
             return;
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/fleet/ControlProcess.java
@@ -28,15 +28,15 @@
 import org.bramblerack.wire.JoinRequest;
 
 /**
- * A process of the control role: wires its parts together, starts and stops them.
+ * A process with the control role: creates, starts and stops its parts.
  *
- * <p>Started once, stopped once.
+ * <p>Started once and stopped once.
  */
 public final class ControlProcess {
     private static final EventLog EVENTS = EventLog.of(ControlProcess.class);
-    private static final long SHARE_HEARD_MILLIS = 1_000;
-    private static final long JOIN_MILLIS = 300;
-    private static final long SUMMARY_MILLIS = 10_000;
+    private static final long REPORT_CONTACTS_INTERVAL_MILLIS = 1_000;
+    private static final long JOIN_RETRY_INTERVAL_MILLIS = 300;
+    private static final long LOG_COUNTERS_INTERVAL_MILLIS = 10_000;
 
     private final ControlSettings settings;
     private final MetricRegistry metrics;
@@ -53,9 +53,9 @@
     private volatile boolean stopping;
 
     /**
-     * Creates a process that does nothing yet but to find out who it is.
+     * Creates a process that has loaded or created its identity and does nothing else yet.
      *
-     * @param incarnation tells this start of the host from others
+     * @param incarnation distinguishes this start of the host from others
      * @throws DiskFault if its data folder cannot be used
      */
     public ControlProcess(
@@ -70,14 +70,14 @@
         this.metrics = metrics;
         this.seeds = settings.seeds();
         this.incarnation = incarnation;
-        this.identity = VoterIdentity.loadOrStore(settings.dataFolder(), freshIdentity(settings, random));
-        PeerTraffic traffic = new PeerTraffic(metrics, this::isElsewhere);
+        this.identity = VoterIdentity.loadOrStore(settings.dataFolder(), newIdentity(settings, random));
+        PeerTraffic traffic = new PeerTraffic(metrics, this::isInOtherRegion);
         this.network = PeerNetwork.byAddress(identity.name(), group, LinkPolicy.OPEN, traffic);
         this.store = new FileLogStore(settings.dataFolder());
         this.node = new ControlNode(
                 identity.name(),
-                identity.firstVoters(),
-                settings.lossesBorne(),
+                identity.initialVoters(),
+                settings.tolerableFailures(),
                 RaftTimings.DEFAULT,
                 store,
                 network,
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Reads what was stored, listens, and takes part in the agreement.
+     * Loads the stored state, listens, and joins the cluster.
      *
      * @throws InterruptedException if the thread is interrupted meanwhile
-     * @throws DiskFault if what was stored cannot be trusted
+     * @throws DiskFault if the stored state is corrupt or cannot be read
      */
     public void start() throws InterruptedException, DiskFault {
         if (!store.exists()) {
@@ -104,17 +104,33 @@
         node.start();
         group.next()
                 .scheduleWithFixedDelay(
-                        this::everySecond, SHARE_HEARD_MILLIS, SHARE_HEARD_MILLIS, TimeUnit.MILLISECONDS);
-        group.next().scheduleWithFixedDelay(this::joinIfAlone, JOIN_MILLIS, JOIN_MILLIS, TimeUnit.MILLISECONDS);
-        group.next().scheduleWithFixedDelay(this::logCounters, SUMMARY_MILLIS, SUMMARY_MILLIS, TimeUnit.MILLISECONDS);
+                        this::reportContactsOrEnd,
+                        REPORT_CONTACTS_INTERVAL_MILLIS,
+                        REPORT_CONTACTS_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        this::requestToJoinIfNeeded,
+                        JOIN_RETRY_INTERVAL_MILLIS,
+                        JOIN_RETRY_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleWithFixedDelay(
+                        this::logCounters,
+                        LOG_COUNTERS_INTERVAL_MILLIS,
+                        LOG_COUNTERS_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
         EVENTS.info("started")
                 .with("host", settings.name())
                 .with("voter", identity.name())
                 .write();
     }
 
-    /** The seeds of a first start are the first voters; every other host with an empty disk has to join them. */
-    private static VoterIdentity freshIdentity(ControlSettings settings, RandomGenerator random) {
+    /**
+     * Returns the identity for an empty disk. At the first start of the cluster its seeds are the initial voters; every
+     * other host has to join them.
+     */
+    private static VoterIdentity newIdentity(ControlSettings settings, RandomGenerator random) {
         String address = settings.peerAddress().toString();
         if (settings.firstStart() && settings.seeds().contains(address)) {
             return new VoterIdentity(address, settings.seeds());
@@ -122,9 +138,9 @@
         return new VoterIdentity(VoterName.generate(address, random), ImmutableSortedSet.of());
     }
 
-    /** Asks to be sent the log, and to vote in time, as long as no leader does so. */
-    private void joinIfAlone() {
-        if (node.isInTouch()) {
+    /** Requests replication and, later, a vote from the known control hosts while this host is not up to date. */
+    private void requestToJoinIfNeeded() {
+        if (node.isUpToDate()) {
             return;
         }
         ImmutableSet.<String>builder()
@@ -140,12 +156,12 @@
                                 .setJoinRequest(JoinRequest.newBuilder().setVoter(identity.name()))));
     }
 
-    /** Returns what it does for leafs and operators. */
+    /** Returns the service for leaves, operators and entry hosts. */
     public FleetControl fleet() {
         return fleet;
     }
 
-    /** Takes over from changed settings what may change while the process runs: the seeds. */
+    /** Applies the settings that may change while the process runs, which are the seeds. */
     public void reload(ControlSettings changed) {
         seeds = changed.seeds();
         EVENTS.info("settings_reloaded")
@@ -154,17 +170,17 @@
                 .write();
     }
 
-    /** Returns the event loop, for listeners that share it. */
+    /** Returns the event loop, so that listeners can share it. */
     public EventLoopGroup eventLoop() {
         return group;
     }
 
-    /** Sets what to do if the role ends by itself, because an agreed command cannot be read. */
+    /** Sets the task to run if the role ends because a committed command cannot be parsed. */
     public void onRoleEnded(Runnable task) {
         onRoleEnded = task;
     }
 
-    /** Stops taking part. */
+    /** Stops the role, the listener and the connections. */
     public void stop() {
         stopping = true;
         EVENTS.info("stopping").with("host", settings.name()).write();
@@ -173,25 +189,25 @@
         network.stop();
     }
 
-    private void everySecond() {
+    private void reportContactsOrEnd() {
         if (!stopping && !node.isRunning()) {
-            // An agreed command cannot be read: only another version of the program can go on from there.
+            // A committed command cannot be parsed; only another release of the program can continue from there.
             EVENTS.warning("role_ended").with("host", settings.name()).write();
             onRoleEnded.run();
             return;
         }
-        fleet.shareHeard(self());
+        fleet.reportContacts(hostRecord());
     }
 
     private void logCounters() {
         EVENTS.info("counters").with("counters", CounterSummary.of(metrics)).write();
     }
 
-    private boolean isElsewhere(String host) {
-        return fleet != null && fleet.isElsewhere(PeerNetwork.addressOf(host));
+    private boolean isInOtherRegion(String host) {
+        return fleet != null && fleet.isInOtherRegion(PeerNetwork.addressOf(host));
     }
 
-    private HostRecord self() {
+    private HostRecord hostRecord() {
         return HostRecord.newBuilder()
                 .setName(settings.name())
                 .setPeerAddress(settings.peerAddress().toString())
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/GatewayMetrics.java
@@ -17,7 +17,7 @@
 import org.bramblerack.request.routed.RefusalReason;
 import org.jspecify.annotations.Nullable;
 
-/** The counters of the entry role, one for each reason, and how long answers took. Safe for use by many threads. */
+/** The metrics of the entry role: counters by outcome and reason, and the latency of answers. Thread-safe. */
 public final class GatewayMetrics {
     private final Map<AttemptCounter, Counter> attempts = new EnumMap<>(AttemptCounter.class);
     private final Map<LeafOutcome, Counter> outcomes = new EnumMap<>(LeafOutcome.class);
@@ -28,63 +28,63 @@
     private final Histogram answerMicros;
     private final Counter whole;
     private final Counter partial;
-    private final Counter recordDeferredQuery;
-    private final Counter recordQueuedRequest;
+    private final Counter deferredQueries;
+    private final Counter queuedRequests;
     private final Counter stagesAnswered;
     private final Counter stagesFailed;
 
-    /** Creates the counters in a registry. */
+    /** Registers all metrics. */
     public GatewayMetrics(MetricRegistry registry, MonotonicClock clock) {
         this.registry = registry;
         this.clock = clock;
         this.answerMicros = registry.histogram("gateway_answer_micros");
         this.whole = registry.counter("gateway_answers_whole");
         this.partial = registry.counter("gateway_answers_partial");
-        this.recordDeferredQuery = registry.counter("gateway_queries_held_back");
-        this.recordQueuedRequest = registry.counter("gateway_requests_held_for_room");
+        this.deferredQueries = registry.counter("gateway_queries_held_back");
+        this.queuedRequests = registry.counter("gateway_requests_held_for_room");
         this.stagesAnswered = registry.counter("gateway_stages_answered");
         this.stagesFailed = registry.counter("gateway_stages_failed");
         for (AttemptCounter counter : AttemptCounter.values()) {
-            attempts.put(counter, registry.counter("gateway_attempts_" + lower(counter)));
+            attempts.put(counter, registry.counter("gateway_attempts_" + lowerCaseName(counter)));
         }
         for (LeafOutcome outcome : LeafOutcome.values()) {
-            outcomes.put(outcome, registry.counter("gateway_leaf_" + lower(outcome)));
+            outcomes.put(outcome, registry.counter("gateway_leaf_" + lowerCaseName(outcome)));
         }
         for (ConnectionEvent event : ConnectionEvent.values()) {
-            connections.put(event, registry.counter("gateway_leaf_connection_" + lower(event)));
+            connections.put(event, registry.counter("gateway_leaf_connection_" + lowerCaseName(event)));
         }
         for (RefusalReason reason : RefusalReason.values()) {
-            refusals.put(reason, registry.counter("gateway_refused_" + lower(reason)));
+            refusals.put(reason, registry.counter("gateway_refused_" + lowerCaseName(reason)));
         }
     }
 
-    /** Notes that the answer to a request is on its way, of whichever kind. */
+    /** Records the time from receiving a request to answering or refusing it. */
     void recordAnswer(long receivedNanos) {
         answerMicros.update(TimeUnit.NANOSECONDS.toMicros(clock.nowNanos() - receivedNanos));
     }
 
-    /** Notes a request whose deadline is no number; it is served as if it named none. */
+    /** Records a request with a malformed deadline; it is served as if it had none. */
     void recordMalformedDeadline() {
         registry.counter("gateway_malformed_deadline").inc();
     }
 
-    /** Notes a request that was refused before a route was found. */
+    /** Records a request that was refused before its route was found. */
     void recordUnroutedRefusal(String outcome) {
         registry.counter("gateway_refused_" + outcome.toLowerCase(Locale.ROOT)).inc();
     }
 
-    /** Notes a query that will be late in any case and waits until the leafs have room. */
+    /** Records a query that cannot meet its goal and is deferred until the leaves have capacity. */
     void recordDeferredQuery() {
-        recordDeferredQuery.inc();
+        deferredQueries.inc();
     }
 
-    /** Notes a request that waits because this host is behind. */
+    /** Records a request that is queued because this host is lagging. */
     void recordQueuedRequest() {
-        recordQueuedRequest.inc();
+        queuedRequests.inc();
     }
 
     void recordCall(Attempt.Purpose purpose, Distance distance) {
-        registry.counter("gateway_asked_" + lower(purpose) + "_" + lower(distance))
+        registry.counter("gateway_asked_" + lowerCaseName(purpose) + "_" + lowerCaseName(distance))
                 .inc();
     }
 
@@ -96,7 +96,6 @@
         increment(outcomes.get(outcome));
     }
 
-    /** Notes what became of a connection to a leaf. */
     void count(ConnectionEvent event) {
         increment(connections.get(event));
     }
@@ -117,7 +116,7 @@
         (answered ? stagesAnswered : stagesFailed).inc();
     }
 
-    /** Returns every counter that is not zero, for a log line. */
+    /** Returns all counters that are not zero, for a log line. */
     String summary() {
         return CounterSummary.of(registry);
     }
@@ -128,7 +127,7 @@
         }
     }
 
-    private static String lower(Enum<?> constant) {
+    private static String lowerCaseName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/http/HttpListener.java
@@ -22,15 +22,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Listens at one address and hands whole requests to a handler.
+ * Listens at one address and passes complete requests to a handler.
  *
- * <p>Once it is stopping, it goes on accepting and answering, but every answer ends its connection. Started once,
- * stopped once; safe for use by many threads.
+ * <p>While stopping, it continues to accept and answer requests, but every answer closes its connection. Started once,
+ * stopped once. Safe for use by many threads.
  */
 public final class HttpListener {
     private static final int BACKLOG = 1_024;
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
-    private static final long SWEEP_MILLIS = 500;
+    private static final long TIMEOUT_CHECK_PERIOD_MILLIS = 500;
 
     private final HostAndPort address;
     private final EventLoopGroup group;
@@ -38,11 +38,11 @@
     private final Supplier<RequestLimits> limits;
     private final MonotonicClock clock;
     private final Set<HttpConnection> connections = ConcurrentHashMap.newKeySet();
-    private @Nullable Channel listening;
-    private @Nullable ScheduledFuture<?> sweeping;
+    private @Nullable Channel serverChannel;
+    private @Nullable ScheduledFuture<?> timeoutCheck;
     private volatile boolean stopping;
 
-    /** Creates a listener that does not yet listen. */
+    /** Creates a listener that is not bound until {@link #start} is called. */
     public HttpListener(
             HostAndPort address,
             EventLoopGroup group,
@@ -57,57 +57,62 @@
     }
 
     /**
-     * Begins to listen.
+     * Binds the address and starts accepting connections.
      *
-     * @throws InterruptedException if the thread is interrupted while the address is bound
+     * @throws InterruptedException if the thread is interrupted while binding the address
      */
     public synchronized void start() throws InterruptedException {
-        listening = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new Pipeline())
+                .childHandler(new PipelineInitializer())
                 .bind(new InetSocketAddress(address.getHost(), address.getPort()))
                 .sync()
                 .channel();
-        sweeping = group.next().scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        timeoutCheck = group.next()
+                .scheduleWithFixedDelay(
+                        this::closeTimedOut,
+                        TIMEOUT_CHECK_PERIOD_MILLIS,
+                        TIMEOUT_CHECK_PERIOD_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** Begins to stop: every answer from now on ends its connection. */
+    /** Begins to stop: from now on, every answer closes its connection. */
     public void beginStop() {
         stopping = true;
     }
 
-    /** Closes the connections that wait for nothing, and the others once they are answered. */
+    /** Closes idle connections, and the others once their requests have been answered. */
     public void closeIdle() {
         connections.forEach(connection -> group.next().execute(connection::closeWhenIdle));
     }
 
-    /** Returns true if no request is under way. */
+    /** Returns true if no request is in flight. */
     public boolean isIdle() {
         return connections.stream().allMatch(HttpConnection::isIdle);
     }
 
-    /** Returns how many connections are open. */
+    /** Returns the number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Stops listening; open connections stay open. */
+    /** Stops listening. Open connections remain open. */
     public synchronized void stopListening() {
-        if (listening != null) {
-            listening.close().awaitUninterruptibly();
-            listening = null;
+        if (serverChannel != null) {
+            serverChannel.close().awaitUninterruptibly();
+            serverChannel = null;
         }
-        if (sweeping != null) {
-            sweeping.cancel(false);
-            sweeping = null;
+        if (timeoutCheck != null) {
+            timeoutCheck.cancel(false);
+            timeoutCheck = null;
         }
     }
 
-    /** Stops listening and closes every connection, answered or not. */
+    /** Stops listening and closes all connections, including those with unanswered requests. */
     public void stopNow() {
         stopListening();
         connections.forEach(connection -> group.next().execute(connection::closeNow));
@@ -121,35 +126,35 @@
         return handler;
     }
 
-    void opened(HttpConnection connection) {
+    void onOpened(HttpConnection connection) {
         connections.add(connection);
     }
 
-    void closed(HttpConnection connection) {
+    void onClosed(HttpConnection connection) {
         connections.remove(connection);
     }
 
-    private void sweep() {
-        RequestLimits now = limits.get();
+    private void closeTimedOut() {
+        RequestLimits current = limits.get();
         long nowNanos = clock.nowNanos();
         ImmutableList.copyOf(connections)
-                .forEach(connection -> connection.closeIfOverdue(
+                .forEach(connection -> connection.closeIfTimedOut(
                         nowNanos,
-                        now.headerTimeout().toNanos(),
-                        now.idleTimeout().toNanos()));
+                        current.headerTimeout().toNanos(),
+                        current.idleTimeout().toNanos()));
     }
 
-    /** Sets up a connection under the limits of the moment. */
-    private final class Pipeline extends ChannelInitializer<SocketChannel> {
+    /** Sets up the pipeline of a new connection with the current limits. */
+    private final class PipelineInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
-            RequestLimits now = limits.get();
+            RequestLimits current = limits.get();
             HttpConnection connection = new HttpConnection(HttpListener.this, clock);
             channel.pipeline()
-                    .addLast(new HeadWatch.Bytes(connection))
-                    .addLast(new HttpServerCodec(now.maxHeaderBytes(), now.maxHeaderBytes(), MAX_CHUNK_BYTES))
-                    .addLast(new HeadWatch.Heads(connection))
-                    .addLast(new HttpObjectAggregator(now.maxBodyBytes()))
+                    .addLast(new RequestHeadMonitor.BeforeDecoder(connection))
+                    .addLast(new HttpServerCodec(current.maxHeaderBytes(), current.maxHeaderBytes(), MAX_CHUNK_BYTES))
+                    .addLast(new RequestHeadMonitor.AfterDecoder(connection))
+                    .addLast(new HttpObjectAggregator(current.maxBodyBytes()))
                     .addLast(connection);
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafResponseDecoder.java
@@ -3,25 +3,25 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** Decodes the answers of a leaf, knowing whether the present request allows a body. Owned by its event loop. */
+/** Decodes answers of a leaf, with or without a body depending on the current request. Owned by its event loop. */
 final class LeafResponseDecoder extends HttpResponseDecoder {
     private static final int MAX_LINE_BYTES = 8 * 1024;
     private static final int MAX_HEAD_BYTES = 32 * 1024;
     private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
-    private boolean bodiless;
+    private boolean withoutBody;
 
     LeafResponseDecoder() {
         super(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES);
     }
 
-    /** States whether answers have no body whatever their head says. */
-    void setBodiless(boolean answersAreBodiless) {
-        bodiless = answersAreBodiless;
+    /** Sets whether answers have no body regardless of their headers, as for a HEAD request. */
+    void setWithoutBody(boolean value) {
+        withoutBody = value;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return bodiless || super.isContentAlwaysEmpty(message);
+        return withoutBody || super.isContentAlwaysEmpty(message);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/FramePipeline.java
@@ -11,17 +11,20 @@
 import java.util.function.Supplier;
 import org.bramblerack.wire.Envelope;
 
-/** Sets up a connection that carries length-prefixed protobuf frames. Immutable and safe for use by many threads. */
+/**
+ * Sets up the channel handlers of a connection that carries length-prefixed protobuf frames. Immutable and safe for use
+ * by many threads.
+ */
 final class FramePipeline extends ChannelInitializer<SocketChannel> {
-    /** The largest frame that is accepted, in bytes; a longer one ends the connection. */
+    /** The maximum frame size in bytes; a longer frame closes the connection. */
     static final int MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
-    private final Supplier<ChannelHandler> last;
+    private final Supplier<ChannelHandler> messageHandler;
 
-    FramePipeline(Supplier<ChannelHandler> last) {
-        this.last = last;
+    FramePipeline(Supplier<ChannelHandler> messageHandler) {
+        this.messageHandler = messageHandler;
     }
 
     @Override
@@ -32,6 +35,6 @@
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
                 .addLast(new ProtobufEncoder())
-                .addLast(last.get());
+                .addLast(messageHandler.get());
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/LeafAccessTest.java
@@ -22,7 +22,7 @@
 import org.bramblerack.wire.LeafRecord;
 import org.junit.jupiter.api.Test;
 
-/** The shares of all hosts stay within what a leaf takes, and every shard is reached by somebody. */
+/** Tests that hosts together stay within the connections that a leaf accepts, and that every shard is reachable. */
 final class LeafAccessTest {
     private static final int SHARDS = 30;
     private static final int ZONES = 6;
@@ -38,40 +38,40 @@
     }
 
     @Test
-    void noLeafGetsMoreConnectionsThanItTakes() {
+    void noLeafGetsMoreConnectionsThanItAccepts() {
         for (int fleet : new int[] {3, 7, 20, 83, 300}) {
-            for (int most : new int[] {26, 52, 64, 110}) {
+            for (int maxConnections : new int[] {26, 52, 64, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
-                int held = 0;
-                int own = 0;
+                int connections = 0;
+                int zoneHolders = 0;
                 for (HostRecord host : hosts) {
-                    LeafAccess access = access(hosts, most, host.getPeerAddress(), host.getZone());
+                    LeafAccess access = access(hosts, maxConnections, host.getPeerAddress(), host.getZone());
                     boolean mayConnect = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
-                    held += mayConnect ? access.connectionShare("s0", "z0") : 0;
-                    own += access.isHolderOf("s0") && host.getZone().equals("z0") ? 1 : 0;
+                    connections += mayConnect ? access.connectionShare("s0", "z0") : 0;
+                    zoneHolders += access.isHolderOf("s0") && host.getZone().equals("z0") ? 1 : 0;
                 }
-                assertThat(held).isAtMost(most);
-                assertThat(held).isAtLeast(1);
-                assertThat(own).isEqualTo(1);
+                assertThat(connections).isAtMost(maxConnections);
+                assertThat(connections).isAtLeast(1);
+                assertThat(zoneHolders).isEqualTo(1);
             }
         }
     }
 
-    /** Held or not, and whatever the order in which hosts learnt of one another, one alone spends what is agreed. */
+    /** Guards against two hosts spending the allowance of one cold leaf, whatever the order of their host lists. */
     @Test
     void oneHostAloneMaySendToAColdLeaf() {
-        for (int most : new int[] {26, 410}) {
+        for (int maxConnections : new int[] {26, 410}) {
             List<HostRecord> hosts = hosts(59);
-            List<HostRecord> inOtherOrder = new ArrayList<>(hosts);
-            Collections.reverse(inOtherOrder);
-            int spenders = 0;
+            List<HostRecord> reversed = new ArrayList<>(hosts);
+            Collections.reverse(reversed);
+            int senders = 0;
             for (HostRecord host : hosts) {
-                List<HostRecord> known = spenders % 2 == 0 ? hosts : inOtherOrder;
-                LeafAccess access = access(known, most, host.getPeerAddress(), host.getZone());
-                spenders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
-                spenders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
+                List<HostRecord> knownHosts = senders % 2 == 0 ? hosts : reversed;
+                LeafAccess access = access(knownHosts, maxConnections, host.getPeerAddress(), host.getZone());
+                senders += access.maySendToColdLeaf("s0-0", "s0", "z0") ? 1 : 0;
+                senders += access.maySendToColdLeaf("single", "single", "z2") ? 1 : 0;
             }
-            assertThat(spenders).isEqualTo(2);
+            assertThat(senders).isEqualTo(2);
         }
     }
 
@@ -99,7 +99,7 @@
         assertThat(access.connectionShare("single", "z0")).isEqualTo(1);
     }
 
-    /** The leafs of an index that is cut anew start before the version that names them as shards. */
+    /** The leaves of a new index start before the configuration that names them as shards. */
     @Test
     void onlyHoldersConnectToLeavesOfShardsThatNoRouteNames() {
         List<HostRecord> hosts = hosts(83);
@@ -111,7 +111,7 @@
         assertThat(connecting).isEqualTo(1);
     }
 
-    /** Operators name single shards in routes of their own, to look at one or to try a route. */
+    /** Operators add routes to a single shard, for example for tests. */
     @Test
     void aShardThatASingleRouteAlsoNamesIsStillHeld() {
         List<HostRecord> hosts = hosts(83);
@@ -125,7 +125,7 @@
         assertThat(connecting).isEqualTo(1);
     }
 
-    /** A new index is built beside the one that is asked; if its shards moved the others, every query would suffer. */
+    /** Guards against a new index changing the holders of the index in use. */
     @Test
     void aNewIndexMovesNoShardOfTheIndexInUse() {
         List<HostRecord> hosts = hosts(83);
@@ -139,38 +139,35 @@
         }
     }
 
-    /**
-     * Eighteen hosts that take a query every other second would find each connection closed when they need it. Hosts
-     * learn of a change at different moments, so that each may have what it had before or what it has after.
-     */
+    /** Hosts apply a change at different times, so each may have its connections from before or after it. */
     @Test
     void hostsThatRarelyCallALeafUseHoldersAndItsConnectionLimitHolds() {
         for (int fleet : new int[] {3, 4, 7, 8, 18, 24, 40}) {
-            for (int most : new int[] {12, 26, 52, 69, 110}) {
+            for (int maxConnections : new int[] {12, 26, 52, 69, 110}) {
                 List<HostRecord> hosts = hosts(fleet);
-                Tables tables = tables(most, SHARDS);
-                int asking = 0;
+                Tables tables = tables(maxConnections, SHARDS);
+                int directCallers = 0;
                 int connections = 0;
                 for (HostRecord host : hosts) {
-                    HostLocation place =
+                    HostLocation location =
                             new HostLocation(host.getZone(), REGIONS.getOrDefault(host.getZone(), ""), REGIONS);
-                    LeafAccess access = new LeafAccess(host.getPeerAddress(), place);
+                    LeafAccess access = new LeafAccess(host.getPeerAddress(), location);
                     access.update(hosts, tables.leaves(), tables.configuration(), false);
                     boolean direct = access.keepsConnections("s0", "z0") || access.isHolderOrBackup("s0", "z0");
                     int before = direct ? access.connectionShare("s0", "z0") : 0;
                     access.update(hosts, tables.leaves(), tables.configuration(), true);
                     assertThat(access.isHeld("s0")).isTrue();
-                    asking += access.keepsConnections("s0", "z0") ? 1 : 0;
+                    directCallers += access.keepsConnections("s0", "z0") ? 1 : 0;
                     int after = access.isHolderOrBackup("s0", "z0") ? access.connectionShare("s0", "z0") : 0;
                     connections += Math.max(before, after);
                 }
-                assertThat(asking).isEqualTo(1);
-                assertThat(connections).isAtMost(most);
+                assertThat(directCallers).isEqualTo(1);
+                assertThat(connections).isAtMost(maxConnections);
             }
         }
     }
 
-    /** Most changes of the tables move no shard: a leaf says that it drains, a configuration changes a time. */
+    /** Most changes of the tables, such as a draining leaf, move no shard. */
     @Test
     void holdersStayTheSameWhenTheTablesAreAppliedAgain() {
         List<HostRecord> hosts = hosts(83);
@@ -193,19 +190,20 @@
         int calling = 0;
         for (HostRecord host : hosts) {
             LeafAccess access = access(hosts, 64, host.getPeerAddress(), host.getZone());
-            boolean named = false;
+            boolean holderOrBackup = false;
             for (int shard = 0; shard < SHARDS; shard++) {
-                named |= access.isHolderOrBackup("s" + shard, host.getZone());
+                holderOrBackup |= access.isHolderOrBackup("s" + shard, host.getZone());
             }
             boolean calls = access.leafCalls() == WarmUpPlan.LeafCalls.MADE_HERE;
             assertThat(calls)
-                    .isEqualTo(named || (host.getZone().equals("z0") && access.isHolderOrBackup("to-come", "z0")));
+                    .isEqualTo(holderOrBackup
+                            || (host.getZone().equals("z0") && access.isHolderOrBackup("to-come", "z0")));
             calling += calls ? 1 : 0;
         }
         assertThat(calling).isIn(Range.closed(ZONES, hosts.size() / 2));
     }
 
-    /** A host is named by the tables only once it is warm, and must know before what to warm up for. */
+    /** The tables list a host only after its warm-up, which already depends on whether it calls leaves. */
     @Test
     void aStartingHostKnowsWhetherItWillCallLeaves() {
         List<HostRecord> hosts = hosts(83);
@@ -224,7 +222,7 @@
         assertThat(access(hosts(0), 26, "10.0.0.0:1", "z0").leafCalls()).isEqualTo(WarmUpPlan.LeafCalls.UNKNOWN);
     }
 
-    /** After power the leafs are known before any host is. */
+    /** After a restart of the whole fleet, leaves are known before any host is. */
     @Test
     void aHostWithoutKnownHostsOpensNoConnectionsAheadOfUse() {
         for (boolean throughHolders : new boolean[] {false, true}) {
@@ -243,21 +241,26 @@
     }
 
     private static LeafAccess access(
-            List<HostRecord> hosts, int maxConnections, String self, String zone, int shardsWithLeafs, Route... more) {
+            List<HostRecord> hosts,
+            int maxConnections,
+            String self,
+            String zone,
+            int shardsWithLeaves,
+            Route... moreRoutes) {
         LeafAccess access = new LeafAccess(self, new HostLocation(zone, REGIONS.getOrDefault(zone, zone), REGIONS));
-        Tables tables = tables(maxConnections, shardsWithLeafs, more);
+        Tables tables = tables(maxConnections, shardsWithLeaves, moreRoutes);
         access.update(hosts, tables.leaves(), tables.configuration(), false);
         return access;
     }
 
     private record Tables(List<LeafRecord> leaves, RoutingConfiguration configuration) {}
 
-    /** @param shardsWithLeafs of how many shards leafs are up; those beyond {@link #SHARDS} are in no route yet */
-    private static Tables tables(int maxConnections, int shardsWithLeafs, Route... more) {
+    /** @param shardsWithLeaves the number of shards with leaves; no route names those beyond {@link #SHARDS} */
+    private static Tables tables(int maxConnections, int shardsWithLeaves, Route... moreRoutes) {
         ImmutableList.Builder<String> shards = ImmutableList.builder();
         ImmutableMap.Builder<String, LeafService> services = ImmutableMap.builder();
         List<LeafRecord> leaves = new ArrayList<>();
-        for (int shard = 0; shard < shardsWithLeafs; shard++) {
+        for (int shard = 0; shard < shardsWithLeaves; shard++) {
             String service = "s" + shard;
             if (shard < SHARDS) {
                 shards.add(service);
@@ -286,7 +289,7 @@
                         1,
                         ImmutableList.<Route>builder()
                                 .add(scatter, single)
-                                .add(more)
+                                .add(moreRoutes)
                                 .build(),
                         services.buildOrThrow(),
                         RequestLimits.DEFAULT));
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/holder/UpstreamHarmTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What holders do with a request under which their upstreams end, and what they learn of it from one another. */
+/** Guards against requests that crash upstreams being sent again, by the same holder or by its peers. */
 final class UpstreamHarmTest {
     private static final ServiceName SERVICE = ServiceName.parse("partner/service");
     private static final Duration LIMIT = Duration.ofSeconds(5);
-    /** What happens in one moment may be one failure of all upstreams. */
+    /** Simultaneous ends may have a common cause other than the request, so ends are spaced by this time. */
     private static final Duration BETWEEN_ARRIVALS = Duration.ofSeconds(2);
 
     private final Workers workers = new Workers("test", 2);
@@ -48,21 +48,23 @@
     }
 
     @Test
-    void aRequestUnderWhichThreeUpstreamsEndedIsSentNoMore() throws Exception {
-        endThree(true);
+    void aRequestThatEndedThreeUpstreamsIsNoLongerSent() throws Exception {
+        disconnectThreeUpstreams(true);
         int sent = calls.get();
-        assertThat(ask(held("u9", false), "again", "harm")).isEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
+        assertThat(call(createHeldUpstream("u9", false), "again", "harm"))
+                .isEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
         assertThat(calls.get()).isEqualTo(sent);
-        assertThat(ask(held("u9", false), "other", "fine")).isNotEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
+        assertThat(call(createHeldUpstream("u9", false), "other", "fine"))
+                .isNotEqualTo(new LeafOutcome.Failed(LeafFailure.HARMFUL));
     }
 
     @Test
-    void otherHoldersHearOfIt() throws Exception {
-        List<HarmReport> told = endThree(true);
+    void otherHoldersLearnOfHarmfulRequests() throws Exception {
+        List<HarmReport> reports = disconnectThreeUpstreams(true);
         UpstreamHarm elsewhere = new UpstreamHarm(clock, InstantSource.system());
         assertThat(elsewhere.maySend(request("u1", "again", "harm"))).isTrue();
-        for (HarmReport report : told) {
-            elsewhere.hear(report);
+        for (HarmReport report : reports) {
+            elsewhere.applyPeerReport(report);
             passedNanos.addAndGet(BETWEEN_ARRIVALS.toNanos());
         }
         assertThat(elsewhere.maySend(request("u1", "again", "harm"))).isFalse();
@@ -70,37 +72,37 @@
     }
 
     @Test
-    void connectionsThatBreakToUpstreamsThatAreUpSayNothing() throws Exception {
-        endThree(false);
+    void disconnectsFromRunningUpstreamsAreNoEvidence() throws Exception {
+        disconnectThreeUpstreams(false);
         assertThat(harm.maySend(request("u1", "again", "harm"))).isTrue();
-        assertThat(harm.nextBeat().isEmpty()).isTrue();
+        assertThat(harm.nextHeartbeatReport().isEmpty()).isTrue();
     }
 
-    /** Has a request come twice, at three upstreams in all that break its calls, and returns what is told of it. */
-    private List<HarmReport> endThree(boolean ended) throws Exception {
-        List<HarmReport> told = new ArrayList<>();
+    /** Sends two arrivals of a request to three upstreams that drop its calls, and returns the resulting reports. */
+    private List<HarmReport> disconnectThreeUpstreams(boolean ended) throws Exception {
+        List<HarmReport> reports = new ArrayList<>();
         for (int upstream = 0; upstream < 3; upstream++) {
             boolean comesAgain = upstream == 2;
             if (comesAgain) {
                 passedNanos.addAndGet(BETWEEN_ARRIVALS.toNanos());
             }
             String arrival = comesAgain ? "second" : "first";
-            assertThat(ask(held("u" + upstream, ended), arrival, "harm"))
+            assertThat(call(createHeldUpstream("u" + upstream, ended), arrival, "harm"))
                     .isEqualTo(new LeafOutcome.Failed(LeafFailure.CONNECTION_LOST));
-            listen(told);
+            collectReports(reports);
         }
-        return told;
+        return reports;
     }
 
-    /** Adds what heartbeats tell in the next moments. */
-    private void listen(List<HarmReport> told) throws InterruptedException {
-        for (int look = 0; look < 20; look++) {
-            harm.nextBeat().ifPresent(told::add);
+    /** Collects the reports of the next heartbeats. */
+    private void collectReports(List<HarmReport> reports) throws InterruptedException {
+        for (int attempt = 0; attempt < 20; attempt++) {
+            harm.nextHeartbeatReport().ifPresent(reports::add);
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    private LeafOutcome ask(HeldUpstream held, String arrival, String body) throws Exception {
+    private LeafOutcome call(HeldUpstream held, String arrival, String body) throws Exception {
         BlockingQueue<LeafOutcome> outcomes = new LinkedBlockingQueue<>();
         held.submit(request(held.upstream().name().upstream(), arrival, body), outcomes::add);
         LeafOutcome outcome = outcomes.poll(LIMIT.toMillis(), TimeUnit.MILLISECONDS);
@@ -121,17 +123,17 @@
                 ByteString.copyFromUtf8(body));
     }
 
-    private HeldUpstream held(String name, boolean ended) {
+    private HeldUpstream createHeldUpstream(String name, boolean ended) {
         Upstream upstream =
                 new Upstream(new UpstreamName(SERVICE, name), 0, "z", HostAndPort.fromParts("127.0.0.1", 1), false);
-        return new HeldUpstream(upstream, 2, new BreakingProtocol(ended), workers, clock, harm);
+        return new HeldUpstream(upstream, 2, new DisconnectingProtocol(ended), workers, clock, harm);
     }
 
-    /** Breaks every call. */
-    private final class BreakingProtocol implements UpstreamProtocol {
+    /** Loses the connection of every call. */
+    private final class DisconnectingProtocol implements UpstreamProtocol {
         private final boolean ended;
 
-        BreakingProtocol(boolean ended) {
+        DisconnectingProtocol(boolean ended) {
             this.ended = ended;
         }
 
@@ -150,12 +152,12 @@
         }
 
         @Override
-        public Uni<Boolean> takesConnections() {
+        public Uni<Boolean> acceptsConnections() {
             return Uni.createFrom().item(!ended);
         }
 
         @Override
-        public void warm() {}
+        public void openConnections() {}
 
         @Override
         public void close() {}
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFieldTest.java
@@ -25,20 +25,20 @@
 import net.jqwik.api.statistics.Statistics;
 import org.bramblerack.version.routing.HomeRegions;
 
-/** Whatever bytes a caller sends as header fields, a leaf is told one team, and it is ours. */
+/** Guards against callers smuggling a team field to a leaf through malformed header fields. */
 final class TeamFieldTest {
-    private static final CallHeaders NAMES =
+    private static final CallHeaders HEADER_NAMES =
             new CallHeaders("request-id", "deadline", "leaf", "id", "sig", "load", "not", "retry", "p", "m", "team");
     private static final int MAX_BODY_BYTES = 1_000;
 
     @Property(tries = 2_000)
-    void theLeafIsToldOneTeam(@ForAll("heads") List<String> fields) {
+    void theLeafReceivesExactlyOneTeam(@ForAll("heads") List<String> fields) {
         Optional<String> head = headAtLeaf(fields);
         Statistics.label("accepted").collect(head.isPresent());
         if (head.isEmpty()) {
             return;
         }
-        // Some parsers end a line at either character alone.
+        // Some HTTP parsers accept CR or LF alone as the end of a line.
         List<String> teams = Splitter.on(CharMatcher.anyOf("\r\n"))
                 .splitToStream(head.get())
                 .filter(TeamFieldTest::namesTeam)
@@ -46,21 +46,22 @@
         assertWithMessage(head.get()).that(teams).containsExactly("team: ours");
     }
 
-    /** The fields that are the caller's own keep their order and their values. */
+    /** The caller's own fields keep their order and values. */
     @Property(tries = 300)
-    void theFieldsOfTheCallerAreKept(@ForAll("heads") List<String> fields) {
+    void theCallersOwnFieldsAreKept(@ForAll("heads") List<String> fields) {
         Optional<String> head = headAtLeaf(fields);
         if (head.isPresent() && fields.stream().noneMatch(TeamFieldTest::isUnusual)) {
-            List<String> own = fields.stream()
+            List<String> ownFields = fields.stream()
                     .filter(field -> field.startsWith("X-Own:"))
                     .map(field -> "X-Own: " + field.substring("X-Own:".length()).strip())
                     .toList();
-            List<String> told = Splitter.on("\r\n")
+            List<String> received = Splitter.on("\r\n")
                     .splitToStream(head.get())
                     .filter(line -> line.startsWith("X-Own: "))
                     .map(String::stripTrailing)
                     .toList();
-            assertThat(told).isEqualTo(own.stream().map(String::stripTrailing).toList());
+            assertThat(received)
+                    .isEqualTo(ownFields.stream().map(String::stripTrailing).toList());
         }
     }
 
@@ -78,7 +79,7 @@
                 .ofMaxSize(6);
     }
 
-    /** Returns the head that a leaf gets, or nothing if the request is refused as malformed. */
+    /** Returns the head that a leaf receives, or empty if the request is rejected as malformed. */
     private static Optional<String> headAtLeaf(List<String> fields) {
         EmbeddedChannel channel = new EmbeddedChannel(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES));
         StringBuilder text = new StringBuilder("GET /x HTTP/1.1\r\nHost: h\r\nrequest-id: r\r\n");
@@ -90,7 +91,7 @@
                 return Optional.empty();
             }
             ByteBuf encoded = LeafRequest.create(
-                            "GET", "/x", request.headers(), new byte[0], HomeRegions.ANY, "ours", NAMES)
+                            "GET", "/x", request.headers(), new byte[0], HomeRegions.ANY, "ours", HEADER_NAMES)
                     .encode(UnpooledByteBufAllocator.DEFAULT, "i-1", 100);
             try {
                 return Optional.of(encoded.toString(StandardCharsets.ISO_8859_1));
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/TeamFingerprintTest.java
@@ -7,26 +7,26 @@
 import org.bramblerack.version.routing.HomeRegions;
 import org.junit.jupiter.api.Test;
 
-/** Who counts as the same caller where requests are told apart that end leafs. */
+/** Guards against fingerprints of harmful requests that differ between callers of one team. */
 final class TeamFingerprintTest {
-    private static final CallHeaders NAMES =
+    private static final CallHeaders HEADER_NAMES =
             new CallHeaders("request-id", "deadline", "leaf", "id", "sig", "load", "not", "retry", "p", "m", "team");
 
-    /** Also one whose key was taken away meanwhile, and on the host that is told the team instead of the key. */
+    /** Includes a forwarded request, which carries the team but no key. */
     @Test
-    void theCallersOfATeamAreOneWhicheverKeyTheyShow() {
+    void callersOfOneTeamHaveOneFingerprintWhateverTheirKey() {
         Fingerprints first = fingerprints("Token key-1", "ours");
         assertThat(fingerprints("Token key-2", "ours")).isEqualTo(first);
         assertThat(fingerprints("", "ours")).isEqualTo(first);
     }
 
     @Test
-    void theCallersOfAnotherTeamAreOthers() {
+    void callersOfDifferentTeamsHaveDifferentFingerprints() {
         assertThat(fingerprints("Token key-1", "theirs")).isNotEqualTo(fingerprints("Token key-1", "ours"));
     }
 
     @Test
-    void withoutTeamsCallersAreToldApartByTheirCredentials() {
+    void withoutATeamCallersAreDistinguishedByTheirCredentials() {
         assertThat(fingerprints("Basic a", "")).isNotEqualTo(fingerprints("Basic b", ""));
     }
 
@@ -36,7 +36,7 @@
         if (!credentials.isEmpty()) {
             headers.set("Authorization", credentials);
         }
-        return LeafRequest.create("GET", "/x", headers, new byte[0], HomeRegions.ANY, team, NAMES)
+        return LeafRequest.create("GET", "/x", headers, new byte[0], HomeRegions.ANY, team, HEADER_NAMES)
                 .fingerprints();
     }
 }
