--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -94,7 +94,7 @@
 
             @Override
             public void confirmNewest(Consumer<Boolean> callback) {
-                versionCheck.confirm(callback);
+                versionCheck.ask(callback);
             }
         };
         Gateway gateway = new Gateway(
@@ -388,6 +388,6 @@
     /** Confirms whether the version of the host is the newest. */
     @FunctionalInterface
     private interface VersionCheck {
-        void confirm(Consumer<Boolean> callback);
+        void ask(Consumer<Boolean> callback);
     }
 }
