--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/RecoveryBench.java
@@ -62,7 +62,7 @@
                     "p99 from 5 s after the return / calm p99", second.millis(99) / calm.millis(99), "", 1.25, true);
             boolean limit = report.figure(
                     "most connections open at any replica",
-                    system.fleet().mostConnections("bench/search/"),
+                    system.fleet().maxConnections("bench/search/"),
                     "",
                     CONNECTIONS,
                     true);
--- a/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
+++ b/bramblerack-cli/src/test/java/org/bramblerack/cli/bench/SystemFaultTest.java
@@ -45,10 +45,10 @@
             await(() -> operate(system, 0, "other-side").join().statusCode() == 200);
             JsonObject refused = system.apply(3, "cut", 1, system.text());
             assertThat(refused.getJsonObject("refusal").getString("ran")).isEqualTo("not-run");
-            assertThat(system.fleet().ledger().runsOf("cut")).isEqualTo(0);
+            assertThat(system.fleet().ledger().runCount("cut")).isEqualTo(0);
             cutOff.clear();
             await(() -> operate(system, 3, "cut").join().statusCode() == 200);
-            assertThat(system.fleet().ledger().runsOf("cut")).isEqualTo(1);
+            assertThat(system.fleet().ledger().runCount("cut")).isEqualTo(1);
         }
     }
 
@@ -70,14 +70,14 @@
     void aResendThroughEveryHostRunsOnceWhileTheLeaderIsKilled() throws Exception {
         try (BenchSystem system = BenchSystem.start(4, 2, 2, 50_000, 2_000, 1)) {
             CompletableFuture<HttpResponse<Buffer>> first = operate(system, 3, "once");
-            await(() -> system.fleet().ledger().runsOf("once") == 1);
+            await(() -> system.fleet().ledger().runCount("once") == 1);
             int leader = Integer.parseInt(system.status(3).getString("leader").substring(1));
             system.kill(leader);
             first.join();
             int last = system.hosts().size() - 1;
             await(() -> isSettled(operate(system, last, "once").join()));
             await(() -> isSettled(operate(system, 0, "once").join()));
-            assertThat(system.fleet().ledger().runsOf("once")).isEqualTo(1);
+            assertThat(system.fleet().ledger().runCount("once")).isEqualTo(1);
         }
     }
 
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/Ledger.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/Ledger.java
@@ -17,38 +17,38 @@
     private final LongAdder refused = new LongAdder();
     private final LongAdder refusedConnections = new LongAdder();
 
-    void ran(String requestId) {
+    void recordRun(String requestId) {
         runs.computeIfAbsent(requestId, unused -> new LongAdder()).increment();
     }
 
-    void called() {
+    void recordCall() {
         calls.increment();
     }
 
-    void finishedOne() {
+    void recordFinished() {
         finished.increment();
     }
 
-    void cancelledOne() {
+    void recordCancelled() {
         cancelled.increment();
     }
 
-    void refusedOne() {
+    void recordRefused() {
         refused.increment();
     }
 
-    void refusedConnection() {
+    void recordRefusedConnection() {
         refusedConnections.increment();
     }
 
     /** Returns how often a once-only request ran. */
-    public long runsOf(String requestId) {
+    public long runCount(String requestId) {
         LongAdder count = runs.get(requestId);
         return count == null ? 0 : count.sum();
     }
 
     /** Returns the most that any once-only request ran. */
-    public long mostRuns() {
+    public long maxRuns() {
         return runs.values().stream().mapToLong(LongAdder::sum).max().orElse(0);
     }
 
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInFleet.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInFleet.java
@@ -48,7 +48,7 @@
                 StandInUpstream standIn = new StandInUpstream(
                         vertx, upstream, service.limits(), Behaviour.healthy(serviceMicros), ledger, random.split());
                 int shards = service.kind() == ServiceKind.SHARDED ? service.shards() : 1;
-                standIn.serve(new ServedVersion(FIRST_VERSION, upstream.shard(), shards));
+                standIn.addVersion(new ServedVersion(FIRST_VERSION, upstream.shard(), shards));
                 built.put(upstream.name().toString(), standIn);
             }
         }
@@ -64,7 +64,7 @@
     public void startControl(HostAndPort address) {
         HttpServer server = vertx.createHttpServer(
                 new HttpServerOptions().setHost(address.getHost()).setPort(address.getPort()));
-        server.requestHandler(this::control)
+        server.requestHandler(this::handleControl)
                 .listen()
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -90,9 +90,9 @@
     }
 
     /** Returns the most connections that any upstream, whose full name begins with a text, had open at once. */
-    public int mostConnections(String prefix) {
+    public int maxConnections(String prefix) {
         return matching(prefix).stream()
-                .mapToInt(StandInUpstream::mostConnections)
+                .mapToInt(StandInUpstream::maxConnections)
                 .max()
                 .orElse(0);
     }
@@ -105,24 +105,25 @@
     }
 
     /** Makes every upstream of a sharded service serve another index version too, or instead. */
-    public void serve(String service, long indexVersion, Optional<Long> instead) {
+    public void serveVersion(String service, long indexVersion, Optional<Long> replacedVersion) {
         Service declared = declaration.services().get(service);
         if (declared == null) {
             return;
         }
         for (StandInUpstream upstream : matching(declared.name() + "/")) {
-            upstream.serve(new ServedVersion(indexVersion, upstream.upstream().shard(), declared.shards()));
-            instead.ifPresent(upstream::drop);
+            upstream.addVersion(
+                    new ServedVersion(indexVersion, upstream.upstream().shard(), declared.shards()));
+            replacedVersion.ifPresent(upstream::removeVersion);
         }
     }
 
-    private void control(HttpServerRequest request) {
+    private void handleControl(HttpServerRequest request) {
         request.body().onSuccess(body -> {
             switch (request.path()) {
                 case "/ledger" -> request.response().end(ledgerJson(request).toBuffer());
-                case "/behaviour" -> answer(request, setBehaviour(body.toJsonObject()));
-                case "/version" -> answer(request, setVersion(body.toJsonObject()));
-                default -> answer(request, false);
+                case "/behaviour" -> respond(request, setBehaviour(body.toJsonObject()));
+                case "/version" -> respond(request, setVersion(body.toJsonObject()));
+                default -> respond(request, false);
             }
         });
     }
@@ -152,7 +153,7 @@
     }
 
     private boolean setVersion(JsonObject change) {
-        serve(
+        serveVersion(
                 change.getString("service", ""),
                 change.getLong("indexVersion", FIRST_VERSION),
                 Optional.ofNullable(change.getLong("instead")));
@@ -172,12 +173,12 @@
                 .put("cancelled", ledger.cancelled())
                 .put("refused", ledger.refused())
                 .put("refusedConnections", ledger.refusedConnections())
-                .put("mostConnections", mostConnections(prefix == null ? "" : prefix))
-                .put("mostRuns", ledger.mostRuns())
-                .put("runs", requestId == null ? 0 : ledger.runsOf(requestId));
+                .put("mostConnections", maxConnections(prefix == null ? "" : prefix))
+                .put("mostRuns", ledger.maxRuns())
+                .put("runs", requestId == null ? 0 : ledger.runCount(requestId));
     }
 
-    private static void answer(HttpServerRequest request, boolean done) {
+    private static void respond(HttpServerRequest request, boolean done) {
         request.response().setStatusCode(done ? 200 : BAD_REQUEST).end();
     }
 }
--- a/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInUpstream.java
+++ b/bramblerack-standin/src/main/java/org/bramblerack/standin/StandInUpstream.java
@@ -37,9 +37,9 @@
  * thread; the behaviour and versions may be set from any.
  */
 public final class StandInUpstream {
-    private static final int MAX_WAITING = 64;
+    private static final int MAX_QUEUED_CALLS = 64;
     private static final int REFUSED_STATUS = 503;
-    private static final double JITTER = 0.4;
+    private static final double SERVICE_TIME_JITTER = 0.4;
     private static final int PERCENT = 100;
     private static final int MICROS_PER_MILLI = 1_000;
     private static final int ITEMS_PER_SHARD = 3;
@@ -51,12 +51,12 @@
     private final RandomGenerator random;
     private final Map<Long, ServedVersion> versions = new TreeMap<>();
     private final Set<HttpConnection> connections = new HashSet<>();
-    private final Deque<Call> waiting = new ArrayDeque<>();
+    private final Deque<Call> queue = new ArrayDeque<>();
     private final Map<String, Call> calls = new HashMap<>();
     private final AtomicLong callCount = new AtomicLong();
-    private final AtomicLong opened = new AtomicLong();
+    private final AtomicLong openedConnections = new AtomicLong();
     private final AtomicInteger openConnections = new AtomicInteger();
-    private final AtomicInteger mostConnections = new AtomicInteger();
+    private final AtomicInteger maxConnections = new AtomicInteger();
     private volatile Behaviour behaviour;
     private int running;
     private @Nullable HttpServer server;
@@ -96,14 +96,14 @@
     }
 
     /** Adds an index version that the upstream serves. */
-    public void serve(ServedVersion version) {
+    public void addVersion(ServedVersion version) {
         synchronized (versions) {
             versions.put(version.indexVersion(), version);
         }
     }
 
     /** Removes an index version that the upstream serves. */
-    public void drop(long indexVersion) {
+    public void removeVersion(long indexVersion) {
         synchronized (versions) {
             versions.remove(indexVersion);
         }
@@ -116,12 +116,12 @@
 
     /** Returns how many connections were opened so far. */
     public long connectionsOpened() {
-        return opened.get();
+        return openedConnections.get();
     }
 
     /** Returns the most connections that were open at once. */
-    public int mostConnections() {
-        return mostConnections.get();
+    public int maxConnections() {
+        return maxConnections.get();
     }
 
     /** Begins to listen. */
@@ -131,7 +131,7 @@
                 .setPort(upstream.address().getPort())
                 .setTcpNoDelay(true);
         server = vertx.createHttpServer(options)
-                .connectionHandler(this::connected)
+                .connectionHandler(this::onConnect)
                 .requestHandler(this::handle);
         server.listen().toCompletionStage().toCompletableFuture().join();
     }
@@ -143,10 +143,10 @@
         }
     }
 
-    private void connected(HttpConnection connection) {
-        opened.incrementAndGet();
+    private void onConnect(HttpConnection connection) {
+        openedConnections.incrementAndGet();
         int open = openConnections.incrementAndGet();
-        mostConnections.accumulateAndGet(open, Math::max);
+        maxConnections.accumulateAndGet(open, Math::max);
         synchronized (connections) {
             connections.add(connection);
         }
@@ -159,7 +159,7 @@
         if (behaviour.down()) {
             connection.close();
         } else if (open > limits.connections()) {
-            ledger.refusedConnection();
+            ledger.recordRefusedConnection();
             connection.close();
         }
     }
@@ -174,7 +174,7 @@
 
     private void handle(HttpServerRequest request) {
         if (request.path().equals(UpstreamHeaders.CALL_PATH) && request.method().equals(HttpMethod.POST)) {
-            call(request);
+            handleCall(request);
         } else if (request.path().startsWith(UpstreamHeaders.CANCEL_PATH)) {
             cancel(request.path().substring(UpstreamHeaders.CANCEL_PATH.length()));
             request.response().end();
@@ -185,18 +185,18 @@
         }
     }
 
-    private void call(HttpServerRequest request) {
-        ledger.called();
+    private void handleCall(HttpServerRequest request) {
+        ledger.recordCall();
         callCount.incrementAndGet();
         Call call = new Call(request, System.nanoTime());
         if (behaviour.draining()) {
             refuse(call, LeafFailure.DRAINING);
-        } else if (call.operation() == null && served(call.indexVersion()) == null) {
+        } else if (call.operation() == null && findVersion(call.indexVersion()) == null) {
             refuse(call, LeafFailure.VERSION_GONE);
         } else if (running < limits.slots()) {
             run(call);
-        } else if (waiting.size() < MAX_WAITING) {
-            waiting.addLast(call);
+        } else if (queue.size() < MAX_QUEUED_CALLS) {
+            queue.addLast(call);
             calls.put(call.callId(), call);
         } else {
             refuse(call, LeafFailure.OVERLOADED);
@@ -205,29 +205,29 @@
 
     private void run(Call call) {
         running++;
-        call.begun = true;
+        call.started = true;
         calls.put(call.callId(), call);
         if (call.operation() != null) {
-            ledger.ran(call.requestId());
+            ledger.recordRun(call.requestId());
         }
         int micros = serviceMicros();
         long millis = Math.max(1, Math.round((double) micros / MICROS_PER_MILLI));
-        call.timer = vertx.setTimer(millis, fired -> finish(call));
+        call.timerId = vertx.setTimer(millis, fired -> finish(call));
     }
 
     private void finish(Call call) {
         running--;
         calls.remove(call.callId());
-        ledger.finishedOne();
+        ledger.recordFinished();
         if (!behaviour.silent()) {
             reply(call);
         }
-        next();
+        startQueued();
     }
 
-    private void next() {
-        while (running < limits.slots() && !waiting.isEmpty()) {
-            Call call = waiting.removeFirst();
+    private void startQueued() {
+        while (running < limits.slots() && !queue.isEmpty()) {
+            Call call = queue.removeFirst();
             if (call.isExpired()) {
                 calls.remove(call.callId());
                 refuse(call, LeafFailure.EXPIRED);
@@ -239,29 +239,30 @@
 
     private void cancel(String callId) {
         Call call = calls.get(callId);
-        if (call == null || (call.begun && call.operation() != null)) {
+        if (call == null || (call.started && call.operation() != null)) {
             return;
         }
         calls.remove(callId);
-        ledger.cancelledOne();
+        ledger.recordCancelled();
         refuse(call, LeafFailure.CANCELLED);
-        if (call.begun) {
-            vertx.cancelTimer(call.timer);
+        if (call.started) {
+            vertx.cancelTimer(call.timerId);
             running--;
-            next();
+            startQueued();
         } else {
-            waiting.remove(call);
+            queue.remove(call);
         }
     }
 
     private void reply(Call call) {
-        ServedVersion version = call.operation() == null ? served(call.indexVersion()) : new ServedVersion(1, 0, 1);
+        ServedVersion version =
+                call.operation() == null ? findVersion(call.indexVersion()) : new ServedVersion(1, 0, 1);
         if (version == null) {
             refuse(call, LeafFailure.VERSION_GONE);
             return;
         }
         byte[] payload = payload(call, version).toBuffer().getBytes();
-        ByteString whole = ByteString.copyFrom(payload);
+        ByteString fullPayload = ByteString.copyFrom(payload);
         int sent = behaviour.truncating() ? payload.length / 2 : payload.length;
         HttpServerResponse response = call.request().response();
         if (!response.closed()) {
@@ -270,7 +271,7 @@
                     .putHeader(UpstreamHeaders.SHARD_COUNT, Integer.toString(version.shardCount()))
                     .putHeader(UpstreamHeaders.INDEX_VERSION, Long.toString(version.indexVersion()))
                     .putHeader(UpstreamHeaders.LENGTH_BYTES, Integer.toString(payload.length))
-                    .putHeader(UpstreamHeaders.CHECKSUM, Integer.toHexString(CheckedReply.checksum(whole)))
+                    .putHeader(UpstreamHeaders.CHECKSUM, Integer.toHexString(CheckedReply.checksum(fullPayload)))
                     .end(Buffer.buffer(payload).slice(0, sent));
         }
     }
@@ -289,7 +290,7 @@
     }
 
     private void refuse(Call call, LeafFailure failure) {
-        ledger.refusedOne();
+        ledger.recordRefused();
         HttpServerResponse response = call.request().response();
         if (!response.closed() && !response.ended()) {
             response.setStatusCode(REFUSED_STATUS)
@@ -315,25 +316,25 @@
                 .toBuffer();
     }
 
-    private @Nullable ServedVersion served(long indexVersion) {
+    private @Nullable ServedVersion findVersion(long indexVersion) {
         synchronized (versions) {
             return versions.get(indexVersion);
         }
     }
 
     private int serviceMicros() {
-        Behaviour present = behaviour;
-        boolean straggles = random.nextDouble() * PERCENT < present.stragglePercent();
-        int base = straggles ? present.serviceMicros() * present.straggleFactor() : present.serviceMicros();
-        return (int) (base * (1 - JITTER + 2 * JITTER * random.nextDouble()));
+        Behaviour current = behaviour;
+        boolean straggles = random.nextDouble() * PERCENT < current.stragglePercent();
+        int base = straggles ? current.serviceMicros() * current.straggleFactor() : current.serviceMicros();
+        return (int) (base * (1 - SERVICE_TIME_JITTER + 2 * SERVICE_TIME_JITTER * random.nextDouble()));
     }
 
     /** A call in the upstream. */
     private static final class Call {
         private final HttpServerRequest request;
         private final long arrivedNanos;
-        private boolean begun;
-        private long timer;
+        private boolean started;
+        private long timerId;
 
         Call(HttpServerRequest request, long arrivedNanos) {
             this.request = request;
