--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/FleetLimits.java
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void requestPermission(CallerIdentity caller, Consumer<Decision> callback) {
+    public void spend(CallerIdentity caller, Consumer<Decision> callback) {
         Optional<Team> team = caller.team();
         if (team.isEmpty() || team.get().limit().isUnlimited()) {
             callback.accept(Decision.UNLIMITED);
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -269,7 +269,7 @@
         }
         RoutedCall call =
                 new RoutedCall(route, caller, view.configuration().version(), request, exchange.receivedNanos(), times);
-        limits.requestPermission(route.isPublic() ? CallerIdentity.ANONYMOUS : caller, spending -> {
+        limits.spend(route.isPublic() ? CallerIdentity.ANONYMOUS : caller, spending -> {
             if (spending instanceof TeamRateLimits.Decision.Permitted permitted) {
                 onPermitted(exchange, call, answers, permitted.refund());
             } else if (spending instanceof TeamRateLimits.Decision.Refused refused) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TeamRateLimits.java
@@ -30,7 +30,7 @@
      *
      * @param callback receives the decision exactly once, during this call or later
      */
-    void requestPermission(CallerIdentity caller, Consumer<Decision> callback);
+    void spend(CallerIdentity caller, Consumer<Decision> callback);
 
     /** The decision about a request. */
     sealed interface Decision {
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetLimitsTest.java
@@ -160,7 +160,7 @@
 
         void startLoad() {
             group.scheduleAtFixedRate(
-                    () -> limits.requestPermission(CALLER, spending -> {
+                    () -> limits.spend(CALLER, spending -> {
                         if (spending instanceof TeamRateLimits.Decision.Permitted) {
                             permittedNanos.add(clock.nowNanos());
                         }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TeamRequestsTest.java
@@ -101,7 +101,7 @@
                 view,
                 () -> true,
                 status,
-                (caller, callback) -> limits.requestPermission(caller, callback),
+                (caller, callback) -> limits.spend(caller, callback),
                 () -> "",
                 PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic()),
                 GatewayFixture.NAMES,
