--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -38,31 +38,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Knows the ways to the hosts that ask shards on behalf of this one.
+ * The links to the hosts that call shards on behalf of this host.
  *
- * <p>Links to such hosts are probed, so that a dead one is known soon and its round trip can be counted on. A link that
- * failed is left alone for a while. Owned by the event loop.
+ * <p>Links are probed to detect failed hosts early and to measure round-trip times. A host that failed is not called
+ * for a while. Owned by the event loop.
  */
 final class StageLinks {
     private static final EventLog EVENTS = EventLog.of(StageLinks.class);
-    private static final Duration PROBE_EVERY = Duration.ofMillis(700);
-    /** A round trip between regions, which opening a link takes, and some room for a slow start. */
-    private static final Duration PROBE_SOON = Duration.ofMillis(50);
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(700);
+    /** Covers the round trip between regions that opening a link takes. */
+    private static final Duration PROBE_DELAY_AFTER_CHANGE = Duration.ofMillis(50);
 
-    private static final Duration PROBE_WAIT = Duration.ofMillis(500);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(500);
     private static final long SUSPECT_NANOS = Duration.ofSeconds(2).toNanos();
-    /** What a round trip between regions is taken to need before it was measured. */
-    private static final long FIRST_ROUND_TRIP_NANOS = Duration.ofMillis(25).toNanos();
+    /** A round trip between regions, used until one has been measured. */
+    private static final long INITIAL_ROUND_TRIP_NANOS = Duration.ofMillis(25).toNanos();
 
-    private static final double SMOOTHING = 0.3;
+    private static final double ROUND_TRIP_SMOOTHING = 0.3;
     private final FleetView view;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final RandomGenerator random;
     private final Map<String, Link> links = new HashMap<>();
-    private long lastCall;
-    private boolean probesSoon;
+    private long lastCallNumber;
+    private boolean probesScheduled;
     private @Nullable ScheduledFuture<?> probing;
 
     StageLinks(FleetView view, PeerNetwork network, MonotonicClock clock, EventLoop loop, RandomGenerator random) {
@@ -75,20 +75,23 @@
 
     void start() {
         probing = loop.scheduleWithFixedDelay(
-                this::probe, PROBE_EVERY.toMillis(), PROBE_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+                this::probe, PROBE_INTERVAL.toMillis(), PROBE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Probes soon, since hosts came or went: changes come in series, and the first probe only opens the links. */
-    void hostsChanged() {
-        if (!probesSoon) {
-            probesSoon = true;
-            loop.schedule(this::probe, PROBE_SOON.toMillis(), TimeUnit.MILLISECONDS);
+    /**
+     * Schedules two probes after hosts joined or left; the first opens the links, the second measures them. Changes in
+     * a series are batched.
+     */
+    void onHostsChanged() {
+        if (!probesScheduled) {
+            probesScheduled = true;
+            loop.schedule(this::probe, PROBE_DELAY_AFTER_CHANGE.toMillis(), TimeUnit.MILLISECONDS);
             loop.schedule(
                     () -> {
-                        probesSoon = false;
+                        probesScheduled = false;
                         probe();
                     },
-                    2 * PROBE_SOON.toMillis(),
+                    2 * PROBE_DELAY_AFTER_CHANGE.toMillis(),
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -102,15 +105,15 @@
     /**
      * Divides the shards of a query between this host and others; see {@link StagePlanner#plan}.
      *
-     * @param passedOver the hosts that whoever asks this one passed over
+     * @param skippedHosts the hosts that the calling host skipped
      */
     ImmutableList<StageAttempt> plan(
             ImmutableList<PermittedLeaves> pools,
             long expectedNanos,
             long hedgeDelayNanos,
             StagePlanner.Relays relays,
-            Collection<String> passedOver) {
-        StagePlanner planner = new StagePlanner(new KnownWays(ImmutableSet.copyOf(passedOver)), random);
+            Collection<String> skippedHosts) {
+        StagePlanner planner = new StagePlanner(new FleetTopology(ImmutableSet.copyOf(skippedHosts)), random);
         return planner.plan(pools, expectedNanos, hedgeDelayNanos, relays, clock.nowNanos());
     }
 
@@ -122,19 +125,20 @@
     }
 
     /**
-     * Returns the way to the first of some hosts that can be asked now and is not behind; empty if this host is to ask
-     * the leaf itself, as when it stands in for those before it. One that was never asked is tried: after a start of
-     * the whole fleet no host is known to answer, and to go round the holders would take connections to every leaf from
-     * every host.
+     * Returns the link to the first of some hosts that can be called now and is not lagging; empty if this host should
+     * call the leaf itself, for example as the backup of the hosts before it. A host that was never contacted counts as
+     * usable: after a restart of the whole fleet no host has been contacted yet, and calling leaves directly would open
+     * connections from every host to every leaf.
      *
-     * @param passedOver the hosts that whoever asks this one passed over; they count if this one stands in for them
+     * @param skippedHosts the hosts that the calling host skipped; they count if this host is their backup
      */
-    Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> passedOver) {
+    Optional<Link> firstUsable(
+            List<String> hosts, String leafId, HomeRegions homeRegions, Collection<String> skippedHosts) {
         if (hosts.isEmpty()) {
             return Optional.empty();
         }
         long nowNanos = clock.nowNanos();
-        return HolderChoice.choose(hosts, passedOver, new HolderChoice.HostView() {
+        return HolderChoice.choose(hosts, skippedHosts, new HolderChoice.HostView() {
                     @Override
                     public boolean isSelf(String host) {
                         return view.isSelf(host);
@@ -142,97 +146,100 @@
 
                     @Override
                     public boolean isUsable(String host) {
-                        return maySee(host, homes)
-                                && link(host).mayBeTried(nowNanos)
+                        return mayReceive(host, homeRegions)
+                                && link(host).mayBeCalled(nowNanos)
                                 && link(host).mayReach(leafId, nowNanos);
                     }
 
                     @Override
                     public boolean isLagging(String host) {
-                        return StageLinks.this.isBehind(link(host), nowNanos);
+                        return StageLinks.this.isLagging(link(host), nowNanos);
                     }
                 })
                 .map(this::link);
     }
 
-    private boolean isBehind(Link link, long nowNanos) {
-        return view.routing().uses(RoutingFeature.HOST_ROOM) && link.room.isLagging(nowNanos);
+    private boolean isLagging(Link link, long nowNanos) {
+        return view.routing().uses(RoutingFeature.HOST_ROOM) && link.capacity.isLagging(nowNanos);
     }
 
-    /** Returns the hosts that get no shards of this one now, since they are behind or do not answer. */
-    ImmutableSet<String> passedOver() {
+    /** Returns the hosts that are not used now because they lag or do not answer. */
+    ImmutableSet<String> skippedHosts() {
         long nowNanos = clock.nowNanos();
         return links.values().stream()
-                .filter(link -> !link.mayBeTried(nowNanos) || isBehind(link, nowNanos))
+                .filter(link -> !link.mayBeCalled(nowNanos) || isLagging(link, nowNanos))
                 .map(Link::host)
                 .collect(ImmutableSet.toImmutableSet());
     }
 
     /**
-     * Has another host ask leafs. Every such call goes this way, so here is the last check that its body may go there.
+     * Sends a call to another host. All such calls go through this method, which is the last check that the host may
+     * receive the body.
      *
-     * @param homes the regions that may see the body
-     * @param message makes the call as soon as the link is there
-     * @param progress takes what the host says of its progress before the reply
+     * @param homeRegions the regions that may receive the body
+     * @param message creates the call once the link is connected
+     * @param onProgress receives the progress that the host reports before its reply
      */
     Uni<Envelope> callStage(
             Link link,
-            HomeRegions homes,
+            HomeRegions homeRegions,
             Supplier<StageCall.Builder> message,
-            Duration wait,
-            Consumer<Envelope> progress) {
-        if (!maySee(link.host, homes)) {
+            Duration timeout,
+            Consumer<Envelope> onProgress) {
+        if (!mayReceive(link.host, homeRegions)) {
             return Uni.createFrom()
                     .failure(new PeerFailure(
                             PeerFailure.Kind.NOT_SENT, link.host + " is in no region that may serve the request"));
         }
         return network.requestWhenConnected(
-                link.host, () -> Envelope.newBuilder().setStageCall(message.get()), wait, progress);
+                link.host, () -> Envelope.newBuilder().setStageCall(message.get()), timeout, onProgress);
     }
 
-    private boolean maySee(String host, HomeRegions homes) {
-        return homes.isUnrestricted()
-                || view.regionOf(host).filter(homes::allows).isPresent();
+    private boolean mayReceive(String host, HomeRegions homeRegions) {
+        return homeRegions.isUnrestricted()
+                || view.regionOf(host).filter(homeRegions::allows).isPresent();
     }
 
-    /** Returns a number that no other call of this host has. */
-    long nextCall() {
-        return ++lastCall;
+    /** Returns a number that is unique among the calls of this host. */
+    long nextCallNumber() {
+        return ++lastCallNumber;
     }
 
-    /** Tells a host that nobody waits for the result of a call any more. */
+    /** Notifies a host that the result of a call is no longer needed. */
     void cancel(Link link, long call) {
         network.send(
                 link.host,
                 Envelope.newBuilder().setStageCancel(StageCancel.newBuilder().setCall(call)));
     }
 
-    /** Returns what is known of the way to a host. */
+    /** Returns the state of the link to a host, which is created if absent. */
     Link link(String host) {
         return links.computeIfAbsent(host, unused -> new Link(host));
     }
 
     /**
-     * Probes the links that may be needed: in a fleet that uses holders, those to holders that are not known to answer;
-     * otherwise those to every host in another region.
+     * Probes the links that may be needed: in a fleet that uses holders, those to holders that are not confirmed to
+     * answer; otherwise those to every host in another region.
      */
     void probe() {
         boolean throughHolders = view.usesHolders();
-        Set<String> wanted = throughHolders ? view.holders() : hostsElsewhere();
-        links.keySet().removeIf(host -> !wanted.contains(host));
-        for (String host : wanted) {
+        Set<String> probedHosts = throughHolders ? view.holders() : hostsInOtherRegions();
+        links.keySet().removeIf(host -> !probedHosts.contains(host));
+        for (String host : probedHosts) {
             Link link = link(host);
             if (throughHolders && link.confirmed) {
                 continue;
             }
             long sentNanos = clock.nowNanos();
-            network.request(host, Envelope.newBuilder().setPing(Ping.getDefaultInstance()), PROBE_WAIT)
+            network.request(host, Envelope.newBuilder().setPing(Ping.getDefaultInstance()), PROBE_TIMEOUT)
                     .subscribe()
-                    .with(reply -> link.answered(clock.nowNanos() - sentNanos), failure -> probeFailed(link, failure));
+                    .with(
+                            reply -> link.recordRoundTrip(clock.nowNanos() - sentNanos),
+                            failure -> onProbeFailure(link, failure));
         }
     }
 
-    private Set<String> hostsElsewhere() {
+    private Set<String> hostsInOtherRegions() {
         Set<String> hosts = new HashSet<>();
         for (HostRecord host : view.entryHosts()) {
             if (!host.getRegion().equals(view.location().region())) {
@@ -242,26 +249,26 @@
         return hosts;
     }
 
-    private void probeFailed(Link link, Throwable failure) {
+    private void onProbeFailure(Link link, Throwable failure) {
         boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
         if (!notSent) {
-            // The connection hangs, or the host does: another connection is made with the next probe.
+            // The connection or the host is stuck: the next probe opens a new connection.
             link.suspect(clock.nowNanos());
             network.disconnect(link.host);
         }
     }
 
-    /** What the planner asks of the links. */
-    private final class KnownWays implements StagePlanner.Topology {
-        private final ImmutableSet<String> passedOver;
+    /** The view of the links that the planner uses. */
+    private final class FleetTopology implements StagePlanner.Topology {
+        private final ImmutableSet<String> skippedHosts;
 
-        KnownWays(ImmutableSet<String> passedOver) {
-            this.passedOver = passedOver;
+        FleetTopology(ImmutableSet<String> passedOver) {
+            this.skippedHosts = passedOver;
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
-            return firstUsable(view.holdersOf(leaf), leaf.id(), homes, passedOver)
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions) {
+            return firstUsable(view.holdersOf(leaf), leaf.id(), homeRegions, skippedHosts)
                     .map(Link::host);
         }
 
@@ -284,7 +291,7 @@
 
         @Override
         public boolean isLagging(String host) {
-            return StageLinks.this.isBehind(link(host), clock.nowNanos());
+            return StageLinks.this.isLagging(link(host), clock.nowNanos());
         }
 
         @Override
@@ -306,17 +313,17 @@
         }
     }
 
-    /** What is known of the way to one host. */
+    /** The state of the link to one host. */
     static final class Link {
         private final String host;
-        private long roundTripNanos = FIRST_ROUND_TRIP_NANOS;
-        private long suspectUntilNanos = Long.MIN_VALUE / 2;
-        /** False until something was heard of it, good or bad. */
-        private boolean tried;
+        private long roundTripNanos = INITIAL_ROUND_TRIP_NANOS;
+        private long suspectedUntilNanos = Long.MIN_VALUE / 2;
+        /** False until the first answer or failure. */
+        private boolean contacted;
 
         private boolean confirmed;
         private final Map<String, Long> unreachableUntilNanos = new HashMap<>();
-        private final HostCapacity room = new HostCapacity();
+        private final HostCapacity capacity = new HostCapacity();
         private int inFlight;
 
         private Link(String host) {
@@ -328,11 +335,11 @@
         }
 
         boolean isUsable(long nowNanos) {
-            return confirmed && nowNanos - suspectUntilNanos >= 0;
+            return confirmed && nowNanos - suspectedUntilNanos >= 0;
         }
 
-        /** Notes that the host has no connection to a leaf, or does not know it (yet). */
-        void cannotReach(String leafId, long nowNanos) {
+        /** Records that the host has no connection to a leaf, or does not know it yet. */
+        void recordUnreachable(String leafId, long nowNanos) {
             unreachableUntilNanos.values().removeIf(untilNanos -> nowNanos - untilNanos >= 0);
             unreachableUntilNanos.put(leafId, nowNanos + SUSPECT_NANOS);
         }
@@ -342,27 +349,27 @@
             return untilNanos == null || nowNanos - untilNanos >= 0;
         }
 
-        boolean mayBeTried(long nowNanos) {
-            return !tried || isUsable(nowNanos);
+        boolean mayBeCalled(long nowNanos) {
+            return !contacted || isUsable(nowNanos);
         }
 
         long roundTripNanos() {
             return roundTripNanos;
         }
 
-        void begin() {
+        void onCallStarted() {
             inFlight++;
         }
 
-        void end() {
+        void onCallEnded() {
             inFlight--;
         }
 
-        /** Notes how far the host says that it is behind. */
-        void told(long lagMicros, long nowNanos) {
-            boolean before = room.isLagging(nowNanos);
-            room.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
-            if (room.isLagging(nowNanos) != before) {
+        /** Records the event-loop lag that the host reported. */
+        void recordLag(long lagMicros, long nowNanos) {
+            boolean before = capacity.isLagging(nowNanos);
+            capacity.record(TimeUnit.MICROSECONDS.toNanos(lagMicros), nowNanos);
+            if (capacity.isLagging(nowNanos) != before) {
                 EVENTS.info(before ? "host_caught_up" : "host_behind")
                         .with("host", host)
                         .with("lagMicros", lagMicros)
@@ -374,21 +381,21 @@
             if (confirmed) {
                 EVENTS.info("host_suspected").with("host", host).write();
             }
-            suspectUntilNanos = nowNanos + SUSPECT_NANOS;
-            tried = true;
+            suspectedUntilNanos = nowNanos + SUSPECT_NANOS;
+            contacted = true;
             confirmed = false;
         }
 
-        private void answered(long tookNanos) {
+        private void recordRoundTrip(long measuredNanos) {
             if (!confirmed) {
                 EVENTS.info("host_answers")
                         .with("host", host)
-                        .with("tookMicros", TimeUnit.NANOSECONDS.toMicros(tookNanos))
+                        .with("tookMicros", TimeUnit.NANOSECONDS.toMicros(measuredNanos))
                         .write();
             }
-            tried = true;
+            contacted = true;
             confirmed = true;
-            roundTripNanos += (long) (SMOOTHING * (tookNanos - roundTripNanos));
+            roundTripNanos += (long) (ROUND_TRIP_SMOOTHING * (measuredNanos - roundTripNanos));
         }
     }
 }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/SingleRequestsThroughHoldersTest.java
@@ -48,16 +48,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request to one shard alone goes through the host that holds the shard's connections, like a query: with a
- * connection of every host a leaf that takes 69 would get 94.
+ * Requests to a single shard go through the holder of its connections, as queries do; otherwise a leaf gets connections
+ * of every host, more than it accepts.
  */
 final class SingleRequestsThroughHoldersTest {
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
-    private final AtomicReference<StageCall> asked = new AtomicReference<>(StageCall.getDefaultInstance());
+    private final AtomicReference<StageCall> lastCall = new AtomicReference<>(StageCall.getDefaultInstance());
     private final AtomicReference<StageResult> answer = new AtomicReference<>(StageResult.getDefaultInstance());
-    private final List<String> askedHosts = new CopyOnWriteArrayList<>();
+    private final List<String> calledHosts = new CopyOnWriteArrayList<>();
     private HostAndPort holderAddress = HostAndPort.fromHost("127.0.0.1");
     private FleetView view;
     private HttpListener callers;
@@ -68,7 +68,7 @@
     void start() throws Exception {
         holderAddress = HostAndPort.fromParts("127.0.0.1", freePort());
         HostAndPort callerAddress = HostAndPort.fromParts("127.0.0.1", freePort());
-        holder = new PeerServer(holderAddress, answersAs("holder"), group, LinkPolicy.OPEN, new PeerTraffic());
+        holder = new PeerServer(holderAddress, answerAs("holder"), group, LinkPolicy.OPEN, new PeerTraffic());
         holder.start();
         view = GatewayFixture.view(group, clock);
         Gateway gateway = new Gateway(
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void theWholeAnswerOfTheLeafIsPassedOn() throws Exception {
+    void theWholeAnswerOfTheLeafIsForwarded() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(203)
@@ -113,13 +113,13 @@
         assertThat(response.headers().firstValue("signature")).isEqualTo(Optional.of("stamp"));
         assertThat(response.headers().firstValue("x-own")).isEqualTo(Optional.of("kept"));
         assertThat(response.body()).isEqualTo("body");
-        StageCall call = requireNonNull(asked.get());
+        StageCall call = requireNonNull(lastCall.get());
         assertThat(call.getLeaf()).isEqualTo("i-1");
         assertThat(call.getWholeAnswer()).isTrue();
     }
 
     @Test
-    void aFailureOfTheLeafIsPassedOnAsItIs() throws Exception {
+    void aFailureOfTheLeafIsForwardedUnchanged() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(500)
@@ -129,9 +129,9 @@
         assertThat(get().statusCode()).isEqualTo(500);
     }
 
-    /** It must not run twice, and a lost link leaves open whether it ran. */
+    /** A lost connection leaves open whether the request ran, and it must not run twice. */
     @Test
-    void aRequestWhoseHolderFailsIsNotSaidToHaveNotRun() throws Exception {
+    void aLostHolderCallIsNotReportedAsNotRun() throws Exception {
         answer.set(StageResult.newBuilder()
                 .setStatus(StageResult.Status.FAILED)
                 .setLeafOutcome("BROKEN")
@@ -139,7 +139,7 @@
         assertThat(get().statusCode()).isEqualTo(502);
     }
 
-    /** A host that is behind reads a request late: the time that it waited is no longer its caller's. */
+    /** On a lagging host the time before a request is read counts against its deadline. */
     @Test
     void whatARequestWaitedHereIsTakenFromItsTime() throws Exception {
         answer.set(StageResult.newBuilder()
@@ -149,26 +149,26 @@
                 .addHeaderValues("stamp")
                 .build());
         long waitedMillis = 400;
-        behind(waitedMillis);
+        delayEventLoop(waitedMillis);
         assertThat(get(800).statusCode()).isEqualTo(200);
-        long leftMicros = requireNonNull(asked.get()).getDeadlineMicros();
+        long leftMicros = requireNonNull(lastCall.get()).getDeadlineMicros();
         assertThat(leftMicros).isAtMost(TimeUnit.MILLISECONDS.toMicros(800 - waitedMillis));
     }
 
     @Test
-    void aRequestWhoseTimeIsUpWhenItIsReadIsSentNowhere() throws Exception {
-        behind(400);
+    void aRequestThatExpiredBeforeItWasReadIsNotSent() throws Exception {
+        delayEventLoop(400);
         assertThat(get(300).statusCode()).isEqualTo(503);
-        assertThat(requireNonNull(asked.get()).getLeaf()).isEmpty();
+        assertThat(requireNonNull(lastCall.get()).getLeaf()).isEmpty();
     }
 
-    /** A host at a fifth of its speed is late with each call, while the one that stands in for it idles. */
+    /** Otherwise a lagging holder delays every call while its backup is idle. */
     @Test
-    void theCallsOfAHolderThatSaysThatItIsBehindGoToTheHostThatStandsInForIt() throws Exception {
+    void callsToALaggingHolderGoToItsBackup() throws Exception {
         HostAndPort otherAddress = HostAndPort.fromParts("127.0.0.1", freePort());
-        PeerServer other = new PeerServer(otherAddress, answersAs("other"), group, LinkPolicy.OPEN, new PeerTraffic());
+        PeerServer other = new PeerServer(otherAddress, answerAs("other"), group, LinkPolicy.OPEN, new PeerTraffic());
         other.start();
-        TableDelta both = tables(holderAddress.toString()).toBuilder()
+        TableDelta bothHolders = tables(holderAddress.toString()).toBuilder()
                 .setRevision(2)
                 .addHosts(HostRecord.newBuilder()
                         .setName("other")
@@ -178,30 +178,31 @@
                         .setEntry(true)
                         .setPhase(HostRecord.Phase.READY))
                 .build();
-        group.submit(() -> view.apply(both, Optional.of(configuration()))).get();
-        StageResult usual = StageResult.newBuilder()
+        group.submit(() -> view.apply(bothHolders, Optional.of(configuration())))
+                .get();
+        StageResult answerWithoutLag = StageResult.newBuilder()
                 .setStatus(StageResult.Status.ANSWERED)
                 .setStatusCode(200)
                 .addHeaderNames("signature")
                 .addHeaderValues("stamp")
                 .build();
-        answer.set(usual.toBuilder()
+        answer.set(answerWithoutLag.toBuilder()
                 .setLagMicros(TimeUnit.MILLISECONDS.toMicros(80))
                 .build());
         assertThat(get().statusCode()).isEqualTo(200);
-        answer.set(usual);
+        answer.set(answerWithoutLag);
         for (int call = 0; call < 3; call++) {
             assertThat(get().statusCode()).isEqualTo(200);
         }
         other.stop();
-        assertThat(ImmutableSet.copyOf(askedHosts)).hasSize(2);
-        assertThat(ImmutableSet.copyOf(askedHosts.subList(1, 4))).hasSize(1);
-        assertThat(askedHosts.get(0)).isNotEqualTo(askedHosts.get(1));
+        assertThat(ImmutableSet.copyOf(calledHosts)).hasSize(2);
+        assertThat(ImmutableSet.copyOf(calledHosts.subList(1, 4))).hasSize(1);
+        assertThat(calledHosts.get(0)).isNotEqualTo(calledHosts.get(1));
     }
 
-    /** Makes the host's regular task late, as it is on a processor that has too much to do. */
-    private void behind(long lateMillis) throws Exception {
-        long lateNanos = TimeUnit.MILLISECONDS.toNanos(lateMillis) + LagSamplingPeriod.BUSY_PERIOD.toNanos();
+    /** Simulates event-loop lag by reporting a periodic task as late. */
+    private void delayEventLoop(long delayMillis) throws Exception {
+        long lateNanos = TimeUnit.MILLISECONDS.toNanos(delayMillis) + LagSamplingPeriod.BUSY_PERIOD.toNanos();
         group.submit(() -> view.routing().eventLoopLag().onTaskRun(clock.nowNanos() - lateNanos))
                 .get();
     }
@@ -219,11 +220,11 @@
         return HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    private PeerHandler answersAs(String host) {
+    private PeerHandler answerAs(String host) {
         return (message, reply) -> {
             if (message.hasStageCall()) {
-                askedHosts.add(host);
-                asked.set(message.getStageCall());
+                calledHosts.add(host);
+                lastCall.set(message.getStageCall());
                 reply.accept(Envelope.newBuilder().setStageResult(requireNonNull(answer.get())));
             }
         };
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/StageServerTest.java
@@ -47,13 +47,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A host asks shards on behalf of others that have another version of the configuration in force: while a version
- * spreads, and while hosts are cut off from control, as 40 of 100 are in a recorded load.
+ * Guards against a host refusing or misdirecting calls from hosts with another version of the configuration, and
+ * against calls that waited too long.
  */
 final class StageServerTest {
     private static final int VERSION_HERE = 5;
-    private static final long NANOS_A_MICRO = 1_000;
-    private static final long MICROS_A_SECOND = Duration.ofSeconds(1).toNanos() / 1_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long MICROS_PER_SECOND = Duration.ofSeconds(1).toNanos() / 1_000;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final MonotonicClock clock = MonotonicClock.system();
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aRouteThatIsNotKnownHereIsServedAsTheCallDescribesIt() throws Exception {
+    void anUnknownRouteIsServedAsTheCallDescribesIt() throws Exception {
         StageResult result = call(query().setRoute("of-a-version-to-come"));
         assertThat(result.getStatus()).isEqualTo(StageResult.Status.ANSWERED);
     }
@@ -114,20 +114,17 @@
         assertThat(result.getStatus()).isEqualTo(StageResult.Status.NOT_RUN);
     }
 
-    /** A host that is behind must not talk others out of a leaf that has just come. */
+    /** A host with outdated tables must not report a new leaf as gone. */
     @Test
-    void aLeafThatIsNotKnownHereIsNotSaidToBeGone() throws Exception {
+    void aCallToAnUnknownLeafReportsNoConnection() throws Exception {
         StageResult result = call(query().clearServices().clearShards().setLeaf("i-new"));
         assertThat(result.getLeafOutcome()).isEqualTo(LeafOutcome.NO_CONNECTION.name());
         assertThat(result.getStatus()).isEqualTo(StageResult.Status.NOT_RUN);
     }
 
-    /**
-     * Otherwise it takes this host's silence for a failure and asks a third leaf: seven requests did so on a recorded
-     * day, where two are allowed.
-     */
+    /** Otherwise the calling host treats the silence as a failure and makes a third attempt, where two are allowed. */
     @Test
-    void whoAskedIsToldAtOnceThatACallWasPassedOn() throws Exception {
+    void progressIsReportedAtOnceForAForwardedCall() throws Exception {
         HostRecord other = HostRecord.newBuilder()
                 .setName("other")
                 .setPeerAddress("127.0.0.1:" + freePort())
@@ -136,7 +133,7 @@
                 .setEntry(true)
                 .setPhase(HostRecord.Phase.READY)
                 .build();
-        LeafRecord there = LeafRecord.newBuilder()
+        LeafRecord leafElsewhere = LeafRecord.newBuilder()
                 .setId("i-2")
                 .setService("s2")
                 .setAddress("127.0.0.1:1")
@@ -147,7 +144,7 @@
         TableDelta delta = TableDelta.newBuilder()
                 .setRevision(2)
                 .addHosts(other)
-                .addLeaves(there)
+                .addLeaves(leafElsewhere)
                 .setThroughHolders(true)
                 .build();
         group.submit(() -> view.apply(delta, Optional.empty())).get();
@@ -157,14 +154,14 @@
                 .setStageCall(query().clearServices().addServices("s2"))
                 .build();
         group.submit(() -> gateway.handle(message, first::complete)).get();
-        boolean toldAtOnce = group.submit(first::isDone).get();
-        assertThat(toldAtOnce).isTrue();
+        boolean reportedAtOnce = group.submit(first::isDone).get();
+        assertThat(reportedAtOnce).isTrue();
         assertThat(first.get().hasStageProgress()).isTrue();
     }
 
-    /** What has arrived at a host that is behind is read before the first of it is begun. */
+    /** Messages that have already arrived are read before the query starts. */
     @Test
-    void aQueryThatIsCancelledRightBehindItsCallReachesNoLeaf() throws Exception {
+    void aQueryThatIsCancelledAtOnceReachesNoLeaf() throws Exception {
         Envelope call = Envelope.newBuilder()
                 .setSender("127.0.0.1:2")
                 .setStageCall(query().setCall(9))
@@ -182,13 +179,10 @@
         assertThat(leafRequests.get()).isEqualTo(1);
     }
 
-    /**
-     * On a recorded day hosts were up to half a second behind: calls reached leafs after their callers had their
-     * answer, with time that had long passed, and as a third attempt.
-     */
+    /** Otherwise a lagging host sends calls after their deadline or as an additional attempt. */
     @Test
-    void aCallThatWaitedHereForLongIsNotRun() throws Exception {
-        behind(query().getHedgeDelayMicros() * NANOS_A_MICRO);
+    void aCallThatWaitedLongerThanTheHedgeDelayIsNotRun() throws Exception {
+        delayEventLoop(query().getHedgeDelayMicros() * NANOS_PER_MICRO);
         assertThat(call(query()).getStatus()).isEqualTo(StageResult.Status.NOT_RUN);
         assertThat(call(query().setLeaf("i-1").setDeadlineMicros(1)).getStatus())
                 .isEqualTo(StageResult.Status.NOT_RUN);
@@ -196,31 +190,31 @@
     }
 
     @Test
-    void theTimeThatACallWaitedHereIsTakenFromWhatItsLeafsAreGiven() throws Exception {
+    void waitingTimeIsSubtractedFromTheLeafDeadline() throws Exception {
         long waitedMillis = 400;
-        behind(TimeUnit.MILLISECONDS.toNanos(waitedMillis));
+        delayEventLoop(TimeUnit.MILLISECONDS.toNanos(waitedMillis));
         call(query());
-        long leftMillis = TimeUnit.MICROSECONDS.toMillis(query().getDeadlineMicros());
+        long deadlineMillis = TimeUnit.MICROSECONDS.toMillis(query().getDeadlineMicros());
         assertThat(leafMillis.get()).isGreaterThan(0);
-        assertThat(leafMillis.get()).isAtMost(leftMillis - waitedMillis);
+        assertThat(leafMillis.get()).isAtMost(deadlineMillis - waitedMillis);
     }
 
-    /** The host that asked may have asked a leaf itself by then, so that two here would be three. */
+    /** The calling host may have called a leaf itself by then, so two attempts here would make three. */
     @Test
-    void aCallThatWaitedHereForAMomentMakesOneAttemptLess() throws Exception {
+    void aCallThatWaitedBrieflyMakesOneAttemptLess() throws Exception {
         failing.set(true);
         call(query());
         assertThat(leafRequests.getAndSet(0)).isEqualTo(2);
-        behind(StageTiming.SILENCE_SLACK_NANOS + TimeUnit.MILLISECONDS.toNanos(20));
+        delayEventLoop(StageTiming.SILENCE_SLACK_NANOS + TimeUnit.MILLISECONDS.toNanos(20));
         call(query());
         assertThat(leafRequests.get()).isEqualTo(1);
     }
 
-    /** Makes the host's regular task late, as it is on a processor that has too much to do. */
-    private void behind(long lateNanos) throws Exception {
+    /** Simulates event-loop lag by reporting a periodic task as late. */
+    private void delayEventLoop(long delayNanos) throws Exception {
         group.submit(() -> {
                     EventLoopLag lag = view.routing().eventLoopLag();
-                    lag.onTaskRun(clock.nowNanos() - lateNanos - LagSamplingPeriod.BUSY_PERIOD.toNanos());
+                    lag.onTaskRun(clock.nowNanos() - delayNanos - LagSamplingPeriod.BUSY_PERIOD.toNanos());
                 })
                 .get();
     }
@@ -251,9 +245,9 @@
                 .addServices("s")
                 .setTopRecords(5)
                 .setMaxAttempts(2)
-                .setHedgeDelayMicros(MICROS_A_SECOND)
-                .setGoalMicros(2 * MICROS_A_SECOND)
-                .setDeadlineMicros(3 * MICROS_A_SECOND);
+                .setHedgeDelayMicros(MICROS_PER_SECOND)
+                .setGoalMicros(2 * MICROS_PER_SECOND)
+                .setDeadlineMicros(3 * MICROS_PER_SECOND);
     }
 
     private void answerAsLeaf(HttpExchange exchange) {
