--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/CallerAnswers.java
@@ -25,30 +25,24 @@
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
-    /** How many digits of a second tell milliseconds. */
-    private static final int MILLIS_DIGITS = 3;
-    /** No use in coming back: the answer will be the same. */
-    private static final Duration NEVER = Duration.ZERO;
-    /** When to come back if no leaf takes work, or keys are not known: a change takes about 0.3 s to be known. */
-    private static final Duration RETRY_SOON = Duration.ofMillis(200);
-    /**
-     * When to come back to a fleet whose hosts have just started: a host knows its tables about a second after its
-     * start, and a caller that comes back much sooner is only refused again.
-     */
-    private static final Duration RETRY_STARTED = Duration.ofMillis(700);
-    /** When to try another host: at once, since every answer of this one ends its connection. */
-    private static final Duration RETRY_ELSEWHERE = Duration.ofMillis(40);
-    /** When to come back after leafs were full or late: a few times the work of one request. */
+    /** Decimal places of seconds in the Retry-After field. */
+    private static final int MILLIS_SCALE = 3;
+    /** Omits the Retry-After field, since a retry would get the same answer. */
+    private static final Duration NO_RETRY = Duration.ZERO;
+    /** Covers the time in which a change of the tables reaches this host. */
+    private static final Duration RETRY_TABLE_CHANGE = Duration.ofMillis(200);
+    /** Delay after a start of the fleet, when a host needs about a second to receive its tables. */
+    private static final Duration RETRY_NOT_READY = Duration.ofMillis(700);
+    /** Short, since the next request goes to another host: this host closes the connection with each answer. */
+    private static final Duration RETRY_STOPPING = Duration.ofMillis(40);
+    /** Delay after leaves were full or late: a few times the duration of a request. */
     private static final Duration RETRY_BUSY = Duration.ofMillis(70);
 
-    /**
-     * When to come back with a request of which another is being tried: a third of the time for which nobody else may
-     * be tried, since an answer to that one lets others through at once.
-     */
+    /** Delay while another arrival of a suspect request is on trial: a fraction of the maximum duration of a trial. */
     private static final Duration RETRY_ON_TRIAL = Duration.ofMillis(350);
     /**
-     * When to come back with a request that is sent to no leaf: it stays so for an hour, unless it was taken for
-     * another, which shows within seconds.
+     * Delay for quarantined requests. They stay quarantined for an hour, but one that was quarantined in error is
+     * cleared within seconds.
      */
     private static final Duration RETRY_HARMFUL = Duration.ofSeconds(60);
 
@@ -57,8 +51,8 @@
     private final GatewayMetrics metrics;
     private final RandomGenerator random;
     private Runnable onNotRun = () -> {};
-    private Runnable onBroken = () -> {};
-    private Runnable onSurvived = () -> {};
+    private Runnable onDisconnected = () -> {};
+    private Runnable onSurvival = () -> {};
 
     CallerAnswers(HttpExchange exchange, CallHeaders names, GatewayMetrics metrics, RandomGenerator random) {
         this.exchange = exchange;
@@ -81,20 +75,20 @@
         exchange.respond(response);
     }
 
-    /** Passes on what a leaf answered. */
-    void pass(LeafAnswer answer) {
+    /** Forwards the answer of a leaf. */
+    void forward(LeafAnswer answer) {
         FullHttpResponse response = HttpExchange.response(
                 answer.status(), Unpooled.wrappedBuffer(answer.body().asReadOnlyByteBuffer()));
         LeafRequest.copyEndToEnd(answer.headers(), response.headers());
         metrics.recordForwardedAnswer(answer.status());
         if (answer.showsSurvival()) {
-            onSurvived.run();
+            onSurvival.run();
         }
         metrics.recordAnswer(exchange.receivedNanos());
         exchange.respond(response);
     }
 
-    /** Adds what to do if the request turns out not to have run. */
+    /** Adds a task to run if the request turns out not to have run. */
     void onNotRun(Runnable task) {
         Runnable before = onNotRun;
         onNotRun = () -> {
@@ -103,17 +97,17 @@
         };
     }
 
-    /** Sets what to do if a leaf has run the request and answered. */
-    void onSurvived(Runnable task) {
-        onSurvived = task;
+    /** Sets the task to run if a leaf has run the request and answered. */
+    void onSurvival(Runnable task) {
+        onSurvival = task;
     }
 
-    /** Sets what to do if the last call to a leaf broke and the request may have run. */
-    void onBroken(Runnable task) {
-        onBroken = task;
+    /** Sets the task to run if the connection of the last leaf call was lost and the request may have run. */
+    void onDisconnected(Runnable task) {
+        onDisconnected = task;
     }
 
-    /** Refuses a request and says when to come back. */
+    /** Refuses a request with the given Retry-After time. */
     void refuse(RefusalReason reason, Duration retryAfter) {
         refuse(reason, Optional.of(retryAfter));
     }
@@ -128,58 +122,65 @@
         if (reason.isNotRun()) {
             onNotRun.run();
         } else if (reason == RefusalReason.OUTCOME_UNKNOWN) {
-            onBroken.run();
+            onDisconnected.run();
         }
-        Told told =
+        RefusalResponse response =
                 switch (reason) {
-                    case NO_LEAF -> new Told(UNAVAILABLE, RETRY_SOON, "no leaf takes this request now");
+                    case NO_LEAF ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_TABLE_CHANGE, "no leaf takes this request now");
                     case NO_LEAF_AT_HOME ->
-                        new Told(UNAVAILABLE, RETRY_SOON, "no leaf where this may be served takes it now");
-                    case ALL_BUSY -> new Told(UNAVAILABLE, RETRY_BUSY, "every leaf is full");
+                        new RefusalResponse(
+                                UNAVAILABLE, RETRY_TABLE_CHANGE, "no leaf where this may be served takes it now");
+                    case ALL_BUSY -> new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "every leaf is full");
                     case HARMFUL ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
                                 RETRY_HARMFUL,
                                 "not run: requests like this one ended the leafs that ran them; ask the operator");
                     case ON_TRIAL ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
                                 RETRY_ON_TRIAL,
                                 "not run: leafs ended with requests like this one, and another one is being tried");
                     case UNKNOWN_KEY ->
-                        new Told(UNAUTHORIZED, NEVER, "a key of a team is needed; ask the operator for one");
+                        new RefusalResponse(
+                                UNAUTHORIZED, NO_RETRY, "a key of a team is needed; ask the operator for one");
                     case KEY_UNDECIDED ->
-                        new Told(
+                        new RefusalResponse(
                                 UNAVAILABLE,
-                                RETRY_SOON,
+                                RETRY_TABLE_CHANGE,
                                 "not run: this host does not know the key and may not know the newest ones");
                     case OVER_LIMIT ->
-                        new Told(TOO_MANY_REQUESTS, RETRY_BUSY, "the team has made as many requests as it may");
-                    case NO_ROOM -> new Told(UNAVAILABLE, RETRY_BUSY, "not run: there is no room for it in time");
-                    case EXPIRED -> new Told(UNAVAILABLE, RETRY_BUSY, "its time was up before it was looked at");
-                    case TIME_UP -> new Told(GATEWAY_TIMEOUT, RETRY_BUSY, "no answer in time; it may have run");
+                        new RefusalResponse(
+                                TOO_MANY_REQUESTS, RETRY_BUSY, "the team has made as many requests as it may");
+                    case NO_ROOM ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "not run: there is no room for it in time");
+                    case EXPIRED ->
+                        new RefusalResponse(UNAVAILABLE, RETRY_BUSY, "its time was up before it was looked at");
+                    case TIME_UP ->
+                        new RefusalResponse(GATEWAY_TIMEOUT, RETRY_BUSY, "no answer in time; it may have run");
                     case TOO_FEW_SHARDS, OUTCOME_UNKNOWN ->
-                        new Told(BAD_GATEWAY, RETRY_BUSY, "no whole answer came; it may have run");
+                        new RefusalResponse(BAD_GATEWAY, RETRY_BUSY, "no whole answer came; it may have run");
                 };
         refuse(
-                told.status(),
-                retryAfter.orElseGet(() -> RetryAfterJitter.spread(told.retryFrom(), random)),
-                told.text());
+                response.status(),
+                retryAfter.orElseGet(() -> RetryAfterJitter.spread(response.retryFrom(), random)),
+                response.text());
     }
 
-    /** Tells the caller that the request was not looked at and when to come back. */
-    void notReady() {
+    /** Refuses a request because this host does not have its configuration yet. */
+    void refuseNotReady() {
         refuse(
                 UNAVAILABLE,
-                RetryAfterJitter.spread(RETRY_STARTED, random),
+                RetryAfterJitter.spread(RETRY_NOT_READY, random),
                 "this host does not know its configuration yet; come back soon");
     }
 
-    /** Tells the caller that the request was not looked at, and to try another host. */
-    void stopping() {
+    /** Refuses a request because this host is stopping; the caller should use another host. */
+    void refuseStopping() {
         refuse(
                 UNAVAILABLE,
-                RetryAfterJitter.spread(RETRY_ELSEWHERE, random),
+                RetryAfterJitter.spread(RETRY_STOPPING, random),
                 "this host is stopping; another one takes the request");
     }
 
@@ -188,7 +189,7 @@
                 HttpExchange.response(status, Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
         if (!retryAfter.isZero()) {
-            response.headers().set(names.retryAfterSeconds(), seconds(retryAfter));
+            response.headers().set(names.retryAfterSeconds(), formatSeconds(retryAfter));
         }
         if (status == UNAUTHORIZED) {
             response.headers().set(HttpHeaderNames.WWW_AUTHENTICATE, CallerCheck.SCHEME);
@@ -197,14 +198,14 @@
         exchange.respond(response);
     }
 
-    private static String seconds(Duration time) {
-        return BigDecimal.valueOf(time.toMillis(), MILLIS_DIGITS).toPlainString();
+    private static String formatSeconds(Duration time) {
+        return BigDecimal.valueOf(time.toMillis(), MILLIS_SCALE).toPlainString();
     }
 
     /**
-     * What a caller is told of a refusal.
+     * The answer to a refused request.
      *
-     * @param retryFrom when it may come back at the earliest; callers are spread from there
+     * @param retryFrom the earliest time of a retry, to which jitter is added; zero if a retry is useless
      */
-    private record Told(int status, Duration retryFrom, String text) {}
+    private record RefusalResponse(int status, Duration retryFrom, String text) {}
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/SplitCursor.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/SplitCursor.java
@@ -5,47 +5,48 @@
 import org.bramblerack.version.routing.RouteTarget;
 
 /**
- * Divides the requests of one split among its services, each as evenly spread as its weight allows.
+ * Distributes the requests of a split target over its services by weight, each spread evenly.
  *
- * <p>After any number of requests each service has had its share of them to within two requests, and over a fleet whose
- * hosts begin anywhere the first requests of all hosts together are divided by weight as well. Owned by the event loop.
+ * <p>After any number of requests, the count of each service is within two requests of its share. Cursors start at
+ * random positions, so that the first requests of all hosts together are distributed by weight as well. Owned by the
+ * event loop.
  */
 final class SplitCursor {
-    /** More places to begin at than a fleet has hosts, at a cost far below a millisecond. */
-    private static final int BEGINNINGS = 1_000;
+    /** More than the number of hosts in a fleet, so that start positions rarely coincide. */
+    private static final int START_POSITIONS = 1_000;
 
     private final ImmutableList<RouteTarget.Share> shares;
     private final double[] credit;
-    private final long sum;
+    private final long totalWeight;
 
     SplitCursor(RouteTarget.Split split) {
         this.shares = split.shares();
         this.credit = new double[shares.size()];
-        this.sum = shares.stream().mapToLong(RouteTarget.Share::weight).sum();
+        this.totalWeight = shares.stream().mapToLong(RouteTarget.Share::weight).sum();
     }
 
     /**
-     * Creates a cursor that begins at a place drawn at random: hosts that all began with the same service would send it
-     * too much, the more hosts there are and the fewer requests each has.
+     * Creates a cursor at a random position. If all hosts started with the same service, that service would get too
+     * many of the first requests.
      */
-    static SplitCursor beginningAnywhere(RouteTarget.Split split, RandomGenerator random) {
+    static SplitCursor startingAtRandom(RouteTarget.Split split, RandomGenerator random) {
         SplitCursor cursor = new SplitCursor(split);
-        for (int step = random.nextInt(BEGINNINGS); step > 0; step--) {
-            var unused = cursor.next();
+        for (int step = random.nextInt(START_POSITIONS); step > 0; step--) {
+            var unused = cursor.nextService();
         }
         return cursor;
     }
 
-    boolean isOf(RouteTarget.Split split) {
+    boolean matches(RouteTarget.Split split) {
         return shares.equals(split.shares());
     }
 
-    /** Returns the service of the next request. */
-    String next() {
+    /** Returns the service of the next request and advances the cursor. */
+    String nextService() {
         int chosen = -1;
         for (int position = 0; position < credit.length; position++) {
             long weight = shares.get(position).weight();
-            credit[position] += (double) weight / sum;
+            credit[position] += (double) weight / totalWeight;
             if (weight > 0 && (chosen < 0 || credit[position] > credit[chosen])) {
                 chosen = position;
             }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -18,27 +18,27 @@
 import org.bramblerack.wire.StageProgress;
 import org.bramblerack.wire.StageResult;
 
-/** Has other hosts ask shards of one query. Owned by the event loop. */
+/** Delegates shards of one query to other hosts. Owned by the event loop. */
 final class StageCaller {
-    /** What a host takes to write and read the last word about a call that has no answer. */
-    private static final long LAST_WORD_SLACK_NANOS = Duration.ofMillis(5).toNanos();
+    /** Time for a host to write, and for this host to read, the final reply of a call without an answer. */
+    private static final long FINAL_REPLY_SLACK_NANOS = Duration.ofMillis(5).toNanos();
 
     private final StageCall call;
     private final ImmutableList<String> shardServices;
     private final RequestTimes times;
     private final StageLinks links;
-    private final HomeRegions homes;
+    private final HomeRegions homeRegions;
     private final MonotonicClock clock;
     private final GatewayMetrics metrics;
-    private final Runnable survived;
-    private final Map<StageAttempt, Sent> underWay = new HashMap<>();
+    private final Runnable onSurvival;
+    private final Map<StageAttempt, PendingCall> pending = new HashMap<>();
 
     /**
-     * Creates a caller.
+     * Creates a caller for one query.
      *
-     * @param call what all hosts are told of the query; shards and times are added for each
+     * @param call the template of the calls to other hosts; shards and time limits are added for each
      * @param shardServices the services that are the shards of the query, in their order
-     * @param survived is run when leafs have answered the query elsewhere
+     * @param onSurvival runs when leaves called by another host have answered the query
      */
     StageCaller(
             StageCall call,
@@ -47,153 +47,153 @@
             StageLinks links,
             MonotonicClock clock,
             GatewayMetrics metrics,
-            Runnable survived) {
+            Runnable onSurvival) {
         this.call = call;
         this.shardServices = shardServices;
         this.times = times;
         this.links = links;
-        this.homes = HomeRegions.of(call.getHomeRegionsList());
+        this.homeRegions = HomeRegions.of(call.getHomeRegionsList());
         this.clock = clock;
         this.metrics = metrics;
-        this.survived = survived;
+        this.onSurvival = onSurvival;
     }
 
-    /** Returns what all hosts are told of the query. */
+    /** Returns the template of the calls to other hosts. */
     StageCall query() {
         return call;
     }
 
-    /** Takes what comes of a stage. */
-    interface Taker {
-        /** Takes word that the host is at work, and at which shards it asked second leafs. */
-        void progressed(StageAttempt stage, List<Integer> askedTwice);
+    /** Receives the events of stages. */
+    interface Listener {
+        /** Handles a progress report of a host, with the shards at which it called a second leaf. */
+        void onProgress(StageAttempt stage, List<Integer> hedgedShards);
 
-        /** Takes what the host gathered so far. */
-        void brought(StageAttempt stage, StageReply piece);
+        /** Handles a partial result. */
+        void onPartial(StageAttempt stage, StageReply partial);
 
-        /** Takes the last of what the host gathered. */
-        void answered(StageAttempt stage, StageReply reply);
+        /** Handles the final reply. */
+        void onReply(StageAttempt stage, StageReply reply);
 
-        /** Takes a failure; {@code notRun} is true if no leaf was asked. */
-        void failed(StageAttempt stage, boolean notRun);
+        /** Handles a failure; {@code notRun} is true if no leaf was called. */
+        void onFailure(StageAttempt stage, boolean notRun);
     }
 
-    void call(StageAttempt stage, Taker taker) {
+    void call(StageAttempt stage, Listener listener) {
         StageLinks.Link link = links.link(stage.host());
-        Sent sent = new Sent(link, links.nextCall());
-        underWay.put(stage, sent);
+        PendingCall pendingCall = new PendingCall(link, links.nextCallNumber());
+        pending.put(stage, pendingCall);
         Duration wait = Duration.ofNanos(Math.max(1, times.deadlineNanos() - clock.nowNanos()));
-        link.begin();
+        link.onCallStarted();
         links.callStage(
                         link,
-                        homes,
-                        () -> message(stage, sent),
+                        homeRegions,
+                        () -> message(stage, pendingCall),
                         wait,
-                        progress -> progressed(stage, progress.getStageProgress(), taker))
+                        progress -> onProgress(stage, progress.getStageProgress(), listener))
                 .subscribe()
-                .with(reply -> take(stage, link, reply.getStageResult(), taker), failure -> {
-                    end(stage, link, false);
-                    if (!sent.givenUp) {
+                .with(reply -> onResult(stage, link, reply.getStageResult(), listener), failure -> {
+                    endCall(stage, link, false);
+                    if (!pendingCall.abandoned) {
                         link.suspect(clock.nowNanos());
                     }
                     boolean notSent = failure instanceof PeerFailure peer && peer.kind() == PeerFailure.Kind.NOT_SENT;
-                    taker.failed(stage, notSent);
+                    listener.onFailure(stage, notSent);
                 });
     }
 
-    private StageCall.Builder message(StageAttempt stage, Sent sent) {
-        sent.made = true;
-        if (sent.givenUp) {
-            // Its caller may have been told that it was sent to no leaf: a call without shards is refused.
-            return call.toBuilder().clearShards().clearServices().setCall(sent.number);
+    private StageCall.Builder message(StageAttempt stage, PendingCall pendingCall) {
+        pendingCall.messageCreated = true;
+        if (pendingCall.abandoned) {
+            // The query may have been reported as not run: a call without shards is refused.
+            return call.toBuilder().clearShards().clearServices().setCall(pendingCall.number);
         }
         long nowNanos = clock.nowNanos();
-        long roundTripNanos = sent.link.roundTripNanos();
+        long roundTripNanos = pendingCall.link.roundTripNanos();
         long goalNanos = StageTiming.remoteGoalNanos(times.goalNanos() - nowNanos, roundTripNanos);
-        // Its last word, which may be that it sent nothing, is to be here when the caller is answered.
-        long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - LAST_WORD_SLACK_NANOS;
+        // The final reply, which may report that nothing was sent, must arrive before the caller is answered.
+        long deadlineNanos = times.deadlineNanos() - nowNanos - roundTripNanos - FINAL_REPLY_SLACK_NANOS;
         return call.toBuilder()
                 .addAllShards(stage.shards())
                 .addAllServices(Lists.transform(stage.shards(), shardServices::get))
-                .addAllPassedOver(links.passedOver())
-                .setCall(sent.number)
+                .addAllPassedOver(links.skippedHosts())
+                .setCall(pendingCall.number)
                 .setGoalMicros(TimeUnit.NANOSECONDS.toMicros(goalNanos))
                 .setDeadlineMicros(TimeUnit.NANOSECONDS.toMicros(deadlineNanos));
     }
 
-    /** Leaves a host alone for a while that is silent for too long; its reply still counts if it comes. */
+    /** Avoids for a while a host that has been silent for too long; its reply still counts if it comes. */
     void suspect(StageAttempt stage) {
         links.link(stage.host()).suspect(clock.nowNanos());
     }
 
     /**
-     * Tells a host that nobody waits for its reply any more, so that it owes none.
+     * Notifies the host of a stage that its reply is no longer needed.
      *
      * @return true if the call was never sent, and will not be
      */
-    boolean giveUp(StageAttempt stage) {
-        Sent sent = underWay.get(stage);
-        if (sent == null) {
+    boolean abandon(StageAttempt stage) {
+        PendingCall pendingCall = pending.get(stage);
+        if (pendingCall == null) {
             return false;
         }
-        sent.givenUp = true;
-        links.cancel(sent.link, sent.number);
-        return !sent.made;
+        pendingCall.abandoned = true;
+        links.cancel(pendingCall.link, pendingCall.number);
+        return !pendingCall.messageCreated;
     }
 
-    private void progressed(StageAttempt stage, StageProgress progress, Taker taker) {
-        links.link(stage.host()).told(progress.getLagMicros(), clock.nowNanos());
-        taker.progressed(stage, progress.getAskedTwiceList());
+    private void onProgress(StageAttempt stage, StageProgress progress, Listener listener) {
+        links.link(stage.host()).recordLag(progress.getLagMicros(), clock.nowNanos());
+        listener.onProgress(stage, progress.getAskedTwiceList());
         boolean matches = progress.getShardsCount() == progress.getSignaturesCount();
         if (progress.getShardsCount() > 0 && matches) {
-            survived.run();
-            taker.brought(
+            onSurvival.run();
+            listener.onPartial(
                     stage,
-                    parts(progress.getShardsList(), progress.getSignaturesList(), List.of(), progress.getRecords()));
+                    toReply(progress.getShardsList(), progress.getSignaturesList(), List.of(), progress.getRecords()));
         }
     }
 
-    private void take(StageAttempt stage, StageLinks.Link link, StageResult result, Taker taker) {
+    private void onResult(StageAttempt stage, StageLinks.Link link, StageResult result, Listener listener) {
         boolean answered = result.getStatus() == StageResult.Status.ANSWERED
                 && result.getShardsCount() == result.getSignaturesCount();
-        link.told(result.getLagMicros(), clock.nowNanos());
-        end(stage, link, answered);
+        link.recordLag(result.getLagMicros(), clock.nowNanos());
+        endCall(stage, link, answered);
         if (answered && result.getShardsCount() > 0) {
-            survived.run();
+            onSurvival.run();
         }
         if (answered) {
-            taker.answered(
+            listener.onReply(
                     stage,
-                    parts(
+                    toReply(
                             result.getShardsList(),
                             result.getSignaturesList(),
                             result.getNotSentList(),
                             result.getRecords()));
         } else {
-            taker.failed(stage, result.getStatus() == StageResult.Status.NOT_RUN);
+            listener.onFailure(stage, result.getStatus() == StageResult.Status.NOT_RUN);
         }
     }
 
-    private static StageReply parts(
+    private static StageReply toReply(
             List<Integer> shards, List<String> signatures, List<Integer> notSent, ByteString records) {
         return new StageReply(
                 ImmutableList.copyOf(shards), ImmutableList.copyOf(signatures), ImmutableList.copyOf(notSent), records);
     }
 
-    private void end(StageAttempt stage, StageLinks.Link link, boolean answered) {
-        underWay.remove(stage);
-        link.end();
+    private void endCall(StageAttempt stage, StageLinks.Link link, boolean answered) {
+        pending.remove(stage);
+        link.onCallEnded();
         metrics.recordStage(answered);
     }
 
-    /** A call that was sent and not answered yet. */
-    private static final class Sent {
+    /** A call that has no final reply yet. */
+    private static final class PendingCall {
         private final StageLinks.Link link;
         private final long number;
-        private boolean givenUp;
-        private boolean made;
+        private boolean abandoned;
+        private boolean messageCreated;
 
-        Sent(StageLinks.Link link, long number) {
+        PendingCall(StageLinks.Link link, long number) {
             this.link = link;
             this.number = number;
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -34,21 +34,22 @@
 import org.bramblerack.wire.StageResult;
 
 /**
- * Runs scattered queries near the leafs on behalf of other hosts.
+ * Runs scattered queries and single leaf calls on behalf of other hosts.
  *
- * <p>Which shards a query has is said by the host that took it from its caller, whichever version of the configuration
- * is in force here: while a version spreads, or hosts are cut off from control, hosts differ. Owned by the event loop.
+ * <p>The calling host names the shards of a query, independent of the version of the configuration in force on this
+ * host: versions differ between hosts while a new one spreads or a host is cut off from control. Owned by the event
+ * loop.
  */
 final class StageServer {
     private final FleetView view;
     private final QueryRuns runs;
     private final CallHeaders names;
-    private final FinalizeLead sealLead;
+    private final FinalizeLead finalizeLead;
     private final MonotonicClock clock;
     private final EventLoop loop;
     private final HeldLeafCalls leafCalls;
     private final StageCalls calls = new StageCalls();
-    private boolean refusesWork;
+    private boolean refusingWork;
 
     StageServer(
             FleetView view,
@@ -60,44 +61,44 @@
         this.view = view;
         this.runs = runs;
         this.names = names;
-        this.sealLead = sealLead;
+        this.finalizeLead = sealLead;
         this.clock = clock;
         this.loop = loop;
         this.leafCalls = new HeldLeafCalls(view, clock);
     }
 
-    /** Refuses new queries from now on; those under way are finished. */
+    /** Refuses new queries; queries in flight are finished. */
     void refuseWork() {
-        refusesWork = true;
+        refusingWork = true;
     }
 
-    /** Gives up a call of another host that nobody waits for any more. */
+    /** Cancels a call of another host whose result is no longer needed. */
     void cancel(String sender, StageCancel cancel) {
         calls.cancel(sender, cancel.getCall());
     }
 
     /**
-     * Runs a query, or asks the one leaf that is named, and replies.
+     * Runs a query, or calls the one leaf that is named, and replies.
      *
-     * <p>A query begins once everything that has arrived was read: on a host that is behind, as just after a start, the
-     * word that nobody waits for it any more is often among that.
+     * <p>A query starts after all messages that have arrived were read, since on a lagging host its cancellation may be
+     * among them.
      */
-    void handle(String sender, StageCall call, Consumer<Envelope.Builder> plainReply) {
-        Consumer<Envelope.Builder> reply = message -> plainReply.accept(withLag(message));
+    void handle(String sender, StageCall call, Consumer<Envelope.Builder> sendReply) {
+        Consumer<Envelope.Builder> reply = message -> sendReply.accept(withLag(message));
         Consumer<Envelope.Builder> lastReply = message -> {
             calls.end(sender, call.getCall());
             reply.accept(message);
         };
-        HomeRegions homes = homes(call);
+        HomeRegions homeRegions = homeRegions(call);
         LeafRequest request = LeafRequest.create(
                 call.getMethod(),
                 call.getUri(),
                 headers(call),
                 call.getBody().toByteArray(),
-                homes,
+                homeRegions,
                 call.getTeam(),
                 names);
-        // Its times count from when it came, so that no leaf is given more time than the caller has left.
+        // Time limits count from the arrival of the call, so that no leaf gets more time than the caller has left.
         long arrivedNanos = view.routing().eventLoopLag().arrivalNanos(clock.nowNanos());
         if (call.getLeaf().isEmpty()) {
             AtomicBoolean cancelled = new AtomicBoolean();
@@ -105,22 +106,22 @@
             loop.execute(() -> {
                 if (!cancelled.get()) {
                     calls.end(sender, call.getCall());
-                    runQuery(sender, call, homes, arrivedNanos, request, reply, lastReply);
+                    runQuery(sender, call, homeRegions, arrivedNanos, request, reply, lastReply);
                 }
             });
         } else {
-            AtomicBoolean over = new AtomicBoolean();
-            Runnable giveUp = leafCalls.ask(call, arrivedNanos, request, message -> {
-                over.set(true);
+            AtomicBoolean ended = new AtomicBoolean();
+            Runnable cancelTask = leafCalls.call(call, arrivedNanos, request, message -> {
+                ended.set(true);
                 lastReply.accept(message);
             });
-            if (!over.get()) {
-                calls.begin(sender, call.getCall(), giveUp);
+            if (!ended.get()) {
+                calls.begin(sender, call.getCall(), cancelTask);
             }
         }
     }
 
-    /** Adds how far this host is behind, so that others know which host has room. */
+    /** Adds the event-loop lag of this host, by which other hosts avoid lagging hosts. */
     private Envelope.Builder withLag(Envelope.Builder message) {
         long lagMicros =
                 TimeUnit.NANOSECONDS.toMicros(view.routing().eventLoopLag().averageLagNanos());
@@ -132,16 +133,16 @@
         return message;
     }
 
-    /** Runs a query and replies, with word of progress before if shards are asked twice. */
+    /** Runs a query and replies; reports progress before the reply if shards are hedged. */
     private void runQuery(
             String sender,
             StageCall call,
-            HomeRegions homes,
+            HomeRegions homeRegions,
             long arrivedNanos,
             LeafRequest request,
             Consumer<Envelope.Builder> reply,
             Consumer<Envelope.Builder> lastReply) {
-        Optional<String> refusal = refusal(call, homes, request, arrivedNanos);
+        Optional<String> refusal = refusalReason(call, homeRegions, request, arrivedNanos);
         if (refusal.isPresent()) {
             reply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
@@ -154,13 +155,13 @@
                 arrivedNanos + TimeUnit.MICROSECONDS.toNanos(call.getDeadlineMicros()),
                 arrivedNanos + TimeUnit.MICROSECONDS.toNanos(call.getDeadlineMicros()));
         int maxAttempts = maxAttempts(call, arrivedNanos);
-        // However little is in is sent back, since only the host that asked knows the rest.
+        // Any partial result is returned, since only the calling host knows the other shards.
         RouteTarget.Scatter target =
                 new RouteTarget.Scatter(ImmutableList.copyOf(call.getServicesList()), call.getTopRecords(), 0);
-        ScatterRun run = runs.scatterHere(
+        ScatterRun run = runs.scatterForHost(
                 new RoutedCall(
-                        // Says the homes and the rank, also those of the team.
-                        route(call, target, homes, maxAttempts),
+                        // The route includes the home regions and the priority of the team.
+                        route(call, target, homeRegions, maxAttempts),
                         CallerIdentity.ANONYMOUS,
                         call.getConfigurationVersion(),
                         request,
@@ -169,11 +170,11 @@
                 target,
                 TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros()),
                 !call.getPassedOn(),
-                runs.stageCaller(passedOn(call, homes, maxAttempts), target.shards(), times, request),
-                new Replier(reply, lastReply, call.getShardsList(), sender));
-        run.onStillAtWork(() -> reply.accept(Envelope.newBuilder()
+                runs.stageCaller(forwardedCall(call, homeRegions, maxAttempts), target.shards(), times, request),
+                new ReplySink(reply, lastReply, call.getShardsList(), sender));
+        run.onProgress(() -> reply.accept(Envelope.newBuilder()
                 .setStageProgress(StageProgress.newBuilder()
-                        .addAllAskedTwice(translate(run.askedTwice(), call.getShardsList())))));
+                        .addAllAskedTwice(toQueryShards(run.hedgedShards(), call.getShardsList())))));
         run.start();
         if (!run.isOver()) {
             calls.begin(sender, call.getCall(), run::callerGone);
@@ -181,11 +182,13 @@
     }
 
     /**
-     * Returns why a call is not run, if it is not. One that waited here for longer than the host that asked waits for a
-     * first word is asked elsewhere by now; begun all the same, it would take one leaf more than the route allows.
+     * Returns why a call is not run, or empty if it is. A call that waited here for longer than the calling host waits
+     * for progress is refused: the calling host has called other leaves by then, and running it as well would exceed
+     * the attempts of the route.
      */
-    private Optional<String> refusal(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
-        if (refusesWork) {
+    private Optional<String> refusalReason(
+            StageCall call, HomeRegions homeRegions, LeafRequest request, long arrivedNanos) {
+        if (refusingWork) {
             return Optional.of("this host is stopping");
         }
         if (!namesShards(call)) {
@@ -194,19 +197,19 @@
         if (view.harmFilter().permission(request::fingerprints) == Permission.QUARANTINED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
-        if (homes.allowsNone()) {
+        if (homeRegions.allowsNone()) {
             return Optional.of("no region may serve the route by all that hosts know of it");
         }
         long waitedNanos = clock.nowNanos() - arrivedNanos;
-        boolean givenUp = waitedNanos >= TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros());
-        return givenUp ? Optional.of("this host is behind") : Optional.empty();
+        boolean tooLate = waitedNanos >= TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros());
+        return tooLate ? Optional.of("this host is behind") : Optional.empty();
     }
 
     /**
-     * Returns the regions that may serve a call: those that the host that asked knows of its route and its team and
-     * those that this host does, since for a moment the two may follow different versions of the configuration.
+     * Returns the regions that may serve a call: those that both the calling host and this host allow for its route and
+     * its team, since the two may use different versions of the configuration.
      */
-    private HomeRegions homes(StageCall call) {
+    private HomeRegions homeRegions(StageCall call) {
         RoutingConfiguration known = view.configuration();
         HomeRegions ofRoute =
                 known.routeNamed(call.getRoute()).map(Route::homeRegions).orElse(HomeRegions.ANY);
@@ -216,22 +219,24 @@
     }
 
     /**
-     * Returns how many leafs of a shard may be asked here. The host that asked makes an attempt of its own if it waits
-     * for the first word longer than it allows for the way: then a call that waited here has one left.
+     * Returns how many leaves of a shard this host may call. If the call waited longer than the slack of the silence
+     * timeout, the calling host may make one attempt itself, so that one less is left.
      */
     private int maxAttempts(StageCall call, long arrivedNanos) {
         boolean waited = clock.nowNanos() - arrivedNanos > StageTiming.SILENCE_SLACK_NANOS;
         return waited ? Math.max(1, call.getMaxAttempts() - 1) : call.getMaxAttempts();
     }
 
-    /** Returns what hosts are told that are asked in turn; shards and times are added for each. */
-    private static StageCall passedOn(StageCall call, HomeRegions homes, int maxAttempts) {
+    /**
+     * Returns the template of the calls that forward a call to other hosts; shards and time limits are added for each.
+     */
+    private static StageCall forwardedCall(StageCall call, HomeRegions homeRegions, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
                 .clearServices()
                 .setMaxAttempts(maxAttempts)
                 .clearHomeRegions()
-                .addAllHomeRegions(homes.regions())
+                .addAllHomeRegions(homeRegions.regions())
                 .setPassedOn(true)
                 .build();
     }
@@ -246,15 +251,16 @@
     }
 
     /**
-     * Returns the route of a call as it is here, or as the call describes it if it is not known here (any more).
+     * Returns the route of a call by the configuration of this host, or as the call describes it if the route is
+     * unknown here or differs.
      *
-     * <p>Evidence of how long calls take is kept by its name.
+     * <p>The latencies of calls are recorded under the name of the route.
      */
-    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homes, int maxAttempts) {
+    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homeRegions, int maxAttempts) {
         return view.configuration()
                 .routeNamed(call.getRoute())
                 .filter(known -> known.maxAttempts() == maxAttempts
-                        && known.homeRegions().equals(homes)
+                        && known.homeRegions().equals(homeRegions)
                         && known.priority() == call.getPriority())
                 .orElseGet(() -> new Route(
                         call.getRoute(),
@@ -266,17 +272,17 @@
                         Math.max(0, call.getPriority()),
                         maxAttempts,
                         target,
-                        homes));
+                        homeRegions));
     }
 
-    /** Returns how long after a call came what is in by then is sent; on a host that is behind, earlier. */
+    /** Returns how long after its arrival the answer to a call is due; earlier if this host lags. */
     private long goalNanos(StageCall call) {
         Duration goal = Duration.ofNanos(Math.max(0, TimeUnit.MICROSECONDS.toNanos(call.getGoalMicros())));
-        return StageTiming.localGoalNanos(goal.toNanos(), sealLead.overrunNanos(goal));
+        return StageTiming.localGoalNanos(goal.toNanos(), finalizeLead.overrunNanos(goal));
     }
 
-    /** Turns the numbers of shards of a part into those of the whole. */
-    private static ImmutableList<Integer> translate(List<Integer> numbers, List<Integer> shards) {
+    /** Translates shard numbers within a stage to those of the whole query. */
+    private static ImmutableList<Integer> toQueryShards(List<Integer> numbers, List<Integer> shards) {
         return numbers.stream().map(shards::get).collect(ImmutableList.toImmutableList());
     }
 
@@ -289,37 +295,37 @@
         return headers;
     }
 
-    /** Sends the end of a query back to the host that asked. */
-    private record Replier(
-            Consumer<Envelope.Builder> progress,
-            Consumer<Envelope.Builder> reply,
+    /** Sends partial results and the final result of a query to the calling host. */
+    private record ReplySink(
+            Consumer<Envelope.Builder> sendProgress,
+            Consumer<Envelope.Builder> sendReply,
             List<Integer> shards,
             String onBehalfOf)
             implements AnswerSink {
         @Override
-        public void deliverPiece(MergedAnswer piece) {
-            progress.accept(Envelope.newBuilder()
+        public void deliverPartial(MergedAnswer partial) {
+            sendProgress.accept(Envelope.newBuilder()
                     .setStageProgress(StageProgress.newBuilder()
-                            .addAllSignatures(piece.signatures())
-                            .addAllShards(translate(piece.shards(), shards))
-                            .setRecords(piece.records())));
+                            .addAllSignatures(partial.signatures())
+                            .addAllShards(toQueryShards(partial.shards(), shards))
+                            .setRecords(partial.records())));
         }
 
         @Override
         public void deliver(MergedAnswer answer) {
-            reply.accept(Envelope.newBuilder()
+            sendReply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
                             .setStatus(StageResult.Status.ANSWERED)
                             .addAllSignatures(answer.signatures())
-                            .addAllShards(translate(answer.shards(), shards))
-                            .addAllNotSent(translate(answer.notSent(), shards))
+                            .addAllShards(toQueryShards(answer.shards(), shards))
+                            .addAllNotSent(toQueryShards(answer.notSent(), shards))
                             .setRecords(answer.records())));
         }
 
         @Override
         public void refuse(RefusalReason reason) {
             StageResult.Status status = reason.isNotRun() ? StageResult.Status.NOT_RUN : StageResult.Status.FAILED;
-            reply.accept(Envelope.newBuilder()
+            sendReply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder().setStatus(status).setReason(reason.name())));
         }
     }
