--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/DemoPlan.java
@@ -16,9 +16,9 @@
 import org.bramblerack.daemon.control.FileLogStore;
 
 /**
- * The hosts, ports and files of the demonstration, in a folder of their own.
+ * Generates the settings, declarations and credentials of the demonstration in one folder, with free ports.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class DemoPlan {
     static final ImmutableList<String> PARTNERS = ImmutableList.of("sagarmatha", "spinifex");
@@ -41,32 +41,38 @@
         this.examples = examples;
     }
 
-    /** Writes every file. */
+    /**
+     * Writes the files and initializes the state of the control hosts.
+     *
+     * <p>The file {@code processes} lists the name and the arguments of each process to start; {@code addresses} lists
+     * the name and the HTTP address of each process.
+     */
     void write() throws IOException {
         Files.createDirectories(folder);
         List<String> processes = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (String partner : PARTNERS) {
-            String control = "127.0.0.1:" + FreePorts.next();
+            String controlAddress = "127.0.0.1:" + FreePorts.next();
             Path declaration = folder.resolve(partner + ".json");
             TextFiles.write(declaration, withFreePorts(TextFiles.read(examples.resolve(partner + ".json"))));
             TextFiles.write(folder.resolve(partner + ".credential"), credential(partner) + "\n");
-            processes.add("stand-in-" + partner + " stand-in --declaration " + declaration + " --control " + control);
-            addresses.add("stand-in-" + partner + " " + control);
+            processes.add(
+                    "stand-in-" + partner + " stand-in --declaration " + declaration + " --control " + controlAddress);
+            addresses.add("stand-in-" + partner + " " + controlAddress);
         }
         Map<String, Integer> peerPorts = new HashMap<>();
         for (PlannedHost host : HOSTS) {
             peerPorts.put(host.name(), FreePorts.next());
         }
         for (PlannedHost host : HOSTS) {
-            String caller = "127.0.0.1:" + FreePorts.next();
+            String callerAddress = "127.0.0.1:" + FreePorts.next();
             Path settings = folder.resolve(host.name() + ".json");
-            TextFiles.write(settings, settings(host, caller, peerPorts));
+            TextFiles.write(settings, settings(host, callerAddress, peerPorts));
             if (host.control()) {
                 new FileLogStore(dataFolder(host).resolve("control")).initialize();
             }
             processes.add(host.name() + " serve --lag-ms 500 --settings " + settings);
-            addresses.add(host.name() + " " + caller);
+            addresses.add(host.name() + " " + callerAddress);
         }
         TextFiles.write(folder.resolve("processes"), String.join("\n", processes) + "\n");
         TextFiles.write(folder.resolve("addresses"), String.join("\n", addresses) + "\n");
@@ -76,7 +82,7 @@
         return "demonstration-credential-of-" + partner;
     }
 
-    private String settings(PlannedHost host, String caller, Map<String, Integer> peerPorts) {
+    private String settings(PlannedHost host, String callerAddress, Map<String, Integer> peerPorts) {
         StringBuilder text = new StringBuilder();
         text.append("// Settings of ").append(host.name()).append(" in the demonstration.\n{\n");
         text.append("  \"formatVersion\": 1,\n");
@@ -86,7 +92,7 @@
         text.append("  \"roles\": [\"entry\"")
                 .append(host.control() ? ", \"control\"" : "")
                 .append("],\n");
-        text.append("  \"callerAddress\": \"").append(caller).append("\",\n");
+        text.append("  \"callerAddress\": \"").append(callerAddress).append("\",\n");
         text.append("  \"peerAddress\": \"127.0.0.1:")
                 .append(peerPorts.get(host.name()))
                 .append("\",\n");
@@ -106,11 +112,11 @@
             text.append(digest).append("\" },\n");
         }
         text.append("  ],\n  \"hosts\": [\n");
-        for (PlannedHost each : HOSTS) {
-            text.append("    { \"name\": \"").append(each.name()).append("\", \"zone\": \"");
-            text.append(each.zone()).append("\", \"peerAddress\": \"127.0.0.1:");
-            text.append(peerPorts.get(each.name())).append("\", \"control\": ");
-            text.append(each.control()).append(" },\n");
+        for (PlannedHost peer : HOSTS) {
+            text.append("    { \"name\": \"").append(peer.name()).append("\", \"zone\": \"");
+            text.append(peer.zone()).append("\", \"peerAddress\": \"127.0.0.1:");
+            text.append(peerPorts.get(peer.name())).append("\", \"control\": ");
+            text.append(peer.control()).append(" },\n");
         }
         return text.append("  ],\n}\n").toString();
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/StandInCommand.java
@@ -15,7 +15,7 @@
 import org.bramblerack.version.Declaration;
 import org.bramblerack.version.DeclarationReader;
 
-/** Runs stand-ins for the upstreams of a declaration. */
+/** Runs stand-ins for the upstreams of a declaration until a termination signal arrives. */
 final class StandInCommand implements Command {
     private static final String DEFAULT_SERVICE_MICROS = "3000";
     private static final String DEFAULT_SEED = "1";
@@ -32,16 +32,20 @@
 
     @Override
     public String summary() {
-        return "Runs stand-ins for all upstreams of a declaration, for trying things out.";
+        return "Runs stand-ins for all upstreams of a declaration, for tests and experiments.";
     }
 
     @Override
     public Options options() {
         return new Options()
-                .addRequiredOption(null, "declaration", true, "the declaration whose upstreams to stand in for")
-                .addRequiredOption(null, "control", true, "where their behaviour is set (docs/STAND-INS.md)")
-                .addOption(null, "service-us", true, "how long a call takes, in microseconds")
-                .addOption(null, "seed", true, "the seed of their randomness");
+                .addRequiredOption(null, "declaration", true, "the declaration whose upstreams are simulated")
+                .addRequiredOption(
+                        null,
+                        "control",
+                        true,
+                        "the address that accepts changes of their behaviour (docs/STAND-INS.md)")
+                .addOption(null, "service-us", true, "the service time of a call, in microseconds")
+                .addOption(null, "seed", true, "the random seed of their behaviour");
     }
 
     @Override
@@ -50,19 +54,19 @@
         Either<ImmutableList<ValidationError>, Declaration> declaration =
                 DeclarationReader.read(TextFiles.read(Path.of(file)));
         if (declaration.isLeft()) {
-            Faults.print(file, declaration.getLeft(), out);
+            ValidationErrors.print(file, declaration.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        int serviceMicros = (int) Math.max(1, Arguments.number(line, "service-us", DEFAULT_SERVICE_MICROS));
-        StandInFleet fleet =
-                new StandInFleet(declaration.get(), serviceMicros, Arguments.number(line, "seed", DEFAULT_SEED));
+        int serviceMicros = (int) Math.max(1, Arguments.nonNegativeLong(line, "service-us", DEFAULT_SERVICE_MICROS));
+        StandInFleet fleet = new StandInFleet(
+                declaration.get(), serviceMicros, Arguments.nonNegativeLong(line, "seed", DEFAULT_SEED));
         fleet.start();
         fleet.startControl(Arguments.address(line, "control"));
         out.println("stand-ins of " + declaration.get().partner() + " are ready");
         out.flush();
-        CountDownLatch ended = new CountDownLatch(1);
-        TerminationSignal.onSignals(ended::countDown, ended::countDown);
-        ended.await();
+        CountDownLatch terminated = new CountDownLatch(1);
+        TerminationSignal.onSignals(terminated::countDown, terminated::countDown);
+        terminated.await();
         fleet.stop();
         return ExitCode.OK;
     }
