--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Arguments.java
@@ -6,16 +6,16 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.ParseException;
 
-/** Reads typed values off a command line. Stateless. */
+/** Parses typed values from a command line. Stateless. */
 final class Arguments {
     private Arguments() {}
 
-    static Duration millis(CommandLine line, String option, String fallback) throws ParseException {
-        return Duration.ofMillis(number(line, option, fallback));
+    static Duration millis(CommandLine line, String option, String defaultValue) throws ParseException {
+        return Duration.ofMillis(nonNegativeLong(line, option, defaultValue));
     }
 
-    static long number(CommandLine line, String option, String fallback) throws ParseException {
-        String text = line.getOptionValue(option, fallback);
+    static long nonNegativeLong(CommandLine line, String option, String defaultValue) throws ParseException {
+        String text = line.getOptionValue(option, defaultValue);
         Long value = Longs.tryParse(text);
         if (value == null || value < 0) {
             throw new ParseException("--" + option + " " + text + " is not a whole number of at least 0");
@@ -31,14 +31,15 @@
                 return address;
             }
         } catch (IllegalArgumentException malformed) {
-            // Reported below, together with an address without a port.
+            // Falls through to the exception below, which also covers an address without a port.
         }
-        throw new ParseException("--" + option + " " + text + " is not an address such as 127.0.0.1:8101");
+        throw new ParseException(
+                "--" + option + " " + text + " is not an address; give IP:PORT, such as 127.0.0.1:8101");
     }
 
-    static String only(CommandLine line, String what) throws ParseException {
+    static String singleArgument(CommandLine line, String argumentName) throws ParseException {
         if (line.getArgList().size() != 1) {
-            throw new ParseException("give one " + what);
+            throw new ParseException("give exactly one " + argumentName);
         }
         return line.getArgList().get(0);
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/ExperimentCommand.java
@@ -13,13 +13,12 @@
 import org.bramblerack.cli.experiment.Experiments;
 import org.bramblerack.process.document.ValidationError;
 
-/** Compares routing policies by running the product's decisions against a model of a fleet. */
+/** Compares routing policies by running the production routing code against a simulated fleet. */
 final class ExperimentCommand implements Command {
     private static final String JOBS = "jobs";
-    /** More runs at a time than this would only wait for one another. */
-    private static final int MOST_JOBS = 1_024;
+    private static final int MAX_JOBS = 1_024;
 
-    private static final String FOLDER = "out";
+    private static final String OUT = "out";
 
     @Override
     public String name() {
@@ -33,7 +32,7 @@
 
     @Override
     public String summary() {
-        return "Compares routing policies by running the product's decisions against a model of a fleet.";
+        return "Compares routing policies by running the production routing code against a simulated fleet.";
     }
 
     @Override
@@ -43,29 +42,29 @@
                         .longOpt(JOBS)
                         .hasArg()
                         .argName("N")
-                        .desc("runs at a time; half of the processors if left out")
+                        .desc("the number of concurrent runs; half of the processors if missing")
                         .get())
                 .addOption(Option.builder()
-                        .longOpt(FOLDER)
+                        .longOpt(OUT)
                         .hasArg()
                         .argName("FOLDER")
-                        .desc("where to write report.json, report.csv and report.html")
+                        .desc("the folder for report.json, report.csv and report.html")
                         .get());
     }
 
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException, InterruptedException {
-        String name = Arguments.only(line, "FILE");
-        int half = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
-        int jobs = (int) Math.max(1, Math.min(MOST_JOBS, Arguments.number(line, JOBS, Integer.toString(half))));
-        Optional<Path> folder =
-                line.hasOption(FOLDER) ? Optional.of(Path.of(line.getOptionValue(FOLDER))) : Optional.empty();
-        Either<ImmutableList<ValidationError>, Boolean> held =
+        String name = Arguments.singleArgument(line, "FILE");
+        int defaultJobs = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
+        int jobs = (int)
+                Math.max(1, Math.min(MAX_JOBS, Arguments.nonNegativeLong(line, JOBS, Integer.toString(defaultJobs))));
+        Optional<Path> folder = line.hasOption(OUT) ? Optional.of(Path.of(line.getOptionValue(OUT))) : Optional.empty();
+        Either<ImmutableList<ValidationError>, Boolean> result =
                 Experiments.run(TextFiles.read(Path.of(name)), jobs, folder, out);
-        if (held.isLeft()) {
-            Faults.print(name, held.getLeft(), out);
+        if (result.isLeft()) {
+            ValidationErrors.print(name, result.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        return held.get() ? ExitCode.OK : ExitCode.REFUSED;
+        return result.get() ? ExitCode.OK : ExitCode.REFUSED;
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmReporter.java
@@ -13,41 +13,44 @@
 import org.bramblerack.wire.HarmReport;
 
 /**
- * Tells the control host that this host follows what it saw of harmful requests, and tells it again until it is agreed
- * on. If control does not take it, every other time another entry host is asked to tell it: a host that is cut off from
- * control may be the only one that saw leafs end. Owned by the event loop.
+ * Reports evidence of harmful requests to the control host that this host follows, and repeats each report until it is
+ * committed. After a failure, every other attempt goes to another entry host, which forwards the report: a host that is
+ * cut off from control may be the only one that detected the end of a leaf. Owned by the event loop.
  */
 final class HarmReporter {
     private static final Logger LOGGER = System.getLogger(HarmReporter.class.getName());
-    /** What is seen within this time is told together: a query that ends a whole index is one report, not twenty. */
-    private static final Duration TELL_EVERY = Duration.ofMillis(100);
-    /** A control host waits for agreement for 850 ms. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(1_100);
+    /**
+     * Evidence within this interval is batched into one report, such as that of a query that ends leaves of many
+     * shards.
+     */
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(100);
+    /** Longer than the 850 ms for which a control host waits for a commit. */
+    private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_100);
 
-    private final HarmfulRequestFilter guard;
+    private final HarmfulRequestFilter filter;
     private final Supplier<ImmutableList<String>> otherHosts;
     private final RandomGenerator random;
     private final PeerNetwork network;
     private final Supplier<String> controlHost;
     private final EventLoop loop;
-    private boolean underWay;
+    private boolean inFlight;
     private int failures;
     private boolean stopped;
 
     /**
-     * Creates a reporter that does nothing yet.
+     * Creates a reporter that is not started.
      *
-     * @param controlHost tells which control host is followed at the moment
-     * @param otherHosts tells the peer addresses of the other entry hosts
+     * @param controlHost returns the control host that this host currently follows
+     * @param otherHosts returns the peer addresses of the other entry hosts
      */
     HarmReporter(
-            HarmfulRequestFilter guard,
+            HarmfulRequestFilter filter,
             PeerNetwork network,
             Supplier<String> controlHost,
             Supplier<ImmutableList<String>> otherHosts,
             EventLoop loop,
             RandomGenerator random) {
-        this.guard = guard;
+        this.filter = filter;
         this.otherHosts = otherHosts;
         this.random = random;
         this.network = network;
@@ -56,42 +59,44 @@
     }
 
     void start() {
-        loop.scheduleWithFixedDelay(this::tell, TELL_EVERY.toMillis(), TELL_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::reportPending, REPORT_INTERVAL.toMillis(), REPORT_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     void stop() {
         loop.execute(() -> stopped = true);
     }
 
-    private void tell() {
-        if (!underWay && !stopped) {
-            guard.takeReport().ifPresent(this::send);
+    private void reportPending() {
+        if (!inFlight && !stopped) {
+            filter.takeReport().ifPresent(this::send);
         }
     }
 
     private void send(HarmReport report) {
-        underWay = true;
-        network.request(nextTaker(), Envelope.newBuilder().setHarmReport(report), REPLY_WAIT)
+        inFlight = true;
+        network.request(chooseRecipient(), Envelope.newBuilder().setHarmReport(report), REPLY_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> loop.execute(
-                                () -> ended(report, reply.getHarmReportResult().getTaken(), "it is not agreed on")),
-                        failure -> loop.execute(() -> ended(report, false, String.valueOf(failure.getMessage()))));
+                        reply -> loop.execute(() -> onReportEnded(
+                                report, reply.getHarmReportResult().getTaken(), "the report was not committed")),
+                        failure ->
+                                loop.execute(() -> onReportEnded(report, false, String.valueOf(failure.getMessage()))));
     }
 
-    /** Returns the control host, but another entry host after each odd number of failures in a row. */
-    private String nextTaker() {
+    /** Returns the control host, or another entry host after each odd number of consecutive failures. */
+    private String chooseRecipient() {
         ImmutableList<String> others = otherHosts.get();
-        boolean asksAnother = failures % 2 == 1 && !others.isEmpty();
-        return asksAnother ? others.get(random.nextInt(others.size())) : controlHost.get();
+        boolean useOtherHost = failures % 2 == 1 && !others.isEmpty();
+        return useOtherHost ? others.get(random.nextInt(others.size())) : controlHost.get();
     }
 
-    private void ended(HarmReport report, boolean taken, String reason) {
-        underWay = false;
+    private void onReportEnded(HarmReport report, boolean taken, String reason) {
+        inFlight = false;
         failures = taken ? 0 : failures + 1;
         if (!taken) {
-            LOGGER.log(Logger.Level.DEBUG, "a report of harmful requests is made again: {0}", reason);
-            guard.restoreReport(report);
+            LOGGER.log(Logger.Level.DEBUG, "could not report harmful requests, retrying: {0}", reason);
+            filter.restoreReport(report);
         }
     }
 }
