--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/BenchSystem.java
@@ -33,21 +33,21 @@
 import org.bramblerack.version.DeclarationReader;
 
 /**
- * A small system in this process: hosts, stand-in upstreams, and a client, on loopback.
+ * A small system that runs in this process on loopback: hosts, stand-in upstreams and an HTTP client.
  *
- * <p>Safe for use by many threads once it is started. Close it after use.
+ * <p>Safe for use by many threads once started. {@link #close} stops the hosts and deletes their files.
  */
 final class BenchSystem implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
-    private static final Duration ASK_EVERY = Duration.ofMillis(2);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(2);
 
     private final Path folder;
     private final Topology topology;
-    private final String text;
+    private final String declarationText;
     private final Declaration declaration;
     private final StandInFleet fleet;
     private final List<HostProcess> hosts = new ArrayList<>();
-    private final Function<String, LinkPolicy> links;
+    private final Function<String, LinkPolicy> linkPolicies;
     private final Vertx vertx = Vertx.vertx();
     private final WebClient client;
 
@@ -60,15 +60,18 @@
             Function<String, LinkPolicy> links) {
         this.folder = folder;
         this.topology = topology;
-        this.text = text;
+        this.declarationText = text;
         this.declaration = DeclarationReader.read(text).get();
         this.fleet = new StandInFleet(declaration, serviceMicros, seed);
-        this.links = links;
+        this.linkPolicies = links;
         this.client = WebClient.create(
                 vertx, new WebClientOptions().setMaxPoolSize(2_000).setKeepAliveTimeout(30));
     }
 
-    /** Starts hosts, stand-ins and the configuration, and waits until queries are whole. */
+    /**
+     * Starts stand-ins and hosts, applies the declaration, and waits until every host knows an upstream for every
+     * shard.
+     */
     static BenchSystem start(int hosts, int shards, int slots, int serviceMicros, int deadlineMillis, long seed)
             throws IOException, InterruptedException {
         return start(hosts, shards, slots, serviceMicros, deadlineMillis, seed, host -> LinkPolicy.OPEN);
@@ -87,7 +90,7 @@
         Topology topology = Topology.create(hosts, 2, hosts < 3 ? 1 : 3, folder);
         String text = topology.declaration(shards, slots, deadlineMillis);
         BenchSystem system = new BenchSystem(folder, topology, text, serviceMicros, seed, links);
-        system.setPlatform("");
+        system.writePlatformList("");
         system.fleet.start();
         for (int host = 0; host < hosts; host++) {
             system.initializeVoter(host);
@@ -96,16 +99,17 @@
         system.awaitLeader();
         system.apply(0, "first", 0, text);
         system.awaitInForce(1);
-        system.awaitWhole();
+        system.awaitAllShards();
         return system;
     }
 
-    /** Writes the platform's list, with one leaving address if it is not empty. */
-    void setPlatform(String leaving) throws IOException {
-        String entry = leaving.isEmpty() ? "" : "{\"address\": \"" + leaving + "\", \"state\": \"leaving\"}";
-        Path fresh = folder.resolve("platform.new");
-        Files.writeString(fresh, "{\"hosts\": [" + entry + "]}");
-        Files.move(fresh, topology.platformFile(), StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the platform's list of hosts by one with the leaving address, or by an empty list if that is empty. */
+    void writePlatformList(String leavingAddress) throws IOException {
+        String entry =
+                leavingAddress.isEmpty() ? "" : "{\"address\": \"" + leavingAddress + "\", \"state\": \"leaving\"}";
+        Path newFile = folder.resolve("platform.new");
+        Files.writeString(newFile, "{\"hosts\": [" + entry + "]}");
+        Files.move(newFile, topology.platformFile(), StandardCopyOption.REPLACE_EXISTING);
     }
 
     StandInFleet fleet() {
@@ -116,8 +120,8 @@
         return declaration;
     }
 
-    String text() {
-        return text;
+    String declarationText() {
+        return declarationText;
     }
 
     Vertx vertx() {
@@ -136,7 +140,7 @@
         return HostAndPort.fromParts("127.0.0.1", hosts.get(host).callerPort());
     }
 
-    /** Sends a declaration and returns the reply. */
+    /** Sends a declaration to a host and returns the reply's body. */
     JsonObject apply(int host, String changeId, long expected, String declarationText) {
         HttpResponse<Buffer> response = client.put(
                         address(host).getPort(), address(host).getHost(), "/v1/declaration/" + Topology.PARTNER)
@@ -145,7 +149,7 @@
                 .putHeader(OperatorApi.EXPECTED_REVISION_HEADER, Long.toString(expected))
                 .sendBuffer(Buffer.buffer(declarationText))
                 .await()
-                .atMost(PATIENCE);
+                .atMost(TIMEOUT);
         return response.bodyAsJsonObject();
     }
 
@@ -153,12 +157,12 @@
         return client.get(address(host).getPort(), address(host).getHost(), "/v1/status")
                 .send()
                 .await()
-                .atMost(PATIENCE)
+                .atMost(TIMEOUT)
                 .bodyAsJsonObject();
     }
 
-    /** Returns how often the hosts counted each thing on the query path. */
-    Map<QueryCounter, Long> counts() {
+    /** Returns the sum of each query counter over all running hosts. */
+    Map<QueryCounter, Long> counterTotals() {
         Map<QueryCounter, Long> counts = new EnumMap<>(QueryCounter.class);
         for (QueryCounter counter : QueryCounter.values()) {
             long sum = hosts.stream()
@@ -169,10 +173,10 @@
         return counts;
     }
 
-    /** Adds a line with what was counted since earlier counts. */
-    void describeSince(Map<QueryCounter, Long> before, Report report) {
+    /** Adds a line to the report with the increase of each query counter since an earlier reading. */
+    void reportCountersSince(Map<QueryCounter, Long> before, Report report) {
         StringBuilder text = new StringBuilder("counted:");
-        counts().forEach((counter, count) -> {
+        counterTotals().forEach((counter, count) -> {
             long since = count - before.getOrDefault(counter, 0L);
             if (since > 0) {
                 text.append(' ').append(counter.code()).append(' ').append(since);
@@ -181,10 +185,10 @@
         report.line("%s", text);
     }
 
-    /** Waits until every live host has a revision in force, by what each says of itself. */
+    /** Waits until every running host has at least the given revision in force. */
     void awaitInForce(long revision) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while (System.nanoTime() - startNanos < PATIENCE.toNanos()) {
+        while (System.nanoTime() - startNanos < TIMEOUT.toNanos()) {
             boolean all = true;
             for (int host = 0; host < hosts.size(); host++) {
                 all &= hosts.get(host).revision() >= revision;
@@ -192,22 +196,22 @@
             if (all) {
                 return;
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
-        throw new IllegalStateException("revision " + revision + " did not come into force");
+        throw new IllegalStateException("revision " + revision + " did not come into force on every host in time");
     }
 
     void awaitLeader() throws InterruptedException {
         long startNanos = System.nanoTime();
         while (!status(hosts.size() - 1).getBoolean("quorum", false)) {
-            if (System.nanoTime() - startNanos > PATIENCE.toNanos()) {
-                throw new IllegalStateException("no leader was elected");
+            if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
+                throw new IllegalStateException("no control leader was elected in time");
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
     }
 
-    /** Ends a host without warning, and forgets it. */
+    /** Stops a host abruptly, as a crash does, and removes it from {@link #hosts}. */
     void kill(int host) {
         hosts.remove(host).kill();
     }
@@ -223,7 +227,7 @@
                 Files.delete(file);
             }
         } catch (IOException left) {
-            throw new IllegalStateException("cannot clean up " + folder + "; delete it", left);
+            throw new IllegalStateException("cannot delete " + folder + "; delete it by hand", left);
         }
     }
 
@@ -234,23 +238,24 @@
         }
     }
 
-    /** Starts a host, again if it was killed before. */
+    /** Starts a host, or restarts one that was killed, and inserts it into {@link #hosts} at its index. */
     void startHost(int host) throws IOException, InterruptedException {
         HostProcess process =
-                new HostProcess(SettingsReader.read(topology.settings(host)).get(), links.apply("h" + host));
+                new HostProcess(SettingsReader.read(topology.settings(host)).get(), linkPolicies.apply("h" + host));
         process.start();
         hosts.add(Math.min(host, hosts.size()), process);
     }
 
-    private void awaitWhole() throws InterruptedException {
+    private void awaitAllShards() throws InterruptedException {
         int shards = declaration.services().values().iterator().next().shards();
         for (int host = 0; host < hosts.size(); host++) {
             long startNanos = System.nanoTime();
             while (shardsServed(host) < shards) {
-                if (System.nanoTime() - startNanos > PATIENCE.toNanos()) {
-                    throw new IllegalStateException("host " + host + " does not know every shard");
+                if (System.nanoTime() - startNanos > TIMEOUT.toNanos()) {
+                    throw new IllegalStateException(
+                            "host " + host + " did not learn an upstream for every shard in time");
                 }
-                Thread.sleep(ASK_EVERY.toMillis());
+                Thread.sleep(POLL_INTERVAL.toMillis());
             }
         }
     }
