--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/CheckCommand.java
@@ -13,7 +13,7 @@
 import org.bramblerack.process.document.ValidationError;
 import org.bramblerack.version.DeclarationReader;
 
-/** Checks a settings or declaration file without applying it. */
+/** Validates a settings or declaration file without applying it. */
 final class CheckCommand implements Command {
     @Override
     public String name() {
@@ -27,7 +27,7 @@
 
     @Override
     public String summary() {
-        return "Checks a settings or declaration file and prints every fault with its line and remedy.";
+        return "Validates a settings or declaration file and prints each error with its line and remedy.";
     }
 
     @Override
@@ -37,29 +37,29 @@
 
     @Override
     public ExitCode run(CommandLine line, PrintStream out) throws ParseException, IOException {
-        String name = Arguments.only(line, "FILE");
+        String name = Arguments.singleArgument(line, "FILE");
         String text = TextFiles.read(Path.of(name));
         boolean isSettings = isSettings(text);
-        Either<ImmutableList<ValidationError>, String> checked = isSettings
+        Either<ImmutableList<ValidationError>, String> result = isSettings
                 ? SettingsReader.read(text).map(settings -> "settings of host " + settings.host())
                 : DeclarationReader.read(text)
                         .map(declaration -> "declaration of " + declaration.partner() + " with "
                                 + declaration.services().size() + " services");
-        if (checked.isLeft()) {
-            Faults.print(name, checked.getLeft(), out);
+        if (result.isLeft()) {
+            ValidationErrors.print(name, result.getLeft(), out);
             return ExitCode.REFUSED;
         }
-        out.println(name + ": no faults, " + checked.get());
+        out.println(name + ": no errors, " + result.get());
         return ExitCode.OK;
     }
 
-    /** A file that names a host or roles is meant as settings; anything else as a declaration. */
+    /** Returns true if the file has the field host or roles, which only settings have. */
     private static boolean isSettings(String text) {
-        boolean[] found = new boolean[1];
+        boolean[] settingsFound = new boolean[1];
         var unused = DocumentReader.read(text, fields -> {
-            found[0] = fields.has("host") || fields.has("roles");
-            return found;
+            settingsFound[0] = fields.has("host") || fields.has("roles");
+            return settingsFound;
         });
-        return found[0];
+        return settingsFound[0];
     }
 }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/Demonstration.java
@@ -16,16 +16,16 @@
 import org.bramblerack.request.RefusalKind;
 
 /**
- * The running processes of the demonstration, as its steps see them, and the record of what held.
+ * Sends requests to the running processes of the demonstration, prints its output and records failed checks.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class Demonstration {
-    /** How often a change is sent before the demonstration takes its answer as it is: an election or two long. */
-    private static final int MOST_SENDS = 5;
+    /** Maximum sends of one change: enough to outlast an election of a new leader. */
+    private static final int MAX_SENDS = 5;
 
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final Duration ASK_EVERY = Duration.ofMillis(100);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Path folder;
     private final ApiClient client;
@@ -47,20 +47,20 @@
         return folder;
     }
 
-    void title(String text) {
+    void printTitle(String text) {
         out.println();
         out.println(text);
     }
 
-    void show(String text) {
+    void printDetail(String text) {
         out.println("    " + text);
     }
 
-    /** Records whether something held. */
-    void check(boolean held, String what) {
-        out.println((held ? "  ok    " : "  FAIL  ") + what);
-        if (!held) {
-            failures.add(what);
+    /** Prints whether an expectation is met, and records a failure if it is not. */
+    void check(boolean met, String expectation) {
+        out.println((met ? "  ok    " : "  FAIL  ") + expectation);
+        if (!met) {
+            failures.add(expectation);
         }
     }
 
@@ -86,58 +86,61 @@
         return client.post(address(host), "/v1/operation/" + service + "/" + operation, body);
     }
 
-    ApiClient.Reply apply(String host, String partner, String changeId, long expected, String text) throws IOException {
+    ApiClient.Reply apply(String host, String partner, String changeId, long expectedRevision, String declaration)
+            throws IOException {
         Map<String, String> headers = Map.of(
                 "Authorization",
                 "Bearer " + DemoPlan.credential(partner),
                 OperatorApi.CHANGE_ID_HEADER,
                 changeId,
                 OperatorApi.EXPECTED_REVISION_HEADER,
-                Long.toString(expected));
-        ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, text);
-        // A leader that loses its place leaves a change without a clear answer; sent again, it gets its first result.
-        for (int sent = 1; sent < MOST_SENDS && reply.refusal().equals(RefusalKind.CHANGE_UNKNOWN.code()); sent++) {
-            reply = client.put(address(host), "/v1/declaration/" + partner, headers, text);
+                Long.toString(expectedRevision));
+        ApiClient.Reply reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
+        // If leadership changes, the outcome is unknown. A resend with the same change ID returns the first result.
+        for (int sends = 1; sends < MAX_SENDS && reply.refusal().equals(RefusalKind.CHANGE_UNKNOWN.code()); sends++) {
+            reply = client.put(address(host), "/v1/declaration/" + partner, headers, declaration);
         }
         return reply;
     }
 
-    /** Sets how the stand-ins behave whose full name begins with a text. */
-    void behave(String partner, JsonObject change) throws IOException {
+    /** Changes the behaviour of those stand-ins whose name starts with the {@code upstream} of the change. */
+    void setBehaviour(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/behaviour", change);
     }
 
-    void version(String partner, JsonObject change) throws IOException {
+    /** Makes the stand-ins of a service serve another index version, and drop the one in {@code instead} if given. */
+    void setIndexVersion(String partner, JsonObject change) throws IOException {
         client.post(address("stand-in-" + partner), "/version", change);
     }
 
+    /** Returns the calls and runs that the stand-ins of a partner have counted. */
     JsonObject ledger(String partner, String query) throws IOException {
         return client.get(address("stand-in-" + partner), "/ledger" + query).json();
     }
 
-    /** Returns the smallest revision in force on any host, or -1 if a host was not heard. */
-    long leastRevision(String host) throws IOException {
+    /** Returns the lowest revision in force on any host, or -1 if a host has not reported its revision. */
+    long lowestRevision(String host) throws IOException {
         JsonArray hosts = get(host, "/v1/status").json().getJsonArray("hosts", new JsonArray());
-        long least = hosts.isEmpty() ? -1 : Long.MAX_VALUE;
-        for (Object each : hosts) {
-            least = Math.min(least, ((JsonObject) each).getLong("revision"));
+        long lowest = hosts.isEmpty() ? -1 : Long.MAX_VALUE;
+        for (Object hostStatus : hosts) {
+            lowest = Math.min(lowest, ((JsonObject) hostStatus).getLong("revision"));
         }
-        return least;
+        return lowest;
     }
 
-    /** Waits until a condition holds; returns the time that took, or empty-handed a negative time. */
+    /** Waits until a condition holds. Returns the elapsed time in milliseconds, or -1 after a timeout. */
     long await(BooleanSupplier condition) throws InterruptedException {
         long startNanos = System.nanoTime();
-        while (System.nanoTime() - startNanos < PATIENCE.toNanos()) {
+        while (System.nanoTime() - startNanos < AWAIT_TIMEOUT.toNanos()) {
             if (condition.getAsBoolean()) {
                 return Duration.ofNanos(System.nanoTime() - startNanos).toMillis();
             }
-            Thread.sleep(ASK_EVERY.toMillis());
+            Thread.sleep(POLL_INTERVAL.toMillis());
         }
         return -1;
     }
 
-    /** Returns the process identifier of a process that the script started. */
+    /** Returns the operating system's ID of a process that the script started. */
     long processId(String process) throws IOException {
         return Long.parseLong(TextFiles.read(folder.resolve(process + ".pid")).strip());
     }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/bench/FreePorts.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Finds ports of loopback that nothing listens on.
+ * Finds loopback ports that nothing listens on.
  *
- * <p>They lie below 15,000, so below every common range from which systems give ports to outgoing connections, so that
- * none is taken between its choice and its use. Safe for use by many threads.
+ * <p>All are below 15,000, under the usual ranges of ephemeral ports, so that no outgoing connection takes a port
+ * before its use. Safe for use by many threads.
  */
 public final class FreePorts {
-    private static final int FIRST = 2_000;
-    private static final int COUNT = 13_000;
+    private static final int FIRST_PORT = 2_000;
+    private static final int PORT_COUNT = 13_000;
     private static final int STRIDE = 997;
     private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % COUNT));
+            new AtomicInteger((int) (ProcessHandle.current().pid() * STRIDE % PORT_COUNT));
 
     private FreePorts() {}
 
@@ -26,13 +26,14 @@
      * @throws IOException if none is free
      */
     public static int next() throws IOException {
-        for (int tried = 0; tried < COUNT; tried++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+        for (int tried = 0; tried < PORT_COUNT; tried++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), PORT_COUNT);
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new IOException("no port from " + FIRST + " to " + (FIRST + COUNT - 1) + " is free; stop other programs");
+        throw new IOException("no port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1)
+                + " is free; stop programs that listen on these ports");
     }
 
     private static boolean isFree(int port) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/DeferredQueries.java
@@ -7,18 +7,18 @@
 import org.bramblerack.request.routed.DeferredStarts;
 import org.bramblerack.version.routing.RouteTarget;
 
-/** Starts the queries that were held back, as the leafs have room. Owned by the event loop. */
+/** Starts deferred queries once the leaves have capacity. Owned by the event loop. */
 final class DeferredQueries {
-    /** How often it is looked for room: a part of the time of a call. */
-    private static final long LOOK_NANOS = Duration.ofMillis(10).toNanos();
-    /** The share of the shards that must have room: a few are always paused or slow. */
-    private static final double ROOM_SHARE = 0.8;
+    /** A fraction of the duration of a leaf call. */
+    private static final long CHECK_INTERVAL_NANOS = Duration.ofMillis(10).toNanos();
+    /** The fraction of the shards that must have capacity; below 1, since a few are usually paused or slow. */
+    private static final double MIN_SHARE_WITH_CAPACITY = 0.8;
 
     private final FleetView view;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final DeferredStarts<Held> starts = new DeferredStarts<>();
-    private boolean looking;
+    private final DeferredStarts<DeferredQuery> starts = new DeferredStarts<>();
+    private boolean checkScheduled;
 
     DeferredQueries(FleetView view, MonotonicClock clock, EventLoop loop) {
         this.view = view;
@@ -26,48 +26,48 @@
         this.loop = loop;
     }
 
-    private record Held(ScatterRun run, RouteTarget.Scatter target) {}
+    private record DeferredQuery(ScatterRun run, RouteTarget.Scatter target) {}
 
     /**
-     * Starts a query when there is room for it.
+     * Starts a query when its leaves have capacity.
      *
      * @param startByNanos when it starts at the latest
-     * @return what to call if its caller goes away
+     * @return a task to run if its caller leaves
      */
-    Runnable startWhenRoom(ScatterRun run, RouteTarget.Scatter target, long startByNanos) {
-        Held query = new Held(run, target);
+    Runnable defer(ScatterRun run, RouteTarget.Scatter target, long startByNanos) {
+        DeferredQuery query = new DeferredQuery(run, target);
         starts.defer(query, startByNanos);
-        look();
+        startDue();
         return () -> {
             starts.remove(query);
             run.callerGone();
         };
     }
 
-    private void look() {
-        boolean room = false;
+    private void startDue() {
+        boolean started = false;
         long nowNanos = clock.nowNanos();
         do {
-            room = false;
-            for (Held query : starts.pollDue(hasRoom(nowNanos), nowNanos)) {
-                room = true;
+            started = false;
+            for (DeferredQuery query : starts.pollDue(hasCapacity(nowNanos), nowNanos)) {
+                started = true;
                 query.run().start();
             }
-        } while (room && !starts.isEmpty());
-        if (!starts.isEmpty() && !looking) {
-            looking = true;
-            loop.schedule(this::lookAgain, LOOK_NANOS, TimeUnit.NANOSECONDS);
+        } while (started && !starts.isEmpty());
+        if (!starts.isEmpty() && !checkScheduled) {
+            checkScheduled = true;
+            loop.schedule(this::onCheckTimer, CHECK_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
-    private void lookAgain() {
-        looking = false;
-        look();
+    private void onCheckTimer() {
+        checkScheduled = false;
+        startDue();
     }
 
-    private boolean hasRoom(long nowNanos) {
+    private boolean hasCapacity(long nowNanos) {
         return starts.peek()
-                .map(query -> view.shareWithCapacity(query.target(), nowNanos) >= ROOM_SHARE)
+                .map(query -> view.shareWithCapacity(query.target(), nowNanos) >= MIN_SHARE_WITH_CAPACITY)
                 .orElse(false);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LeafSender.java
@@ -22,16 +22,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends the attempts of one request and gives up those that nobody waits for any more.
+ * Sends the attempts of one request and abandons those that are no longer needed.
  *
- * <p>A call that is given up loses its connection: the leaf drops the call, which costs it less than to work on, and
- * another connection is made when one is needed. Calls of a caller that went away are given a moment to finish. Owned
- * by the event loop.
+ * <p>Abandoning a call closes its connection, on which the leaf drops the call; a new connection is opened on demand.
+ * Calls whose caller has gone may still finish within a short time. Owned by the event loop.
  */
 final class LeafSender {
     private static final EventLog EVENTS = EventLog.of(LeafSender.class);
-    /** How long a call may go on after its caller went away: leafs should not work for nobody. */
-    private static final Duration LINGER = Duration.ofMillis(300);
+    /** How long a call may continue after its caller has gone. */
+    private static final Duration CALLER_GONE_LINGER = Duration.ofMillis(300);
 
     private final LeafRequest request;
     private final long leafDeadlineNanos;
@@ -40,7 +39,7 @@
     private final LeafPath path;
     private final MonotonicClock clock;
     private final EventLoop loop;
-    private final Map<Attempt, Sent> underWay = new HashMap<>();
+    private final Map<Attempt, PendingCall> pending = new HashMap<>();
     private @Nullable ScheduledFuture<?> wake;
 
     LeafSender(
@@ -60,50 +59,50 @@
         this.loop = loop;
     }
 
-    /** Takes what came of an attempt. */
-    interface Taker {
-        /** Takes a whole answer, which may be a failure of the leaf. */
-        void answered(Attempt attempt, LeafAnswer answer);
+    /** Receives the results of attempts. */
+    interface Listener {
+        /** Handles a complete answer, which may report a failure of the leaf. */
+        void onAnswer(Attempt attempt, LeafAnswer answer);
 
-        /** Takes the failure of an attempt without an answer. */
-        void failed(Attempt attempt, LeafOutcome outcome);
+        /** Handles the failure of an attempt without an answer. */
+        void onFailure(Attempt attempt, LeafOutcome outcome);
     }
 
-    /** Sends an attempt. */
-    void send(Attempt attempt, Taker taker) {
+    /** Sends an attempt to its leaf and reports the result to the listener. */
+    void send(Attempt attempt, Listener listener) {
         Leaf leaf = attempt.leaf();
         Leaf.Call call = leaf.begin(expectedNanos, clock.nowNanos());
-        LeafCallback exchange = new LeafCallback() {
+        LeafCallback callback = new LeafCallback() {
             @Override
             public void onAnswer(LeafAnswer answer) {
                 long nowNanos = clock.nowNanos();
-                underWay.remove(attempt);
-                end(leaf, call, answer.outcome(), answer.load(), nowNanos);
+                pending.remove(attempt);
+                endCall(leaf, call, answer.outcome(), answer.load(), nowNanos);
                 if (answer.outcome() == LeafOutcome.SUCCEEDED) {
                     latency.record(nowNanos - call.sentNanos(), nowNanos);
                 }
-                taker.answered(attempt, answer);
+                listener.onAnswer(attempt, answer);
             }
 
             @Override
             public void onFailure(LeafOutcome outcome) {
-                underWay.remove(attempt);
+                pending.remove(attempt);
                 if (!leaf.isUnderWay(call)) {
-                    // This host gave it up, and closed the connection itself.
+                    // This host abandoned the call and closed the connection itself.
                     return;
                 }
-                end(leaf, call, outcome, Optional.empty(), clock.nowNanos());
-                taker.failed(attempt, outcome);
+                endCall(leaf, call, outcome, Optional.empty(), clock.nowNanos());
+                listener.onFailure(attempt, outcome);
             }
         };
-        LeafConnections.CallHandle ticket = path.send(leaf, request, leafDeadlineNanos, exchange);
+        LeafConnections.CallHandle handle = path.send(leaf, request, leafDeadlineNanos, callback);
         if (leaf.isUnderWay(call)) {
-            underWay.put(attempt, new Sent(ticket, call));
+            pending.put(attempt, new PendingCall(handle, call));
         }
     }
 
-    /** Notes what came of a call; a leaf that is set aside for it, or no longer, leaves a line. */
-    private void end(Leaf leaf, Leaf.Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
+    /** Records the result of a call, and logs it if the leaf was ejected or restored by it. */
+    private void endCall(Leaf leaf, Leaf.Call call, LeafOutcome outcome, Optional<LeafLoad> load, long nowNanos) {
         boolean ejectedBefore = leaf.isEjected(nowNanos);
         leaf.end(call, outcome, load, nowNanos);
         boolean ejected = leaf.isEjected(nowNanos);
@@ -117,39 +116,39 @@
         }
     }
 
-    /** Gives up an attempt; its taker hears nothing of it that matters any more. */
-    void giveUp(Attempt attempt) {
-        Sent sent = underWay.remove(attempt);
-        if (sent != null) {
-            attempt.leaf().abandon(sent.call(), clock.nowNanos());
-            if (sent.ticket().abandon()) {
+    /** Abandons an attempt; its listener is not called any more. */
+    void abandon(Attempt attempt) {
+        PendingCall pendingCall = pending.remove(attempt);
+        if (pendingCall != null) {
+            attempt.leaf().abandon(pendingCall.call(), clock.nowNanos());
+            if (pendingCall.handle().abandon()) {
                 attempt.markNeverSent();
             }
         }
     }
 
-    /** Runs a task at a time, in place of the one that was set before. */
+    /** Schedules a task, which replaces the one scheduled before. */
     void wakeAt(long atNanos, Runnable task) {
         cancelWake();
         long delayNanos = Math.max(0, atNanos - clock.nowNanos());
         wake = loop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Notes that the request has been answered. */
+    /** Records that the request has been answered and cancels the scheduled task. */
     void finish() {
         cancelWake();
     }
 
-    /** Notes that the caller went away. */
+    /** Records that the caller has gone; calls in flight are abandoned after a short time. */
     void callerGone() {
         cancelWake();
-        if (!underWay.isEmpty()) {
-            loop.schedule(this::giveUpAll, LINGER.toNanos(), TimeUnit.NANOSECONDS);
+        if (!pending.isEmpty()) {
+            loop.schedule(this::abandonAll, CALLER_GONE_LINGER.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void giveUpAll() {
-        List.copyOf(underWay.keySet()).forEach(this::giveUp);
+    private void abandonAll() {
+        List.copyOf(pending.keySet()).forEach(this::abandon);
     }
 
     private void cancelWake() {
@@ -159,6 +158,6 @@
         }
     }
 
-    /** A call that was sent, or waits for a connection. */
-    private record Sent(LeafConnections.CallHandle ticket, Leaf.Call call) {}
+    /** A call that was sent or waits for a connection. */
+    private record PendingCall(LeafConnections.CallHandle handle, Leaf.Call call) {}
 }
