--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/Comparison.java
@@ -10,24 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * All runs of an experiment and what they say of its policies.
+ * The results of an experiment, by policy.
  *
  * <p>Immutable and safe for use by many threads.
  *
- * @param summaries by policy and kind of query
- * @param costs by policy
- * @param creditBySecond by policy, what the queries of each second earned on average
+ * @param summaries one for each policy and kind of query
+ * @param costs one for each policy
+ * @param creditBySecond for each policy, the mean credit of the queries sent in each second
  */
 record Comparison(
         ImmutableList<Summary> summaries,
         ImmutableList<Summary.Cost> costs,
         ImmutableList<ImmutableList<Double>> creditBySecond) {
     /**
-     * Runs an experiment.
+     * Runs each policy of an experiment with every seed.
      *
-     * @param jobs how many runs go on at a time
-     * @param progress is told of each policy that is done
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @param jobs how many runs execute at a time
+     * @param progress receives one line for each completed policy
+     * @throws InterruptedException if the thread is interrupted while it waits for runs
      */
     static Comparison run(Experiment experiment, int jobs, Consumer<String> progress) throws InterruptedException {
         ExecutorService workers = Executors.newFixedThreadPool(jobs);
@@ -35,15 +35,17 @@
             ImmutableList.Builder<Summary> summaries = ImmutableList.builder();
             ImmutableList.Builder<Summary.Cost> costs = ImmutableList.builder();
             ImmutableList.Builder<ImmutableList<Double>> seconds = ImmutableList.builder();
-            Optional<List<Run.Result>> first = Optional.empty();
+            Optional<List<Run.Result>> baseline = Optional.empty();
             for (Experiment.Policy policy : experiment.policies()) {
-                List<Run.Result> results = runs(experiment, policy, workers);
-                List<Run.Result> compared = first.orElse(results);
-                first = Optional.of(compared);
-                experiment.loads().forEach(load -> summaries.add(Summary.of(policy.name(), load, results, compared)));
+                List<Run.Result> results = runAllSeeds(experiment, policy, workers);
+                List<Run.Result> baselineResults = baseline.orElse(results);
+                baseline = Optional.of(baselineResults);
+                experiment
+                        .loads()
+                        .forEach(load -> summaries.add(Summary.of(policy.name(), load, results, baselineResults)));
                 costs.add(Summary.Cost.of(policy.name(), results));
                 seconds.add(creditBySecond(results));
-                progress.accept(policy.name() + ": " + results.size() + " runs are done");
+                progress.accept(policy.name() + ": " + results.size() + " runs completed");
             }
             return new Comparison(summaries.build(), costs.build(), seconds.build());
         } finally {
@@ -51,13 +53,13 @@
         }
     }
 
-    /** Returns true if everything that must hold held in every run. */
-    boolean holds() {
+    /** Returns true if no run violated an invariant. */
+    boolean hasNoViolations() {
         return costs.stream().allMatch(cost -> cost.violations().isEmpty());
     }
 
-    private static List<Run.Result> runs(Experiment experiment, Experiment.Policy policy, ExecutorService workers)
-            throws InterruptedException {
+    private static List<Run.Result> runAllSeeds(
+            Experiment experiment, Experiment.Policy policy, ExecutorService workers) throws InterruptedException {
         ImmutableList.Builder<Future<Run.Result>> pending = ImmutableList.builder();
         for (int seed = 0; seed < experiment.seeds(); seed++) {
             int number = seed;
@@ -76,11 +78,11 @@
 
     private static ImmutableList<Double> creditBySecond(List<Run.Result> results) {
         ImmutableList.Builder<Double> seconds = ImmutableList.builder();
-        int count = results.get(0).tally().seconds();
+        int count = results.get(0).counts().seconds();
         for (int second = 0; second < count; second++) {
             int number = second;
             seconds.add(results.stream()
-                    .mapToDouble(result -> result.tally().creditIn(number))
+                    .mapToDouble(result -> result.counts().creditIn(number))
                     .average()
                     .orElse(0));
         }
--- a/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
+++ b/bramblerack-cli/src/main/java/org/bramblerack/cli/experiment/ExperimentReport.java
@@ -24,11 +24,11 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Shows a comparison: as text, and in a folder as JSON, CSV and one page of HTML with plots. Stateless. */
+/** Prints a comparison as text, and writes it to a folder as JSON, CSV and an HTML page with plots. Stateless. */
 final class ExperimentReport {
     private static final int PLOT_WIDTH_PIXELS = 900;
     private static final int PLOT_HEIGHT_PIXELS = 360;
-    private static final int MOST_VIOLATIONS_SHOWN = 20;
+    private static final int MAX_VIOLATIONS_SHOWN = 20;
     private static final ImmutableList<Column> COLUMNS = ImmutableList.of(
             new Column("policy", Summary::policy),
             new Column("kind", Summary::kind),
@@ -46,10 +46,10 @@
 
     private ExperimentReport() {}
 
-    /** One figure of a summary, as text. */
+    /** A column of the report: its name and the formatted value of a summary. */
     private record Column(String name, Function<Summary, String> text) {}
 
-    /** Prints the comparison for a reader. */
+    /** Prints one line for each summary, the costs of each policy and the first violations. */
     static void print(Comparison comparison, PrintStream out) {
         out.printf(
                 "%-28s %-14s %7s %16s %7s %6s %7s %6s %8s %7s %7s%n",
@@ -84,15 +84,15 @@
         for (Summary.Cost cost : comparison.costs()) {
             out.printf(
                     Locale.ROOT,
-                    "%s: for each first call %.4f extra, %.4f refused by leafs, %.4f retries denied, %.4f connections%n",
+                    "%s: for each first call %.4f extra, %.4f refused by leaves, %.4f retries denied, %.4f connections%n",
                     cost.policy(),
                     cost.extraShare(),
                     cost.refusedShare(),
                     cost.retriesDenied(),
                     cost.connections());
             cost.violations().stream()
-                    .limit(MOST_VIOLATIONS_SHOWN)
-                    .forEach(violation -> out.println("  DOES NOT HOLD: " + violation));
+                    .limit(MAX_VIOLATIONS_SHOWN)
+                    .forEach(violation -> out.println("  VIOLATION: " + violation));
         }
     }
 
@@ -106,15 +106,15 @@
 
     private static String csv(Comparison comparison) {
         StringBuilder text = new StringBuilder();
-        text.append(joined(",", Column::name)).append('\n');
+        text.append(joinColumns(",", Column::name)).append('\n');
         for (Summary summary : comparison.summaries()) {
-            text.append(joined(",", column -> quoted(column.text().apply(summary))))
+            text.append(joinColumns(",", column -> quoted(column.text().apply(summary))))
                     .append('\n');
         }
         return text.toString();
     }
 
-    private static String joined(String separator, Function<Column, String> part) {
+    private static String joinColumns(String separator, Function<Column, String> part) {
         return COLUMNS.stream().map(part).collect(Collectors.joining(separator));
     }
 
@@ -165,15 +165,19 @@
                 .append("<style>body{font:15px sans-serif;margin:2em;max-width:960px}table{border-collapse:collapse}")
                 .append("td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}</style>")
                 .append("<h1>Experiment</h1>");
-        page.append(image(creditOverTime(comparison), "What the queries of each second earned, by policy"));
-        page.append(image(creditByPolicy(comparison), "What the queries earned, by policy and kind"));
-        page.append("<table><tr>").append(joined("", column -> "<th>" + column.name()));
+        page.append(image(creditOverTime(comparison), "Mean credit of the queries sent in each second, by policy"));
+        page.append(image(creditByPolicy(comparison), "Mean credit, by policy and kind of query"));
+        page.append("<table><tr>").append(joinColumns("", column -> "<th>" + column.name()));
         for (Summary summary : comparison.summaries()) {
             page.append("<tr>")
-                    .append(joined("", column -> "<td>" + escaped(column.text().apply(summary))));
+                    .append(joinColumns(
+                            "", column -> "<td>" + escaped(column.text().apply(summary))));
         }
         page.append("</table><p>")
-                .append(comparison.holds() ? "Everything that must hold held in every run." : "Something did not hold.")
+                .append(
+                        comparison.hasNoViolations()
+                                ? "No run violated an invariant."
+                                : "Some runs violated invariants; see report.json.")
                 .append("</p>\n");
         return page.toString();
     }
@@ -209,7 +213,7 @@
         try {
             ImageIO.write(image, "png", bytes);
         } catch (IOException impossible) {
-            throw new UncheckedIOException("a plot could not be drawn in memory", impossible);
+            throw new UncheckedIOException("failed to encode a plot as PNG", impossible);
         }
         return "<figure><img alt=\"" + caption + "\" src=\"data:image/png;base64,"
                 + Base64.getEncoder().encodeToString(bytes.toByteArray()) + "\"><figcaption>" + caption
