--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentParser.java
@@ -61,10 +61,7 @@
             Node root = new DocumentParser(errors).parseValue(parser, "");
             if (parser.nextToken() != null) {
                 throw new SyntaxException(new ValidationError(
-                        lineOf(parser),
-                        "",
-                        "there is text after the end of the document",
-                        "keep only one JSON object"));
+                        lineOf(parser), "", "there is text after the end of the document", "keep one JSON object"));
             }
             return root;
         } catch (StreamConstraintsException tooLarge) {
@@ -72,13 +69,13 @@
                     lineOf(tooLarge),
                     "",
                     "the document is nested too deep or has a text that is too long",
-                    "use at most " + MAX_DEPTH + " levels and " + MAX_TEXT_CHARS + " characters a text"));
+                    "keep to " + MAX_DEPTH + " levels and texts of " + MAX_TEXT_CHARS + " characters"));
         } catch (JsonParseException malformed) {
             throw new SyntaxException(new ValidationError(
                     lineOf(malformed),
                     "",
                     "not valid JSON: " + problem(malformed.getOriginalMessage()),
-                    "correct the syntax near this line"));
+                    "correct the syntax there"));
         } catch (IOException impossible) {
             throw new SyntaxException(
                     new ValidationError(1, "", "unreadable: " + impossible.getMessage(), "check the file's encoding"));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/DocumentReader.java
@@ -32,7 +32,7 @@
                     1,
                     "",
                     "the document has " + text.length() + " characters",
-                    "shorten it to at most " + DocumentParser.MAX_LENGTH_CHARS + " characters")));
+                    "keep to " + DocumentParser.MAX_LENGTH_CHARS)));
         }
         Node root;
         try {
--- a/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/document/Fields.java
@@ -64,7 +64,7 @@
         if (!value.isEmpty() && !NAME.matcher(value).matches()) {
             addError(
                     field,
-                    "\"" + value + "\" is not a valid name",
+                    "\"" + value + "\" is not a name",
                     "use lower case letters, digits and hyphens, at most 63 characters");
         }
         return value;
@@ -104,7 +104,7 @@
         } catch (IllegalArgumentException malformed) {
             // Reported below, like an address without a port.
         }
-        addError(field, "\"" + value + "\" is not an address", "write an IP address and a port, such as 10.0.0.1:8080");
+        addError(field, "\"" + value + "\" is not an address", "write an IP number and a port, such as 10.0.0.1:8080");
         return fallback;
     }
 
@@ -269,7 +269,7 @@
             return ImmutableList.of();
         }
         if (array.elements().size() > max) {
-            addError(field, "there are " + array.elements().size() + " elements", "use at most " + max);
+            addError(field, "there are " + array.elements().size() + " elements", "keep to " + max);
             return ImmutableList.of();
         }
         return array.elements();
--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/RoutingPolicy.java
@@ -38,7 +38,7 @@
                 }
             }
             if (!known) {
-                fields.addError(FIELD, "\"" + text + "\" is not a known mechanism", "use any of: " + choices());
+                fields.addError(FIELD, "\"" + text + "\" is no mechanism", "write some of: " + choices());
             }
         }
         return new RoutingPolicy(Sets.immutableEnumSet(off));
--- a/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/quota/QuotaBound.java
@@ -22,10 +22,9 @@
 public record QuotaBound(Duration window, double excess, double slack) {
     /** Rejects a window that is not positive and negative bounds. */
     public QuotaBound {
-        checkArgument(
-                !window.isNegative() && !window.isZero(), "the window %s is not positive; give a positive one", window);
-        checkArgument(excess >= 0, "the excess %s is negative; give 0 for none", excess);
-        checkArgument(slack >= 0, "the slack %s is negative; give 0 for none", slack);
+        checkArgument(!window.isNegative() && !window.isZero(), "a window of %s; give a positive one", window);
+        checkArgument(excess >= 0, "an excess of %s; give 0 for none", excess);
+        checkArgument(slack >= 0, "a slack of %s; give 0 for none", slack);
     }
 
     /** Returns the maximum number of a team's requests within any window. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/OnceOnlyRequest.java
@@ -232,7 +232,7 @@
     private void recordNotRun(RefusalKind kind, String reason, List<OnceOnlyAction> actions) {
         startRecording(
                 new OnceOnlyAction.RecordNotRun(reason),
-                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; the request did not run, send it again")),
+                new OnceOnlyAction.Refuse(Refusal.of(kind, reason + "; it did not run, send the request again")),
                 actions);
     }
 
@@ -265,28 +265,27 @@
 
     private static Refusal refusalFor(ClaimResult result) {
         if (result instanceof ClaimResult.HeldByAnother) {
-            return Refusal.of(
-                    RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome later");
+            return Refusal.of(RefusalKind.IN_PROGRESS, "another attempt is running the request; look up its outcome");
         }
         if (result instanceof ClaimResult.OutcomeUnknown unknown) {
             return Refusal.of(
                     RefusalKind.OUTCOME_UNKNOWN,
-                    "unknown whether the request ran (" + unknown.reason()
-                            + "); it will not run again, check with the service before using a new identifier");
+                    "it is not known whether the request ran (" + unknown.reason()
+                            + "); it will not be run again, check with the service before using a new identifier");
         }
         if (result instanceof ClaimResult.Mismatch) {
             return Refusal.of(
                     RefusalKind.REQUEST_MISMATCH,
-                    "the request identifier was already used for a different request; use a new identifier");
+                    "the request identifier was used for another request; use a new identifier");
         }
         if (result instanceof ClaimResult.Expired) {
             return Refusal.of(
                     RefusalKind.EXPIRED,
-                    "the request is older than the retention period of outcomes and will not be run; check with the service");
+                    "the request is older than outcomes are kept and is not run; check with the service");
         }
         String reason = result instanceof ClaimResult.NoQuorum noQuorum ? noQuorum.reason() : "not granted";
         return Refusal.of(
                 RefusalKind.NO_QUORUM,
-                "the control hosts did not confirm the claim (" + reason + "); the request did not run, send it again");
+                "the control hosts did not confirm the claim (" + reason + "); it did not run, send it again");
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Query.java
@@ -338,7 +338,7 @@
         } else if (!attempts.isEmpty() && attempts.stream().allMatch(Attempt::isHarmful)) {
             actions.add(new QueryAction.Refuse(Refusal.of(
                     RefusalKind.HARMFUL,
-                    "not run: queries like this one terminated the upstreams of " + spec.service()
+                    "not run: queries like this one ended the upstreams of " + spec.service()
                             + " that ran them; ask the operator")));
         } else if (coverage.coveredCount() == 0) {
             actions.add(new QueryAction.Refuse(Refusal.of(
@@ -348,7 +348,7 @@
             actions.add(new QueryAction.Refuse(Refusal.of(
                     RefusalKind.INCOMPLETE,
                     "only " + coverage + " shards of " + spec.service()
-                            + " answered, and the class prefers coverage; send the query again, missing shards: "
+                            + " answered and the class prefers coverage; send the query again, missing shards: "
                             + coverage.missing())));
         }
     }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/Refusal.java
@@ -21,7 +21,7 @@
 
     /** Creates a refusal; throws if the message is blank. */
     public Refusal {
-        checkArgument(!message.isBlank(), "the message of a refusal of kind %s is blank", kind);
+        checkArgument(!message.isBlank(), "a refusal of kind %s needs a message", kind);
     }
 
     /** Creates a refusal with the default retry time of its kind, or with none if it is not retryable. */
@@ -32,7 +32,7 @@
 
     /** Creates a refusal with the given retry time. */
     public static Refusal retryAfter(RefusalKind kind, String message, Duration retryAfter) {
-        checkArgument(!retryAfter.isNegative(), "retry time %s is negative", retryAfter);
+        checkArgument(!retryAfter.isNegative(), "retry after %s is negative", retryAfter);
         return new Refusal(kind, message, Optional.of(retryAfter));
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/RequestId.java
@@ -16,10 +16,7 @@
 
     /** Creates an identifier; throws if the value is malformed. */
     public RequestId {
-        checkArgument(
-                isValid(value),
-                "malformed request identifier, expected 1 to 128 of A-Z a-z 0-9 . _ : - but got: %s",
-                value);
+        checkArgument(isValid(value), "bad request identifier: %s", value);
     }
 
     /** Returns true if the text is a well-formed request identifier. */
--- a/bramblerack-core/src/main/java/org/bramblerack/version/Operation.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/Operation.java
@@ -18,6 +18,6 @@
     /** Rejects a deadline that is not positive and a retention that is not longer than the deadline. */
     public Operation {
         checkArgument(!deadline.isZero() && !deadline.isNegative(), "deadline %s is not positive", deadline);
-        checkArgument(retention.compareTo(deadline) > 0, "retention %s is not longer than the deadline", retention);
+        checkArgument(retention.compareTo(deadline) > 0, "retention %s is within the deadline", retention);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/ServiceName.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/ServiceName.java
@@ -13,14 +13,8 @@
 public record ServiceName(String partner, String service) implements Comparable<ServiceName> {
     /** Rejects parts that are empty or contain a slash. */
     public ServiceName {
-        checkArgument(
-                !partner.isEmpty() && partner.indexOf('/') < 0,
-                "partner name is empty or contains a slash: %s",
-                partner);
-        checkArgument(
-                !service.isEmpty() && service.indexOf('/') < 0,
-                "service name is empty or contains a slash: %s",
-                service);
+        checkArgument(!partner.isEmpty() && partner.indexOf('/') < 0, "bad partner name: %s", partner);
+        checkArgument(!service.isEmpty() && service.indexOf('/') < 0, "bad service name: %s", service);
     }
 
     /**
@@ -30,7 +24,7 @@
      */
     public static ServiceName parse(String text) {
         int slash = text.indexOf('/');
-        checkArgument(slash > 0, "service name is not of the form partner/service: %s", text);
+        checkArgument(slash > 0, "not of the form partner/service: %s", text);
         return new ServiceName(text.substring(0, slash), text.substring(slash + 1));
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RequestLimits.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RequestLimits.java
@@ -25,10 +25,9 @@
 
     /** Rejects limits that allow no request, and negative times. */
     public RequestLimits {
-        checkArgument(
-                maxHeaderBytes > 0, "a maximum header size of %s bytes allows no request; allow more", maxHeaderBytes);
-        checkArgument(maxBodyBytes >= 0, "the maximum body size %s is negative; allow 0 at least", maxBodyBytes);
-        checkArgument(!headerTimeout.isNegative(), "the header time-out %s is negative", headerTimeout);
-        checkArgument(!idleTimeout.isNegative(), "the idle time-out %s is negative", idleTimeout);
+        checkArgument(maxHeaderBytes > 0, "heads of %s bytes allow no request; allow more", maxHeaderBytes);
+        checkArgument(maxBodyBytes >= 0, "bodies of %s bytes cannot be; allow 0 at least", maxBodyBytes);
+        checkArgument(!headerTimeout.isNegative(), "the time %s for a head is negative", headerTimeout);
+        checkArgument(!idleTimeout.isNegative(), "the idle time %s is negative", idleTimeout);
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
@@ -45,10 +45,7 @@
                 prefix,
                 name);
         checkArgument(
-                !timeout.isZero() && !timeout.isNegative(),
-                "route %s has the time-out %s; give a positive one",
-                name,
-                timeout);
+                !timeout.isZero() && !timeout.isNegative(), "route %s has the time-out %s; give more", name, timeout);
         checkArgument(maxAttempts >= 1, "route %s allows %s attempts; allow 1 at least", name, maxAttempts);
     }
 
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RouteTarget.java
@@ -65,11 +65,9 @@
             checkArgument(
                     ImmutableSet.copyOf(shards).size() == shards.size(),
                     "a fan-out names a shard twice; name each once");
-            checkArgument(topRecords >= 0, "a fan-out returns %s records; give 0 or more", topRecords);
+            checkArgument(topRecords >= 0, "a fan-out asks for %s records; ask for 0 or more", topRecords);
             checkArgument(
-                    minCoverage >= 0 && minCoverage <= 1,
-                    "the minimum coverage %s is not between 0 and 1",
-                    minCoverage);
+                    minCoverage >= 0 && minCoverage <= 1, "the least share %s is not between 0 and 1", minCoverage);
         }
 
         @Override
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/RoutingConfiguration.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/RoutingConfiguration.java
@@ -123,7 +123,7 @@
         for (String service : route.target().services()) {
             checkArgument(
                     services.containsKey(service),
-                    "route %s refers to the service %s, which is not among the services; add it there",
+                    "route %s names the service %s, which is not among the services; add it there",
                     route.name(),
                     service);
         }
@@ -132,7 +132,7 @@
                 .put(route.prefix(), route);
         checkArgument(
                 earlier == null,
-                "the routes %s and %s both match %s%s; remove one",
+                "the routes %s and %s both take %s%s; remove one",
                 earlier == null ? "" : earlier.name(),
                 route.name(),
                 route.host(),
