--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/control/ControlClient.java
@@ -21,135 +21,144 @@
 import org.bramblerack.wire.ProposeResult;
 
 /**
- * How any host reaches the control hosts: it finds the leader and offers it commands and reads.
+ * Finds the leader of the control hosts and sends it commands and reads.
  *
- * <p>A command is offered again until it is decided or the time is up; that is safe, because commands carry
- * identifiers. If no leader was heard of for {@link #LEADERLESS} a command is refused at once. Safe for use by many
- * threads.
+ * <p>A command is proposed again until it is decided or the time is up. That is safe because commands carry
+ * identifiers. If no leader was contacted within {@link #LEADER_CONTACT_TIMEOUT}, a command is rejected at once. Safe
+ * for use by many threads.
  */
 public final class ControlClient {
-    /** How long after a leader was last heard of commands are still tried. */
-    public static final Duration LEADERLESS = Duration.ofMillis(1_500);
+    /** How long commands are still tried after the last contact with a leader. */
+    public static final Duration LEADER_CONTACT_TIMEOUT = Duration.ofMillis(1_500);
 
-    private static final Duration AGAIN = Duration.ofMillis(40);
-    private static final Duration LONGEST_TRY = Duration.ofMillis(800);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(40);
+    private static final Duration MAX_ATTEMPT_TIMEOUT = Duration.ofMillis(800);
 
     private final String self;
-    private final ImmutableList<String> firstVoters;
-    private final Optional<ControlNode> local;
+    private final ImmutableList<String> initialVoters;
+    private final Optional<ControlNode> localNode;
     private final PeerNetwork network;
     private final MonotonicClock clock;
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextVoterIndex = new AtomicInteger();
     private volatile Optional<String> leader = Optional.empty();
-    private volatile long leaderHeardNanos;
-
-    /** Creates a client; the local role is given if this host has it. */
+    private volatile long lastLeaderContactNanos;
+
+    /**
+     * Creates a client.
+     *
+     * @param voters the control hosts to contact until others are known
+     * @param localNode the control role of this host, if it has one
+     */
     public ControlClient(
             String self,
             ImmutableSortedSet<String> voters,
-            Optional<ControlNode> local,
+            Optional<ControlNode> localNode,
             PeerNetwork network,
             MonotonicClock clock) {
         this.self = self;
-        this.firstVoters = voters.asList();
-        this.local = local;
+        this.initialVoters = voters.asList();
+        this.localNode = localNode;
         this.network = network;
         this.clock = clock;
-        this.leaderHeardNanos = clock.nowNanos();
+        this.lastLeaderContactNanos = clock.nowNanos();
     }
 
-    /** Returns true if a leader was heard of lately. */
-    public boolean hearsLeader() {
-        return localLeader().isPresent() || clock.nowNanos() - leaderHeardNanos < LEADERLESS.toNanos();
+    /** Returns true if a leader was contacted recently. */
+    public boolean hasLeaderContact() {
+        return localLeader().isPresent()
+                || clock.nowNanos() - lastLeaderContactNanos < LEADER_CONTACT_TIMEOUT.toNanos();
     }
 
-    /** Offers a command until it is decided or the time is up. */
+    /** Proposes a command until it is decided or the time is up. */
     public Uni<ProposalResult> propose(Command command, Duration timeout) {
-        if (!hearsLeader()) {
-            return Uni.createFrom().item(new ProposalResult.NotTaken("no leader is known"));
+        if (!hasLeaderContact()) {
+            return Uni.createFrom().item(new ProposalResult.Rejected("no leader is known"));
         }
-        long giveUpNanos = clock.nowNanos() + timeout.toNanos();
-        return offer(command, giveUpNanos, false);
+        long deadlineNanos = clock.nowNanos() + timeout.toNanos();
+        return proposeUntil(command, deadlineNanos, false);
     }
 
-    /** Reads the agreed state from the leader; a result that is not current tells nothing but a hint of the leader. */
+    /**
+     * Reads the replicated state from the leader. The result is empty and not current if no leader confirmed it in
+     * time.
+     */
     public Uni<ControlReadResult> read(ControlRead request, Duration timeout) {
-        long giveUpNanos = clock.nowNanos() + timeout.toNanos();
-        return readOnce(request, giveUpNanos);
+        long deadlineNanos = clock.nowNanos() + timeout.toNanos();
+        return readUntil(request, deadlineNanos);
     }
 
-    /** Asks a control host, the leader if it is known, for changes of the configuration. */
+    /** Requests changes of the configuration from the leader, or from any control host if no leader is known. */
     public Uni<ConfigurationDelta> pull(ConfigurationPull pull, Duration timeout) {
-        String target = target();
-        Uni<ConfigurationDelta> reply = local.isPresent() && target.equals(self)
-                ? local.get().pull(pull)
+        String target = chooseTarget();
+        Uni<ConfigurationDelta> reply = localNode.isPresent() && target.equals(self)
+                ? localNode.get().pull(pull)
                 : network.request(target, Envelope.newBuilder().setConfigurationPull(pull), timeout)
                         .map(Envelope::getConfigurationDelta);
-        return reply.invoke(delta -> learn(target, delta.getLeader(), delta.getConfirmed()))
+        return reply.invoke(delta -> updateLeader(target, delta.getLeader(), delta.getConfirmed()))
                 .onFailure()
-                .invoke(() -> forget(target));
+                .invoke(() -> clearLeader(target));
     }
 
-    private Uni<ProposalResult> offer(Command command, long giveUpNanos, boolean mayBeTaken) {
-        long leftNanos = giveUpNanos - clock.nowNanos();
-        if (leftNanos <= 0 || !hearsLeader()) {
+    private Uni<ProposalResult> proposeUntil(Command command, long deadlineNanos, boolean mayBeApplied) {
+        long remainingNanos = deadlineNanos - clock.nowNanos();
+        if (remainingNanos <= 0 || !hasLeaderContact()) {
             String reason = "no decision in time";
             return Uni.createFrom()
-                    .item(mayBeTaken ? new ProposalResult.Undecided(reason) : new ProposalResult.NotTaken(reason));
+                    .item(mayBeApplied ? new ProposalResult.Undecided(reason) : new ProposalResult.Rejected(reason));
         }
-        String target = target();
-        Duration wait = Duration.ofNanos(Math.min(leftNanos, LONGEST_TRY.toNanos()));
-        return offerTo(target, command, wait).chain(result -> {
+        String target = chooseTarget();
+        Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
+        return proposeTo(target, command, attemptTimeout).chain(result -> {
             if (result instanceof ProposalResult.Applied) {
-                learn(target, target, true);
+                updateLeader(target, target, true);
                 return Uni.createFrom().item(result);
             }
-            boolean taken = mayBeTaken || result instanceof ProposalResult.Undecided;
+            boolean mayBeAppliedNow = mayBeApplied || result instanceof ProposalResult.Undecided;
             return Uni.createFrom()
                     .item(result)
                     .onItem()
                     .delayIt()
-                    .by(AGAIN)
-                    .chain(unused -> offer(command, giveUpNanos, taken));
+                    .by(RETRY_DELAY)
+                    .chain(unused -> proposeUntil(command, deadlineNanos, mayBeAppliedNow));
         });
     }
 
-    private Uni<ProposalResult> offerTo(String target, Command command, Duration wait) {
-        if (local.isPresent() && target.equals(self)) {
-            ControlNode node = local.get();
+    private Uni<ProposalResult> proposeTo(String target, Command command, Duration attemptTimeout) {
+        if (localNode.isPresent() && target.equals(self)) {
+            ControlNode node = localNode.get();
             return node.propose(command).invoke(result -> {
-                if (result instanceof ProposalResult.NotTaken) {
-                    learn(target, node.leader().orElse(""), false);
+                if (result instanceof ProposalResult.Rejected) {
+                    updateLeader(target, node.leader().orElse(""), false);
                 }
             });
         }
         Envelope.Builder message =
                 Envelope.newBuilder().setPropose(Propose.newBuilder().setCommand(command.toByteString()));
-        return network.request(target, message, wait)
+        return network.request(target, message, attemptTimeout)
                 .map(reply -> toResult(target, reply.getProposeResult()))
                 .onFailure()
                 .recoverWithItem(failure -> {
-                    forget(target);
+                    clearLeader(target);
                     boolean notSent = failure instanceof PeerFailure peerFailure
                             && peerFailure.kind() == PeerFailure.Kind.NOT_SENT;
                     return notSent
-                            ? new ProposalResult.NotTaken(String.valueOf(failure.getMessage()))
+                            ? new ProposalResult.Rejected(String.valueOf(failure.getMessage()))
                             : new ProposalResult.Undecided(String.valueOf(failure.getMessage()));
                 });
     }
 
     private ProposalResult toResult(String target, ProposeResult reply) {
         return switch (reply.getStatus()) {
-            case APPLIED -> parse(reply);
+            case APPLIED -> parseApplied(reply);
             case LOST -> new ProposalResult.Undecided("the leader changed");
             default -> {
-                learn(target, reply.getLeader(), false);
-                yield new ProposalResult.NotTaken("not the leader, or it takes no commands now");
+                updateLeader(target, reply.getLeader(), false);
+                yield new ProposalResult.Rejected("not the leader, or it takes no commands now");
             }
         };
     }
 
-    private static ProposalResult parse(ProposeResult reply) {
+    private static ProposalResult parseApplied(ProposeResult reply) {
         try {
             return new ProposalResult.Applied(CommandResult.parseFrom(reply.getResult()));
         } catch (InvalidProtocolBufferException malformed) {
@@ -157,24 +166,24 @@
         }
     }
 
-    private Uni<ControlReadResult> readOnce(ControlRead request, long giveUpNanos) {
-        long leftNanos = giveUpNanos - clock.nowNanos();
-        if (leftNanos <= 0) {
+    private Uni<ControlReadResult> readUntil(ControlRead request, long deadlineNanos) {
+        long remainingNanos = deadlineNanos - clock.nowNanos();
+        if (remainingNanos <= 0) {
             return Uni.createFrom().item(ControlReadResult.getDefaultInstance());
         }
-        String target = target();
-        Duration wait = Duration.ofNanos(Math.min(leftNanos, LONGEST_TRY.toNanos()));
-        Uni<ControlReadResult> reply = local.isPresent() && target.equals(self)
-                ? local.get().read(request)
-                : network.request(target, Envelope.newBuilder().setControlRead(request), wait)
+        String target = chooseTarget();
+        Duration attemptTimeout = Duration.ofNanos(Math.min(remainingNanos, MAX_ATTEMPT_TIMEOUT.toNanos()));
+        Uni<ControlReadResult> reply = localNode.isPresent() && target.equals(self)
+                ? localNode.get().read(request)
+                : network.request(target, Envelope.newBuilder().setControlRead(request), attemptTimeout)
                         .map(Envelope::getControlReadResult);
         return reply.onFailure()
                 .recoverWithItem(failure -> {
-                    forget(target);
+                    clearLeader(target);
                     return ControlReadResult.getDefaultInstance();
                 })
                 .chain(result -> {
-                    learn(target, result.getLeader(), result.getCurrent());
+                    updateLeader(target, result.getLeader(), result.getCurrent());
                     if (result.getCurrent()) {
                         return Uni.createFrom().item(result);
                     }
@@ -182,45 +191,46 @@
                             .item(result)
                             .onItem()
                             .delayIt()
-                            .by(AGAIN)
-                            .chain(unused -> readOnce(request, giveUpNanos));
+                            .by(RETRY_DELAY)
+                            .chain(unused -> readUntil(request, deadlineNanos));
                 });
     }
 
-    /** Returns the leader that the local role knows of; it hears sooner of a change than a client does. */
+    /** Returns the leader that the local role knows, which learns of a change earlier than this client. */
     private Optional<String> localLeader() {
-        return local.flatMap(ControlNode::leader);
+        return localNode.flatMap(ControlNode::leader);
     }
 
-    private String target() {
-        return localLeader().or(() -> leader).orElseGet(this::anyVoter);
+    private String chooseTarget() {
+        return localLeader().or(() -> leader).orElseGet(this::nextVoter);
     }
 
-    private String anyVoter() {
+    private String nextVoter() {
         ImmutableList<String> voters = voters();
-        return voters.get(Math.floorMod(turn.getAndIncrement(), voters.size()));
+        return voters.get(Math.floorMod(nextVoterIndex.getAndIncrement(), voters.size()));
     }
 
-    /** Returns the voters as the local role knows them, or those that the system began with. */
+    /** Returns the voters that the local role knows, or the initial ones. */
     private ImmutableList<String> voters() {
-        return local.map(ControlNode::voters)
+        return localNode
+                .map(ControlNode::voters)
                 .filter(known -> !known.isEmpty())
                 .map(ImmutableSortedSet::asList)
-                .orElse(firstVoters);
+                .orElse(initialVoters);
     }
 
-    private void learn(String target, String hint, boolean confirmed) {
+    private void updateLeader(String target, String leaderHint, boolean confirmed) {
         if (confirmed) {
             leader = Optional.of(target);
-            leaderHeardNanos = clock.nowNanos();
-        } else if (!hint.isEmpty() && !hint.equals(target) && voters().contains(hint)) {
-            leader = Optional.of(hint);
+            lastLeaderContactNanos = clock.nowNanos();
+        } else if (!leaderHint.isEmpty() && !leaderHint.equals(target) && voters().contains(leaderHint)) {
+            leader = Optional.of(leaderHint);
         } else {
             leader = Optional.empty();
         }
     }
 
-    private void forget(String target) {
+    private void clearLeader(String target) {
         if (leader.equals(Optional.of(target))) {
             leader = Optional.empty();
         }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/entry/LeafRouter.java
@@ -25,13 +25,14 @@
 import org.bramblerack.wire.LeafCancel;
 
 /**
- * Sends leaf calls to the hosts that hold the connections, this host among them.
+ * Sends leaf calls to the hosts that hold the connections, which may include this host.
  *
- * <p>Invariant: a call goes to a second holder only if the first certainly did not take it, so an upstream never gets a
- * call twice from here. Every call is completed exactly once, on a worker. Safe for use by many threads.
+ * <p>Invariant: a call is sent to a second holder only if the first certainly did not accept it, so this host never
+ * sends an upstream the same call twice. Every call is completed exactly once, on a worker. Safe for use by many
+ * threads.
  */
 public final class LeafRouter {
-    private static final Duration GRACE = Duration.ofMillis(40);
+    private static final Duration REPLY_GRACE = Duration.ofMillis(40);
 
     private final String self;
     private final ServiceDirectory directory;
@@ -42,7 +43,7 @@
     private final MonotonicClock clock;
     private final Map<String, String> holderOfCall = new ConcurrentHashMap<>();
 
-    /** Creates a router. */
+    /** Creates a router that takes the holders of an upstream from the directory. */
     public LeafRouter(
             String self,
             ServiceDirectory directory,
@@ -60,18 +61,18 @@
         this.clock = clock;
     }
 
-    /** Sends a call. */
+    /** Sends a call to the first holder that accepts it. */
     public void send(LeafRequest request, Consumer<LeafOutcome> done) {
         Optional<HolderAssignment> assignment = directory.assignment(request.upstream());
         if (assignment.isEmpty()) {
             workers.run(() -> done.accept(new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE)));
             return;
         }
-        ImmutableList<String> order = HolderOrder.of(assignment.get(), this::stateOf);
-        sendThrough(order, 0, request, done);
+        ImmutableList<String> holderOrder = HolderOrder.of(assignment.get(), this::stateOf);
+        sendThrough(holderOrder, 0, request, done);
     }
 
-    /** Cancels a call wherever it is. */
+    /** Cancels a call at the holder that it was sent to; no effect if it has ended. */
     public void cancel(String callId, UpstreamName upstream) {
         String holder = holderOfCall.get(callId);
         if (holder == null) {
@@ -91,37 +92,37 @@
     }
 
     private void sendThrough(
-            ImmutableList<String> order, int position, LeafRequest request, Consumer<LeafOutcome> done) {
-        if (position >= order.size()) {
+            ImmutableList<String> holderOrder, int position, LeafRequest request, Consumer<LeafOutcome> done) {
+        if (position >= holderOrder.size()) {
             finish(request, new LeafOutcome.Failed(LeafFailure.HOLDER_UNREACHABLE), done);
             return;
         }
-        String holder = order.get(position);
+        String holder = holderOrder.get(position);
         holderOfCall.put(request.callId(), holder);
-        Consumer<LeafOutcome> next = outcome -> {
-            if (wasNotTaken(outcome)) {
-                sendThrough(order, position + 1, request, done);
+        Consumer<LeafOutcome> onOutcome = outcome -> {
+            if (wasNotAccepted(outcome)) {
+                sendThrough(holderOrder, position + 1, request, done);
             } else {
                 finish(request, outcome, done);
             }
         };
         if (holder.equals(self)) {
-            holders.submit(request, next);
+            holders.submit(request, onOutcome);
         } else {
-            sendToPeer(holder, request, next);
+            sendToPeer(holder, request, onOutcome);
         }
     }
 
-    private void sendToPeer(String holder, LeafRequest request, Consumer<LeafOutcome> next) {
+    private void sendToPeer(String holder, LeafRequest request, Consumer<LeafOutcome> onOutcome) {
         long nowNanos = clock.nowNanos();
         Duration timeout = Duration.ofNanos(Math.max(1, request.deadlineNanos() - nowNanos))
-                .plus(GRACE);
+                .plus(REPLY_GRACE);
         network.request(holder, Envelope.newBuilder().setLeafCall(LeafCodec.toMessage(request, nowNanos)), timeout)
                 .map(reply -> LeafCodec.toOutcome(reply.getLeafResult()))
                 .onFailure()
-                .recoverWithItem(failure -> new LeafOutcome.Failed(classify(failure)))
+                .recoverWithItem(failure -> new LeafOutcome.Failed(toLeafFailure(failure)))
                 .subscribe()
-                .with(outcome -> workers.run(() -> next.accept(outcome)));
+                .with(outcome -> workers.run(() -> onOutcome.accept(outcome)));
     }
 
     private void finish(LeafRequest request, LeafOutcome outcome, Consumer<LeafOutcome> done) {
@@ -133,13 +134,13 @@
         return host.equals(self) ? HostState.LIVE : membership.state(host, clock.nowNanos());
     }
 
-    private static boolean wasNotTaken(LeafOutcome outcome) {
+    private static boolean wasNotAccepted(LeafOutcome outcome) {
         return outcome instanceof LeafOutcome.Failed failed
                 && (failed.failure() == LeafFailure.HOLDER_UNREACHABLE
                         || failed.failure() == LeafFailure.HOLDER_NOT_READY);
     }
 
-    private static LeafFailure classify(Throwable failure) {
+    private static LeafFailure toLeafFailure(Throwable failure) {
         boolean notSent = failure instanceof PeerFailure peerFailure && peerFailure.kind() == PeerFailure.Kind.NOT_SENT;
         return notSent ? LeafFailure.HOLDER_UNREACHABLE : LeafFailure.HOLDER_LOST;
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HostWarmUp.java
@@ -10,13 +10,14 @@
 import org.bramblerack.process.WarmUpPlan;
 
 /**
- * Warms a host up when it starts, and once more if it learns later that it calls leafs; work that comes ends both.
+ * Runs the warm-up of a host at its start, and its remainder if the host later turns out to call leaves. Real work ends
+ * both early.
  *
- * <p>The plan is looked at on the event loop; safe for use by many threads.
+ * <p>The plan is evaluated on the event loop. Thread-safe.
  */
 final class HostWarmUp {
     private static final Logger LOGGER = System.getLogger(HostWarmUp.class.getName());
-    private static final Duration LOOK_EVERY = Duration.ofMillis(500);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
     private final FleetView view;
     private final Function<Supplier<WarmUpPlan.Step>, WarmUp> factory;
@@ -24,12 +25,12 @@
     private final MonotonicClock clock;
     private final WarmUpPlan plan = new WarmUpPlan();
     private volatile WarmUp current;
-    private volatile boolean hasHadWork;
+    private volatile boolean receivedWork;
 
     /**
-     * Creates one that does nothing yet.
+     * Creates a warm-up without starting it.
      *
-     * @param factory makes a warm-up that serves what it is told to
+     * @param factory creates a warm-up that follows the given steps
      */
     HostWarmUp(
             FleetView view, Function<Supplier<WarmUpPlan.Step>, WarmUp> factory, EventLoop loop, MonotonicClock clock) {
@@ -41,39 +42,39 @@
     }
 
     /**
-     * Serves the queries of a start and returns.
+     * Serves the queries of the start and returns.
      *
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
-    void atStart() throws InterruptedException {
+    void runAtStart() throws InterruptedException {
         current.run();
-        loop.execute(this::look);
+        loop.execute(this::checkPlan);
     }
 
-    /** Ends it: real work is the better warm-up, and somebody waits for the processor. */
-    void workCame() {
-        if (!hasHadWork) {
-            hasHadWork = true;
+    /** Ends the warm-up: real work needs the processor and warms up the same code. */
+    void onWork() {
+        if (!receivedWork) {
+            receivedWork = true;
             current.end();
         }
     }
 
-    private void look() {
-        switch (plan.nextAfterStart(view.leafCalls(), hasHadWork, clock.nowNanos())) {
-            case WAIT -> loop.schedule(this::look, LOOK_EVERY.toMillis(), TimeUnit.MILLISECONDS);
-            case SERVE -> serveRest();
+    private void checkPlan() {
+        switch (plan.nextAfterStart(view.leafCalls(), receivedWork, clock.nowNanos())) {
+            case WAIT -> loop.schedule(this::checkPlan, CHECK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+            case SERVE -> serveRemaining();
             default -> {}
         }
     }
 
-    /** In a thread of its own, since it waits until the queries are served on the event loop. */
-    private void serveRest() {
-        WarmUp rest = factory.apply(() -> plan.next(WarmUpPlan.LeafCalls.MADE_HERE));
-        current = rest;
+    /** Runs on a separate thread, since it blocks while the event loop serves the queries. */
+    private void serveRemaining() {
+        WarmUp remaining = factory.apply(() -> plan.next(WarmUpPlan.LeafCalls.MADE_HERE));
+        current = remaining;
         Thread thread = new Thread(
                 () -> {
                     try {
-                        rest.run();
+                        remaining.run();
                     } catch (InterruptedException interrupted) {
                         LOGGER.log(Logger.Level.DEBUG, "the warm-up was interrupted", interrupted);
                     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/LagTimer.java
@@ -11,22 +11,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs the task by which a host sees how far it is behind, and how early to seal its answers, as often as
- * {@link LagSamplingPeriod} says. Owned by the event loop.
+ * Runs the periodic task that measures event-loop lag and adjusts how early answers are finalized, at the intervals of
+ * {@link LagSamplingPeriod}. Owned by the event loop.
  */
 final class LagTimer {
     private final EventLoopLag lag;
-    private final FinalizeLead sealLead;
+    private final FinalizeLead finalizeLead;
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final LagSamplingPeriod period = new LagSamplingPeriod();
     private @Nullable ScheduledFuture<?> next;
-    private boolean atRest;
-    private long waitedNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
+    private boolean idle;
+    private long lastPeriodNanos = LagSamplingPeriod.IDLE_PERIOD.toNanos();
 
-    LagTimer(EventLoopLag lag, FinalizeLead sealLead, EventLoop loop, MonotonicClock clock) {
+    LagTimer(EventLoopLag lag, FinalizeLead finalizeLead, EventLoop loop, MonotonicClock clock) {
         this.lag = lag;
-        this.sealLead = sealLead;
+        this.finalizeLead = finalizeLead;
         this.loop = loop;
         this.clock = clock;
     }
@@ -35,10 +35,10 @@
         loop.execute(this::run);
     }
 
-    /** Notes that work comes; a host at rest looks at once, since the work may have waited here. */
+    /** Records that work arrived; an idle host measures at once, since the work may have waited for the event loop. */
     void onWork() {
         period.onWork(clock.nowNanos());
-        if (atRest && next != null) {
+        if (idle && next != null) {
             next.cancel(false);
             run();
         }
@@ -46,11 +46,11 @@
 
     private void run() {
         long nowNanos = clock.nowNanos();
-        Duration wait = period.next(nowNanos);
-        atRest = wait.equals(LagSamplingPeriod.IDLE_PERIOD);
-        lag.onTaskRun(nowNanos, wait);
-        sealLead.recordTaskDelay(lag.lagNanos(nowNanos), waitedNanos, nowNanos);
-        waitedNanos = wait.toNanos();
-        next = loop.schedule(this::run, wait.toNanos(), TimeUnit.NANOSECONDS);
+        Duration samplingPeriod = period.next(nowNanos);
+        idle = samplingPeriod.equals(LagSamplingPeriod.IDLE_PERIOD);
+        lag.onTaskRun(nowNanos, samplingPeriod);
+        finalizeLead.recordTaskDelay(lag.lagNanos(nowNanos), lastPeriodNanos, nowNanos);
+        lastPeriodNanos = samplingPeriod.toNanos();
+        next = loop.schedule(this::run, samplingPeriod.toNanos(), TimeUnit.NANOSECONDS);
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/NewestVersion.java
@@ -13,21 +13,22 @@
 import org.bramblerack.wire.VersionQueryResult;
 
 /**
- * Asks control whether the configuration in force here is the newest, for requests whose refusal depends on it.
+ * Queries control whether the configuration in force on this host is the newest, for requests whose refusal depends on
+ * it.
  *
- * <p>That the control host that is followed hears a leader is not enough: a table that was agreed on a moment ago may
- * not have come here yet, and a host that was suspended looks at its callers before it hears of what it missed. Owned
- * by the event loop.
+ * <p>A connection between the followed control host and a leader is not enough: this host may not have received the
+ * latest table yet, and a host that resumes after a suspension may serve callers before it receives the changes that it
+ * missed. Owned by the event loop.
  */
 final class NewestVersion implements TableStatus {
-    /** A round trip to control and one from there to the leader and its quorum, with room for a lost packet. */
-    private static final Duration ANSWER_WAIT = Duration.ofMillis(600);
-    /** Spares control where many callers show keys that are not known: a caller that is refused can wait as long. */
-    private static final Duration SPACING = Duration.ofMillis(50);
-    /** Callers beyond that are sent away undecided. */
+    /** Allows a round trip to control, one from there to the leader and its quorum, and a lost packet. */
+    private static final Duration READ_TIMEOUT = Duration.ofMillis(600);
+    /** Limits the load on control when many callers present unknown keys. */
+    private static final Duration READ_INTERVAL = Duration.ofMillis(50);
+    /** Further callers are answered unconfirmed. */
     private static final int MAX_WAITING = 1_000;
 
-    private final BooleanSupplier current;
+    private final BooleanSupplier controlReachable;
     private final FleetView view;
     private final PeerNetwork network;
     private final Supplier<String> controlHost;
@@ -35,18 +36,18 @@
     private final SharedReads<Consumer<Boolean>> reads = new SharedReads<>(MAX_WAITING);
 
     /**
-     * Creates what asks nothing yet.
+     * Creates a check without pending reads.
      *
-     * @param current true while the control host that is followed is in touch with a leader
-     * @param controlHost tells which control host is followed at the moment
+     * @param controlReachable true while the followed control host is connected to a leader
+     * @param controlHost returns the peer address of the control host that is followed at present
      */
     NewestVersion(
-            BooleanSupplier current,
+            BooleanSupplier controlReachable,
             FleetView view,
             PeerNetwork network,
             Supplier<String> controlHost,
             EventLoop loop) {
-        this.current = current;
+        this.controlReachable = controlReachable;
         this.view = view;
         this.network = network;
         this.controlHost = controlHost;
@@ -55,27 +56,27 @@
 
     @Override
     public boolean isCurrent() {
-        return current.getAsBoolean();
+        return controlReachable.getAsBoolean();
     }
 
     @Override
-    public void confirmNewest(Consumer<Boolean> taker) {
-        if (!isCurrent() || !reads.await(taker)) {
-            taker.accept(false);
+    public void confirmNewest(Consumer<Boolean> callback) {
+        if (!isCurrent() || !reads.await(callback)) {
+            callback.accept(false);
             return;
         }
-        askIfDue();
+        readIfDue();
     }
 
-    private void askIfDue() {
+    private void readIfDue() {
         if (!reads.begin()) {
             return;
         }
-        network.requestWhenConnected(controlHost.get(), NewestVersion::query, ANSWER_WAIT, progress -> {})
+        network.requestWhenConnected(controlHost.get(), NewestVersion::query, READ_TIMEOUT, progress -> {})
                 .subscribe()
                 .with(
-                        reply -> loop.execute(() -> end(isNewest(reply.getVersionQueryResult()))),
-                        failure -> loop.execute(() -> end(false)));
+                        reply -> loop.execute(() -> completeRead(isNewest(reply.getVersionQueryResult()))),
+                        failure -> loop.execute(() -> completeRead(false)));
     }
 
     private static Envelope.Builder query() {
@@ -87,14 +88,14 @@
                 && result.getVersion() <= view.configuration().version();
     }
 
-    private void end(boolean newest) {
-        // Those who come until the pause is over wait for the next read.
-        loop.schedule(this::askAgain, SPACING.toMillis(), TimeUnit.MILLISECONDS);
-        reads.takeWaiters().forEach(taker -> taker.accept(newest));
+    private void completeRead(boolean newest) {
+        // Callers that arrive during the interval wait for the next read.
+        loop.schedule(this::endInterval, READ_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        reads.takeWaiters().forEach(callback -> callback.accept(newest));
     }
 
-    private void askAgain() {
+    private void endInterval() {
         reads.end();
-        askIfDue();
+        readIfDue();
     }
 }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/TableFollower.java
@@ -21,25 +21,25 @@
 import org.bramblerack.wire.TablePull;
 
 /**
- * Follows the agreed tables: asks one control host for changes, again and again, and another if it does not answer or
- * is not in touch with a leader.
+ * Follows the replicated tables: pulls changes from one control host, and switches to another if it does not answer or
+ * is not connected to a leader.
  *
- * <p>Invariants: a table older than the one known is never applied. The first table comes from a control host that is
- * in touch with a leader. Owned by the event loop.
+ * <p>Invariants: a table older than the known one is never applied. The first table comes from a control host that is
+ * connected to a leader. Owned by the event loop.
  */
 public final class TableFollower {
     private static final Logger LOGGER = System.getLogger(TableFollower.class.getName());
     private static final EventLog EVENTS = EventLog.of(TableFollower.class);
-    /** A control host holds a request back for at most 700 ms; more is a host or a link that does not answer. */
-    private static final Duration REPLY_WAIT = Duration.ofMillis(1_100);
+    /** A control host defers its answer by at most 700 ms. */
+    private static final Duration PULL_TIMEOUT = Duration.ofMillis(1_100);
 
-    private static final long AGAIN_MILLIS = 60;
+    private static final long RETRY_DELAY_MILLIS = 60;
     /**
-     * The least time between two requests that are answered with news. Changes come in series, as when a fleet or the
-     * leafs of a service start: each alone is a message to every host, a look at all tables and a line in the log. One
-     * that comes after a pause finds a request that waits for it, and is told at once.
+     * The minimum time between two pulls that are answered with changes. Changes arrive in series, for example when a
+     * fleet starts, and each answer costs a message, an update of all tables and a log line. A change after a pause is
+     * still received at once, since a deferred pull is waiting for it.
      */
-    private static final Duration SPACING = Duration.ofMillis(100);
+    private static final Duration MIN_PULL_INTERVAL = Duration.ofMillis(100);
 
     private final FleetView view;
     private final ConfigurationCodec codec;
@@ -47,20 +47,20 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private ImmutableList<String> seeds;
-    private final Supplier<Optional<HostRecord>> self;
-    private String source;
-    private long askedNanos;
+    private final Supplier<Optional<HostRecord>> hostRecord;
+    private String currentControlHost;
+    private long pulledNanos;
     private int failures;
     private boolean synchronizedOnce;
     private boolean lost;
     private boolean stopped;
 
     /**
-     * Creates a follower that does nothing yet.
+     * Creates a follower without starting it.
      *
-     * @param seeds the peer addresses of the control hosts that are known beforehand, at least one
-     * @param self tells what the tables should say of this host; nothing as long as it takes no part
-     * @param random draws the control host that is asked first: a fleet that starts together would ask the same one
+     * @param seeds the peer addresses of the initially known control hosts, at least one
+     * @param hostRecord returns this host's record for the tables; empty while it must not be listed
+     * @param random chooses the first control host, so that a fleet that starts together does not overload one of them
      */
     public TableFollower(
             FleetView view,
@@ -69,7 +69,7 @@
             EventLoop loop,
             MonotonicClock clock,
             ImmutableList<String> seeds,
-            Supplier<Optional<HostRecord>> self,
+            Supplier<Optional<HostRecord>> hostRecord,
             RandomGenerator random) {
         this.view = view;
         this.codec = codec;
@@ -77,79 +77,82 @@
         this.loop = loop;
         this.clock = clock;
         this.seeds = seeds;
-        this.self = self;
-        this.source = seeds.get(random.nextInt(seeds.size()));
+        this.hostRecord = hostRecord;
+        this.currentControlHost = seeds.get(random.nextInt(seeds.size()));
     }
 
-    /** Begins to follow. */
     public void start() {
         loop.execute(this::pull);
     }
 
-    /** Replaces the control hosts that are known beforehand. */
+    /** Replaces the initially known control hosts. */
     public void setSeeds(ImmutableList<String> newSeeds) {
         loop.execute(() -> seeds = newSeeds);
     }
 
-    /** Stops following. */
     public void stop() {
         loop.execute(() -> stopped = true);
     }
 
-    /** Returns true once the tables came from a control host that is in touch with a leader. */
+    /** Returns true once tables were received from a control host that is connected to a leader. */
     public boolean isSynchronized() {
         return synchronizedOnce;
     }
 
-    /** Returns true while the control host that is followed is in touch with a leader, by its last answer. */
+    /** Returns true while the followed control host is connected to a leader, according to its last answer. */
     public boolean isCurrent() {
         return synchronizedOnce && !lost;
     }
 
-    /** Returns the control host that is asked at present. */
+    /** Returns the peer address of the control host that is followed at present. */
     String controlHost() {
-        return source;
+        return currentControlHost;
     }
 
     private void pull() {
         if (stopped) {
             return;
         }
-        String asked = source;
-        askedNanos = clock.nowNanos();
-        network.request(asked, Envelope.newBuilder().setTablePull(message()), REPLY_WAIT)
+        String controlHost = currentControlHost;
+        pulledNanos = clock.nowNanos();
+        network.request(controlHost, Envelope.newBuilder().setTablePull(pullMessage()), PULL_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> loop.execute(() -> take(reply.getTableDelta())),
-                        failure -> loop.execute(() -> tryAnother(asked, String.valueOf(failure.getMessage()))));
+                        reply -> loop.execute(() -> handleDelta(reply.getTableDelta())),
+                        failure -> loop.execute(
+                                () -> switchControlHost(controlHost, String.valueOf(failure.getMessage()))));
     }
 
-    /** Tells a control host at once that this host takes part now: the request under way may be held for a moment. */
+    /**
+     * Sends this host's current record to the control host at once, since the answer to the pending pull may be
+     * deferred.
+     */
     public void announce() {
-        loop.execute(() -> network.request(source, Envelope.newBuilder().setTablePull(message()), REPLY_WAIT)
+        loop.execute(() -> network.request(
+                        currentControlHost, Envelope.newBuilder().setTablePull(pullMessage()), PULL_TIMEOUT)
                 .subscribe()
                 .with(
-                        reply -> LOGGER.log(Logger.Level.DEBUG, "this host was announced"),
+                        reply -> LOGGER.log(Logger.Level.DEBUG, "sent the record of this host to control"),
                         failure -> LOGGER.log(
                                 Logger.Level.DEBUG,
-                                "the announcement failed, the next request makes it again: {0}",
+                                "could not send the record of this host; the next pull sends it again: {0}",
                                 failure.getMessage())));
     }
 
-    private TablePull.Builder message() {
+    private TablePull.Builder pullMessage() {
         TablePull.Builder pull =
-                TablePull.newBuilder().setKnownRevision(view.revision()).setQueriesAMinute(view.queriesAMinute());
-        self.get().ifPresent(pull::setSelf);
+                TablePull.newBuilder().setKnownRevision(view.revision()).setQueriesAMinute(view.queriesPerMinute());
+        hostRecord.get().ifPresent(pull::setSelf);
         return pull;
     }
 
-    private void take(TableDelta delta) {
+    private void handleDelta(TableDelta delta) {
         boolean older = delta.getRevision() < view.revision();
         if (older || !delta.getCurrent()) {
             if (!older && synchronizedOnce) {
                 apply(delta);
             }
-            tryAnother(source, "it hears no leader");
+            switchControlHost(currentControlHost, "not connected to a leader, or its tables are older");
             return;
         }
         failures = 0;
@@ -161,19 +164,19 @@
         if (lost) {
             lost = false;
             EVENTS.info("tables_followed")
-                    .with("controlHost", source)
+                    .with("controlHost", currentControlHost)
                     .with("revision", view.revision())
                     .write();
         }
         preferNearest();
-        pullAgain();
+        scheduleNextPull();
     }
 
-    /** Asks for the next change: at once if the request before waited for this one, otherwise a little later. */
-    private void pullAgain() {
-        long earlyNanos = SPACING.toNanos() - (clock.nowNanos() - askedNanos);
-        if (earlyNanos > 0) {
-            loop.schedule(this::pull, earlyNanos, TimeUnit.NANOSECONDS);
+    /** Pulls the next change: at once if the last pull was deferred, otherwise after the minimum interval. */
+    private void scheduleNextPull() {
+        long delayNanos = MIN_PULL_INTERVAL.toNanos() - (clock.nowNanos() - pulledNanos);
+        if (delayNanos > 0) {
+            loop.schedule(this::pull, delayNanos, TimeUnit.NANOSECONDS);
         } else {
             pull();
         }
@@ -185,7 +188,7 @@
         }
         Optional<RoutingConfiguration> newer = Optional.empty();
         if (!delta.getConfiguration().isEmpty()) {
-            newer = read(delta.getConfiguration());
+            newer = readConfiguration(delta.getConfiguration());
         }
         long before = view.configuration().version();
         view.apply(delta, newer);
@@ -194,12 +197,12 @@
                     .with("configuration", view.configuration().version())
                     .with("before", before)
                     .with("revision", view.revision())
-                    .with("controlHost", source)
+                    .with("controlHost", currentControlHost)
                     .write();
         }
     }
 
-    private Optional<RoutingConfiguration> read(ByteString compressed) {
+    private Optional<RoutingConfiguration> readConfiguration(ByteString compressed) {
         Either<String, RoutingConfiguration> read = codec.read(Compression.inflate(compressed));
         if (read.isLeft()) {
             EVENTS.warning("configuration_unreadable")
@@ -210,36 +213,36 @@
         return Optional.of(read.get());
     }
 
-    /** Goes to a control host that is nearer, once the tables name one. */
+    /** Switches to the nearest control host if the tables do not list the present one. */
     private void preferNearest() {
         ImmutableList<String> known = view.controlAddresses();
-        if (failures == 0 && !known.isEmpty() && !known.contains(source)) {
-            source = known.get(0);
+        if (failures == 0 && !known.isEmpty() && !known.contains(currentControlHost)) {
+            currentControlHost = known.get(0);
         }
     }
 
-    private void tryAnother(String asked, String reason) {
+    private void switchControlHost(String failedHost, String reason) {
         failures++;
         ImmutableList<String> candidates = candidates();
-        int next = (candidates.indexOf(asked) + 1) % candidates.size();
-        source = candidates.get(next);
+        int next = (candidates.indexOf(failedHost) + 1) % candidates.size();
+        currentControlHost = candidates.get(next);
         if (!lost && synchronizedOnce) {
             lost = true;
             EVENTS.warning("tables_lost")
-                    .with("controlHost", asked)
-                    .with("next", source)
+                    .with("controlHost", failedHost)
+                    .with("next", currentControlHost)
                     .with("reason", reason)
                     .with("revision", view.revision())
                     .write();
         }
         if (failures % candidates.size() == 0) {
-            loop.schedule(this::pull, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::pull, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             pull();
         }
     }
 
-    /** The control hosts of the tables, the nearest first, then the seeds. */
+    /** Returns the control hosts of the tables, nearest first, followed by the seeds. */
     private ImmutableList<String> candidates() {
         return ImmutableList.<String>builder().addAll(view.controlAddresses()).addAll(seeds).build().stream()
                 .distinct()
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/host/PlatformWatcher.java
@@ -9,10 +9,10 @@
 import org.bramblerack.version.Upstream;
 
 /**
- * Reads the platform's list of live and leaving hosts again and again.
+ * Polls the platform's host list and records which upstreams are leaving.
  *
- * <p>The list only says what is leaving; that something is missing from it means nothing, as it lags. If it cannot be
- * read, what it said last stays. Safe for use by many threads.
+ * <p>The list lags, so a host's absence from it has no meaning. If the list cannot be read, its last content remains in
+ * force. Safe for use by many threads.
  */
 final class PlatformWatcher {
     private static final Logger LOGGER = System.getLogger(PlatformWatcher.class.getName());
@@ -32,38 +32,40 @@
     }
 
     void start() {
-        workers.runEvery(PERIOD, this::look);
+        workers.runEvery(PERIOD, this::poll);
     }
 
     void stop() {
         list.close();
     }
 
-    private void look() {
+    private void poll() {
         list.leaving()
                 .subscribe()
-                .with(leaving -> workers.run(() -> take(leaving)), failure -> workers.run(() -> unreadable(failure)));
+                .with(
+                        leaving -> workers.run(() -> recordLeaving(leaving)),
+                        failure -> workers.run(() -> onReadFailure(failure)));
     }
 
-    private void take(ImmutableSet<String> leaving) {
+    private void recordLeaving(ImmutableSet<String> leaving) {
         if (!readable) {
             readable = true;
-            LOGGER.log(Logger.Level.INFO, "the platform's list can be read again");
+            LOGGER.log(Logger.Level.INFO, "the platform's host list is readable again");
         }
         for (Upstream upstream : directory.upstreams()) {
-            boolean named = leaving.contains(upstream.address().toString())
+            boolean isLeaving = leaving.contains(upstream.address().toString())
                     || leaving.contains(upstream.address().getHost());
-            directory.recordPlatformDrain(upstream.name(), named);
+            directory.recordPlatformDrain(upstream.name(), isLeaving);
         }
     }
 
-    private void unreadable(Throwable failure) {
+    private void onReadFailure(Throwable failure) {
         metrics.count("platform.unreadable");
         if (readable) {
             readable = false;
             LOGGER.log(
                     Logger.Level.WARNING,
-                    "the platform''s list cannot be read ({0}); what it said last stays, check its source",
+                    "cannot read the platform''s host list ({0}); keeping its last content, check the configured file or URL",
                     failure.toString());
         }
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/lifecycle/LogSetup.java
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends log lines to standard error as text or JSON, or to standard output as structured events.
+ * Configures logging to standard error as text or JSON, or to standard output as structured events.
  *
  * <p>Call one of the methods before other threads log.
  */
@@ -23,14 +23,14 @@
 
     private LogSetup() {}
 
-    /** Writes text for people. */
+    /** Logs human-readable text to standard error. */
     public static void useText() {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setPattern(PATTERN);
         configure(encoder);
     }
 
-    /** Writes one JSON object a line. */
+    /** Logs one JSON object per line to standard error. */
     public static void useJson() {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setWithFormattedMessage(true);
@@ -43,16 +43,17 @@
     }
 
     /**
-     * Writes one JSON object a line to standard output, by a thread of its own; callers never wait for the output.
+     * Logs one JSON object per line to standard output from a separate thread, so that callers never block on the
+     * output.
      *
-     * @return what tells how many lines were lost because the reader of the output was too slow
+     * @return the appender, which counts the lines that were dropped because the output was too slow
      */
     public static BoundedAppender useEvents() {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         BoundedAppender bounded = new BoundedAppender();
         bounded.setContext(context);
-        bounded.addAppender(console(context, new JsonLineEncoder(), "System.out"));
+        bounded.addAppender(createConsoleAppender(context, new JsonLineEncoder(), "System.out"));
         bounded.start();
         setLevels(context, bounded);
         return bounded;
@@ -61,10 +62,10 @@
     private static void configure(Encoder<ILoggingEvent> encoder) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        setLevels(context, console(context, encoder, "System.err"));
+        setLevels(context, createConsoleAppender(context, encoder, "System.err"));
     }
 
-    private static ConsoleAppender<ILoggingEvent> console(
+    private static ConsoleAppender<ILoggingEvent> createConsoleAppender(
             LoggerContext context, Encoder<ILoggingEvent> encoder, String target) {
         encoder.setContext(context);
         encoder.start();
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerServer.java
@@ -16,9 +16,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Accepts the connections of other hosts and hands their messages to a handler.
+ * Accepts the connections of other hosts and passes their messages to a handler.
  *
- * <p>A malformed frame ends its connection and nothing else. Started once, stopped once; safe for use by many threads.
+ * <p>A malformed frame closes only its own connection. Started once and stopped once; safe for use by many threads.
  */
 public final class PeerServer {
     private static final int BACKLOG = 256;
@@ -26,23 +26,27 @@
     private final HostAndPort address;
     private final PeerHandler handler;
     private final EventLoopGroup group;
-    private final LinkPolicy links;
+    private final LinkPolicy linkPolicy;
     private final PeerTraffic traffic;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private @Nullable Channel listening;
 
-    /** Creates a server that does not yet listen. */
+    /** Creates a server that does not listen yet. */
     public PeerServer(
-            HostAndPort address, PeerHandler handler, EventLoopGroup group, LinkPolicy links, PeerTraffic traffic) {
+            HostAndPort address,
+            PeerHandler handler,
+            EventLoopGroup group,
+            LinkPolicy linkPolicy,
+            PeerTraffic traffic) {
         this.address = address;
         this.handler = handler;
         this.group = group;
-        this.links = links;
+        this.linkPolicy = linkPolicy;
         this.traffic = traffic;
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
      * @throws InterruptedException if the thread is interrupted while the address is bound
      */
@@ -53,7 +57,7 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new FramePipeline(Inbound::new));
+                .childHandler(new FramePipeline(InboundHandler::new));
         listening = bootstrap
                 .bind(new InetSocketAddress(address.getHost(), address.getPort()))
                 .sync()
@@ -69,8 +73,8 @@
         channels.close().awaitUninterruptibly();
     }
 
-    /** Hands the messages of one connection to the handler and writes the replies back to it. */
-    private final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+    /** Passes the messages of one connection to the handler and writes the replies to the connection. */
+    private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             channels.add(context.channel());
@@ -78,7 +82,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-            if (links.isPartitioned(message.getSender())) {
+            if (linkPolicy.isPartitioned(message.getSender())) {
                 return;
             }
             if (message.hasPing()) {
@@ -88,10 +92,10 @@
             Channel channel = context.channel();
             long correlation = message.getCorrelationId();
             handler.handle(message, reply -> {
-                if (!links.isPartitioned(message.getSender())) {
+                if (!linkPolicy.isPartitioned(message.getSender())) {
                     Envelope built =
                             reply.setReply(true).setCorrelationId(correlation).build();
-                    traffic.sent(message.getSender(), built);
+                    traffic.recordSent(message.getSender(), built);
                     channel.writeAndFlush(built);
                 }
             });
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/peer/PeerTraffic.java
@@ -11,52 +11,53 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts what this host sends to other hosts: apart for leaf calls and for control, and by kind of message.
+ * Counts the bytes and messages that this host sends to other hosts, separately for leaf calls and control traffic, and
+ * the bytes by kind of message.
  *
- * <p>Bytes that leave the region are counted apart, since they are the dearest. Safe for use by many threads if the
- * predicate that it was given is.
+ * <p>Bytes to other regions are also counted separately, because they cost the most. Safe for use by many threads if
+ * the given predicate is.
  */
 public final class PeerTraffic {
-    private static final int FRAME_BYTES = 4;
+    private static final int FRAME_HEADER_BYTES = 4;
 
     private final LongAdder leafBytes = new LongAdder();
     private final LongAdder leafMessages = new LongAdder();
     private final LongAdder controlBytes = new LongAdder();
     private final LongAdder controlMessages = new LongAdder();
 
-    private final Predicate<String> leavesRegion;
+    private final Predicate<String> isInOtherRegion;
     private final Map<Envelope.BodyCase, Counter> bytesByKind = new EnumMap<>(Envelope.BodyCase.class);
-    private final Map<Envelope.BodyCase, Counter> farBytesByKind = new EnumMap<>(Envelope.BodyCase.class);
+    private final Map<Envelope.BodyCase, Counter> crossRegionBytesByKind = new EnumMap<>(Envelope.BodyCase.class);
 
-    /** Creates counts that are shown nowhere by kind. */
+    /** Creates counters whose counts by kind of message are not published. */
     public PeerTraffic() {
         this(new MetricRegistry(), host -> false);
     }
 
     /**
-     * Creates counts that are kept in a registry as well, a counter for each kind of message.
+     * Creates counters that are also published in a registry, one for each kind of message.
      *
-     * @param leavesRegion true of the name of a host in another region
+     * @param isInOtherRegion tests whether the host of a name is in another region
      */
-    public PeerTraffic(MetricRegistry metrics, Predicate<String> leavesRegion) {
-        this.leavesRegion = leavesRegion;
+    public PeerTraffic(MetricRegistry metrics, Predicate<String> isInOtherRegion) {
+        this.isInOtherRegion = isInOtherRegion;
         for (Envelope.BodyCase kind : Envelope.BodyCase.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT);
             bytesByKind.put(kind, metrics.counter("peer_bytes_" + name));
-            farBytesByKind.put(kind, metrics.counter("peer_far_bytes_" + name));
+            crossRegionBytesByKind.put(kind, metrics.counter("peer_far_bytes_" + name));
         }
     }
 
     /**
-     * Counts a message.
+     * Records a sent message.
      *
-     * @param host the name of the host that it is sent to
+     * @param host the name of the receiving host
      */
-    void sent(String host, Envelope message) {
-        long bytes = (long) message.getSerializedSize() + FRAME_BYTES;
+    void recordSent(String host, Envelope message) {
+        long bytes = (long) message.getSerializedSize() + FRAME_HEADER_BYTES;
         add(bytesByKind.get(message.getBodyCase()), bytes);
-        if (leavesRegion.test(host)) {
-            add(farBytesByKind.get(message.getBodyCase()), bytes);
+        if (isInOtherRegion.test(host)) {
+            add(crossRegionBytesByKind.get(message.getBodyCase()), bytes);
         }
         if (message.hasLeafCall() || message.hasLeafResult() || message.hasLeafCancel()) {
             leafBytes.add(bytes);
@@ -83,7 +84,7 @@
         return leafMessages.sum();
     }
 
-    /** Returns the bytes sent for everything else: heartbeats, agreement, configuration. */
+    /** Returns the bytes sent for everything else: heartbeats, replication, configuration. */
     public long controlBytes() {
         return controlBytes.sum();
     }
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/settings/SettingsReader.java
@@ -18,12 +18,12 @@
 import org.bramblerack.process.document.ValidationError;
 
 /**
- * Reads a settings file strictly: whole, or with all its faults.
+ * Reads and validates a settings file. Any error rejects the whole file.
  *
  * <p>The format is described in {@code docs/SETTINGS.md}. Stateless and safe for use by many threads.
  */
 public final class SettingsReader {
-    /** The one version of the format that this reader knows. */
+    /** The only format version that this reader supports. */
     public static final int FORMAT_VERSION = 1;
 
     private static final int MAX_HOSTS = 5_000;
@@ -32,7 +32,7 @@
     private static final int DEFAULT_WORKERS = 4;
     private static final int MAX_QUERIES = 100_000;
     private static final int DEFAULT_QUERIES = 256;
-    private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
 
     private SettingsReader() {}
 
@@ -40,7 +40,7 @@
      * Reads settings.
      *
      * @param text the file's text
-     * @return the settings, or every fault found with its line, never empty
+     * @return the settings, or a non-empty list of all validation errors with their lines
      */
     public static Either<ImmutableList<ValidationError>, Settings> read(String text) {
         return DocumentReader.read(text, SettingsReader::readSettings);
@@ -116,7 +116,7 @@
     private static Credential readCredential(Fields fields) {
         String partner = fields.name("partner");
         String digest = fields.text("sha256");
-        if (!DIGEST.matcher(digest).matches()) {
+        if (!SHA256_HEX.matcher(digest).matches()) {
             fields.addError(
                     "sha256",
                     "this is not the SHA-256 of a credential",
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/control/FileLogStoreTest.java
@@ -32,7 +32,7 @@
     private Path folder;
 
     @BeforeEach
-    void store() throws DiskFault {
+    void createStore() throws DiskFault {
         try (FileLogStore store = new FileLogStore(folder)) {
             store.initialize();
             assertThat(store.load()).isEqualTo(StoredState.EMPTY);
@@ -42,15 +42,15 @@
     }
 
     @Test
-    void givesBackWhatWasStored() throws DiskFault {
+    void loadReturnsWhatWasStored() throws DiskFault {
         StoredState stored = load();
         assertThat(stored.hardState()).isEqualTo(HARD_STATE);
         assertThat(stored.entries()).hasSize(9);
     }
 
-    /** A process may die between its write and its sync; what the next one reads must not be lost by a later crash. */
+    /** A process may crash between a write and its sync; what the next process loads must survive a later crash. */
     @Test
-    void whatIsReadIsSyncedBeforeItCounts() throws DiskFault {
+    void theLogIsSyncedWhenItIsLoaded() throws DiskFault {
         AtomicInteger syncs = new AtomicInteger();
         try (FileLogStore store = new FileLogStore(folder, channel -> syncs.incrementAndGet())) {
             assertThat(store.load().entries()).hasSize(9);
@@ -58,9 +58,9 @@
         assertThat(syncs.get()).isEqualTo(1);
     }
 
-    /** Agreed documents hold the keys of callers. */
+    /** Committed documents contain the keys of callers. */
     @Test
-    void onlyTheOwnerReadsWhatIsStored() throws Exception {
+    void filesAreReadableByTheOwnerOnly() throws Exception {
         Files.writeString(folder.resolve("log.new"), "left by a crash");
         Files.setPosixFilePermissions(folder.resolve("log.new"), PosixFilePermissions.fromString("rw-r--r--"));
         try (FileLogStore store = new FileLogStore(folder)) {
@@ -78,20 +78,20 @@
 
     @Test
     void aStoreThatFailedCanBeLoadedAgain() throws DiskFault {
-        AtomicBoolean full = new AtomicBoolean();
+        AtomicBoolean diskFull = new AtomicBoolean();
         FileLogStore.FileSync sync = channel -> {
-            if (full.get()) {
+            if (diskFull.get()) {
                 throw new IOException("no space left");
             }
         };
         FileLogStore store = new FileLogStore(folder, sync);
         store.load();
-        full.set(true);
+        diskFull.set(true);
         assertThrows(DiskFault.class, () -> store.store(List.of(persist(Optional.empty(), 10, 10))));
         assertThrows(DiskFault.class, () -> store.store(List.of(persist(Optional.empty(), 10, 10))));
         store.close();
         assertThrows(DiskFault.class, store::load);
-        full.set(false);
+        diskFull.set(false);
         assertThat(store.load().entries().size()).isAtLeast(9);
         store.store(List.of(persist(Optional.empty(), 11, 11)));
         store.close();
@@ -106,13 +106,13 @@
         assertThat(load().entries()).hasSize(4);
     }
 
-    /** A crash at any byte of the last write: nothing that was synced before it is lost. */
+    /** A crash at any byte of the last write loses nothing that was synced before. */
     @Test
     void aTornTailIsCutBackToWhatWasSynced() throws IOException {
-        byte[] whole = Files.readAllBytes(log());
+        byte[] original = Files.readAllBytes(log());
         int synced = sizeAfterFirstBatch();
-        for (int size = synced; size < whole.length; size++) {
-            Files.write(log(), Arrays.copyOf(whole, size));
+        for (int size = synced; size < original.length; size++) {
+            Files.write(log(), Arrays.copyOf(original, size));
             StoredState stored = load();
             assertThat(stored.entries().size()).isAtLeast(5);
             assertThat(stored.hardState()).isEqualTo(HARD_STATE);
@@ -120,13 +120,13 @@
         }
     }
 
-    /** A flipped bit in anything that was synced before the last batch is named and refused. */
+    /** A flipped bit in anything that was synced before the last batch is refused. */
     @Test
-    void corruptionIsNamedAndRefused() throws IOException {
-        byte[] whole = Files.readAllBytes(log());
+    void corruptionIsRefusedWithTheNameOfTheFile() throws IOException {
+        byte[] original = Files.readAllBytes(log());
         int synced = sizeAfterFirstBatch();
         for (int position = 0; position < synced; position++) {
-            byte[] flipped = whole.clone();
+            byte[] flipped = original.clone();
             flipped[position] ^= 0x10;
             Files.write(log(), flipped);
             DiskFault fault = assertThrows(DiskFault.class, this::load);
@@ -171,7 +171,7 @@
         assertThrows(DiskFault.class, this::load);
     }
 
-    /** A voter that lost its disk must not vote again as if it never had. */
+    /** A voter that lost its disk must not vote again, because it could vote twice in a term. */
     @Test
     void anEmptyFolderIsRefusedAndAStateIsNotReplaced() throws IOException {
         DiskFault replaced = assertThrows(DiskFault.class, () -> new FileLogStore(folder).initialize());
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/FleetViewTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections are made ahead once to each new leaf, not at every change of the tables. */
+/** Tests that connections are opened ahead of use once per new leaf, not at every change of the tables. */
 final class FleetViewTest {
-    /** Longer than a host waits before it looks at which connections to make. */
-    private static final long LOOKED_MILLIS = 2_300;
+    /** Longer than the maximum delay of a connection review. */
+    private static final long REVIEW_MILLIS = 2_300;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
 
@@ -46,10 +46,10 @@
             thread.start();
             FleetView view = GatewayFixture.view(group, MonotonicClock.system());
             apply(view, tables(leaf.getLocalPort()), Optional.of(configuration()));
-            Thread.sleep(LOOKED_MILLIS);
+            Thread.sleep(REVIEW_MILLIS);
             assertThat(accepted.get()).isEqualTo(1);
             apply(view, anotherHost(), Optional.empty());
-            Thread.sleep(LOOKED_MILLIS);
+            Thread.sleep(REVIEW_MILLIS);
             assertThat(accepted.get()).isEqualTo(1);
         }
     }
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/gateway/TableFollowerTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When other hosts learn that a host takes part, or no longer does: a control host that holds requests back. */
+/** Tests when the record of a host is sent to a control host that defers its answers. */
 final class TableFollowerTest {
     private static final HostRecord READY = HostRecord.newBuilder()
             .setName("h")
@@ -39,19 +39,19 @@
             READY.toBuilder().setPhase(HostRecord.Phase.LEAVING).build();
     private static final long WAIT_MILLIS = 2_000;
     private static final long SERIES_MILLIS = 1_000;
-    /** One each 100 ms, with some room. */
-    private static final int MOST_PULLS_IN_SERIES = 14;
+    /** One per 100 ms, plus a margin. */
+    private static final int MAX_PULLS_IN_SERIES = 14;
 
     private static final int CHANGES = 5;
-    private static final long WAITED_MILLIS = 300;
-    private static final long SPACING_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long PAUSE_MILLIS = 300;
+    private static final long MIN_PULL_INTERVAL_NANOS = Duration.ofMillis(100).toNanos();
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final PeerNetwork network = PeerNetwork.byAddress("127.0.0.1:1", group, LinkPolicy.OPEN, new PeerTraffic());
     private final BlockingQueue<TablePull> pulls = new LinkedBlockingQueue<>();
     private volatile Consumer<Envelope.Builder> replyLater = reply -> {};
     private final AtomicLong revision = new AtomicLong();
-    private volatile boolean answersAtOnce;
+    private volatile boolean repliesAtOnce;
     private volatile Optional<HostRecord> self = Optional.empty();
     private PeerServer control;
     private TableFollower follower;
@@ -59,13 +59,13 @@
     @BeforeEach
     void start() throws Exception {
         HostAndPort address = HostAndPort.fromParts("127.0.0.1", freePort());
-        control = new PeerServer(address, this::note, group, LinkPolicy.OPEN, new PeerTraffic());
+        control = new PeerServer(address, this::handle, group, LinkPolicy.OPEN, new PeerTraffic());
         control.start();
         FleetView view = GatewayFixture.view(group, MonotonicClock.system());
         follower = new TableFollower(
                 view,
                 document -> {
-                    throw new IllegalStateException("no configuration comes");
+                    throw new IllegalStateException("unexpected configuration");
                 },
                 network,
                 group.next(),
@@ -89,7 +89,7 @@
         assertThat(nextPull().hasSelf()).isFalse();
     }
 
-    /** The first request is still held, so an announcement that waited for its answer would come too late. */
+    /** Guards against an announcement that waits for the answer to the deferred first pull. */
     @Test
     void aChangeOfTheHostRecordIsSentAtOnce() throws Exception {
         nextPull();
@@ -101,29 +101,29 @@
         assertThat(nextPull().getSelf()).isEqualTo(LEAVING);
     }
 
-    /** As when the leafs of a service start: each answer would otherwise be followed by a request at once. */
+    /** Guards against one pull per change while the leaves of a service start. */
     @Test
     void changesInASeriesAreBatched() throws Exception {
         nextPull();
-        answersAtOnce = true;
+        repliesAtOnce = true;
         replyLater.accept(newer());
         Thread.sleep(SERIES_MILLIS);
-        assertThat(pulls.size()).isIn(Range.closed(3, MOST_PULLS_IN_SERIES));
+        assertThat(pulls.size()).isIn(Range.closed(3, MAX_PULLS_IN_SERIES));
     }
 
-    /** A request that waited for a change is followed by the next one at once, so that no change waits for it. */
+    /** Guards against a delay after a pull that was deferred until a change. */
     @Test
     void aChangeAfterAPauseIsFollowedByAPullAtOnce() throws Exception {
         nextPull();
         long fastestNanos = Long.MAX_VALUE;
         for (int change = 0; change < CHANGES; change++) {
-            Thread.sleep(WAITED_MILLIS);
-            long beganNanos = System.nanoTime();
+            Thread.sleep(PAUSE_MILLIS);
+            long startedNanos = System.nanoTime();
             replyLater.accept(newer());
             nextPull();
-            fastestNanos = Math.min(fastestNanos, System.nanoTime() - beganNanos);
+            fastestNanos = Math.min(fastestNanos, System.nanoTime() - startedNanos);
         }
-        assertThat(fastestNanos).isLessThan(SPACING_NANOS);
+        assertThat(fastestNanos).isLessThan(MIN_PULL_INTERVAL_NANOS);
     }
 
     private TablePull nextPull() throws InterruptedException {
@@ -139,11 +139,11 @@
                         .setCurrent(true));
     }
 
-    private void note(Envelope message, Consumer<Envelope.Builder> reply) {
+    private void handle(Envelope message, Consumer<Envelope.Builder> reply) {
         if (message.hasTablePull()) {
             pulls.add(message.getTablePull());
             replyLater = reply;
-            if (answersAtOnce) {
+            if (repliesAtOnce) {
                 reply.accept(newer());
             }
         }
