--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/event/EventLogTest.java
@@ -102,7 +102,7 @@
             @Override
             protected void append(ILoggingEvent event) {
                 try {
-                    eventSink.accept(event);
+                    eventSink.take(event);
                 } catch (InterruptedException stopped) {
                     Thread.currentThread().interrupt();
                 }
@@ -122,6 +122,6 @@
     }
 
     private interface EventSink {
-        void accept(ILoggingEvent event) throws InterruptedException;
+        void take(ILoggingEvent event) throws InterruptedException;
     }
 }
