--- a/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/process/leaf/PermittedLeaves.java
@@ -17,11 +17,11 @@
  */
 public final class PermittedLeaves {
     private final LeafPool pool;
-    private final HomeRegions homeRegions;
+    private final HomeRegions homes;
 
     PermittedLeaves(LeafPool pool, HomeRegions homes) {
         this.pool = requireNonNull(pool);
-        this.homeRegions = requireNonNull(homes);
+        this.homes = requireNonNull(homes);
     }
 
     public String service() {
@@ -33,8 +33,8 @@
     }
 
     /** Returns the regions to which the request is bound. */
-    public HomeRegions homeRegions() {
-        return homeRegions;
+    public HomeRegions homes() {
+        return homes;
     }
 
     /** Returns the budget that retries and hedges to the service share. */
@@ -61,11 +61,11 @@
 
     /** Chooses among the permitted leaves; see {@link LeafPool#choose}. */
     public Optional<Leaf> choose(Predicate<Leaf> filter, long expectedNanos, RandomGenerator random, long nowNanos) {
-        Predicate<Leaf> permitted = homeRegions.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
+        Predicate<Leaf> permitted = homes.isUnrestricted() ? filter : leaf -> permits(leaf) && filter.test(leaf);
         return pool.choose(permitted, expectedNanos, random, nowNanos);
     }
 
     private boolean permits(Leaf leaf) {
-        return homeRegions.allows(leaf.location().region());
+        return homes.allows(leaf.location().region());
     }
 }
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/CallerIdentity.java
@@ -22,9 +22,8 @@
     }
 
     /** Returns the regions that may serve a request on a route. */
-    public HomeRegions homeRegions(Route route) {
-        return team.map(known -> known.homeRegions().intersect(route.homeRegions()))
-                .orElse(route.homeRegions());
+    public HomeRegions homes(Route route) {
+        return team.map(known -> known.homes().intersect(route.homes())).orElse(route.homes());
     }
 
     /** Returns the name of the team, or the empty string if there is none. */
--- a/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/request/routed/StagePlanner.java
@@ -51,7 +51,7 @@
          * Returns the host that holds the connections to a leaf, if that is another host, is available, and may receive
          * the body of a request with the given home regions.
          */
-        Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions);
+        Optional<String> holderOf(Leaf leaf, HomeRegions homes);
 
         String regionOf(Leaf leaf);
 
@@ -154,7 +154,7 @@
         for (int shard = 0; shard < pools.size(); shard++) {
             PermittedLeaves pool = pools.get(shard);
             Optional<Leaf> best = pool.choose(leaf -> true, expectedNanos, random, nowNanos);
-            Optional<String> holder = best.flatMap(leaf -> topology.holderOf(leaf, pool.homeRegions()));
+            Optional<String> holder = best.flatMap(leaf -> topology.holderOf(leaf, pool.homes()));
             if (holder.isPresent()) {
                 shardsByHolder
                         .computeIfAbsent(holder.get(), unused -> new ArrayList<>())
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Route.java
@@ -19,7 +19,7 @@
  * @param priority the priority; 0 is the highest
  * @param maxAttempts how many leaves a request may be sent to, for a fan-out in each shard
  * @param target the service or services that its requests are sent to
- * @param homeRegions the regions that may serve its requests
+ * @param homes the regions that may serve its requests
  * @param isPublic true if its callers need no key although the configuration has teams
  */
 public record Route(
@@ -32,13 +32,13 @@
         int priority,
         int maxAttempts,
         RouteTarget target,
-        HomeRegions homeRegions,
+        HomeRegions homes,
         boolean isPublic) {
     /** Rejects a malformed prefix, a time-out that is not positive, and less than one attempt. */
     public Route {
         requireNonNull(kind);
         requireNonNull(target);
-        requireNonNull(homeRegions);
+        requireNonNull(homes);
         checkArgument(
                 prefix.startsWith("/") && prefix.endsWith("/"),
                 "the prefix %s of route %s does not begin and end with a slash",
--- a/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
+++ b/bramblerack-core/src/main/java/org/bramblerack/version/routing/Team.java
@@ -15,15 +15,15 @@
  * @param keys the digests of its keys; a team without keys cannot make requests
  * @param priority the priority, which overrides that of a route; 0 is the highest; empty if the route's applies
  * @param limit the rate limit over all hosts together
- * @param homeRegions the regions that may serve its requests
+ * @param homes the regions that may serve its requests
  */
 public record Team(
-        String name, ImmutableSet<KeyDigest> keys, OptionalInt priority, RateLimit limit, HomeRegions homeRegions) {
+        String name, ImmutableSet<KeyDigest> keys, OptionalInt priority, RateLimit limit, HomeRegions homes) {
     /** Rejects a team without a name. */
     public Team {
         checkArgument(!name.isEmpty(), "a team has no name; give it one");
         requireNonNull(keys);
         requireNonNull(limit);
-        requireNonNull(homeRegions);
+        requireNonNull(homes);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/CallerCheckTest.java
@@ -83,14 +83,13 @@
     }
 
     @Test
-    void homeRegionsIntersectAndTheTeamsPriorityOverridesTheRoutes() {
+    void regionsIntersectAndTheTeamsPriorityOverridesTheRoutes() {
         CallerIdentity caller = new CallerIdentity(Optional.of(new Team(
                 "a", ImmutableSet.of(), OptionalInt.of(0), RateLimit.NONE, HomeRegions.of(List.of("r2", "r3")))));
-        assertThat(caller.homeRegions(PRIVATE)).isEqualTo(HomeRegions.of(List.of("r2")));
-        assertThat(caller.homeRegions(route(false, HomeRegions.of(List.of("r1"))))
-                        .allowsNone())
+        assertThat(caller.homes(PRIVATE)).isEqualTo(HomeRegions.of(List.of("r2")));
+        assertThat(caller.homes(route(false, HomeRegions.of(List.of("r1")))).allowsNone())
                 .isTrue();
-        assertThat(caller.homeRegions(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
+        assertThat(caller.homes(PUBLIC)).isEqualTo(HomeRegions.of(List.of("r2", "r3")));
         assertThat(caller.priority(PRIVATE)).isEqualTo(0);
         assertThat(new CallerIdentity(Optional.of(TEAM)).priority(PRIVATE)).isEqualTo(7);
     }
@@ -136,19 +135,9 @@
         return new Team(name, digests.build(), OptionalInt.empty(), RateLimit.NONE, HomeRegions.ANY);
     }
 
-    private static Route route(boolean isPublic, HomeRegions homeRegions) {
+    private static Route route(boolean isPublic, HomeRegions homes) {
         Duration time = Duration.ofSeconds(1);
         return new Route(
-                "r",
-                "h",
-                "/",
-                RequestKind.IDEMPOTENT,
-                time,
-                time,
-                7,
-                1,
-                new RouteTarget.Single("s"),
-                homeRegions,
-                isPublic);
+                "r", "h", "/", RequestKind.IDEMPOTENT, time, time, 7, 1, new RouteTarget.Single("s"), homes, isPublic);
     }
 }
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/LeafLocationScheduleTest.java
@@ -63,7 +63,7 @@
         private final int seed;
         private final SplittableRandom random;
         private final boolean restrictsRegions;
-        private final HomeRegions homeRegions;
+        private final HomeRegions homes;
         private final List<LeafPool> pools = new ArrayList<>();
         private final List<Attempt> openAttempts = new ArrayList<>();
         private final boolean[] drained = new boolean[ZONES.size()];
@@ -74,7 +74,7 @@
             this.seed = seed;
             this.restrictsRegions = restrictsRegions;
             this.random = new SplittableRandom(seed);
-            this.homeRegions = random.nextInt(4) == 0
+            this.homes = random.nextInt(4) == 0
                     ? HomeRegions.ANY
                     : HomeRegions.of(ImmutableList.of(regionOf(ZONES.get(random.nextInt(ZONES.size())))));
             for (int shard = 0; shard < SHARDS; shard++) {
@@ -103,7 +103,7 @@
         }
 
         private ImmutableList<PermittedLeaves> permitted() {
-            HomeRegions allowed = restrictsRegions ? homeRegions : HomeRegions.ANY;
+            HomeRegions allowed = restrictsRegions ? homes : HomeRegions.ANY;
             return pools.stream().map(pool -> pool.permitted(allowed)).collect(ImmutableList.toImmutableList());
         }
 
@@ -198,8 +198,8 @@
                     attemptCount++;
                     Leaf leaf = call.attempt().leaf();
                     openAttempts.add(call.attempt());
-                    assertWithMessage("seed %s: attempt with home regions %s at %s", seed, homeRegions, leaf.location())
-                            .that(homeRegions.allows(leaf.location().region()))
+                    assertWithMessage("seed %s: attempt with home regions %s at %s", seed, homes, leaf.location())
+                            .that(homes.allows(leaf.location().region()))
                             .isTrue();
                     assertWithMessage("seed %s: attempt in drained zone at %s", seed, leaf.location())
                             .that(drained[ZONES.indexOf(leaf.location().zone())])
--- a/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
+++ b/bramblerack-core/src/test/java/org/bramblerack/request/routed/StagePlannerTest.java
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions) {
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
             return Optional.ofNullable(holders.get(leaf.id()));
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/Gateway.java
@@ -248,7 +248,7 @@
 
     /** Requests a permit from the rate limit of the team. */
     private void requestPermit(HttpExchange exchange, Route route, CallerIdentity caller, CallerAnswers answers) {
-        if (caller.homeRegions(route).allowsNone()) {
+        if (caller.homes(route).allowsNone()) {
             answers.refuse(RefusalReason.NO_LEAF_AT_HOME);
             logUnrouted(exchange, RefusalReason.NO_LEAF_AT_HOME.name(), line -> {});
             return;
@@ -258,7 +258,7 @@
                 exchange.uri(),
                 exchange.headers(),
                 exchange.body(),
-                caller.homeRegions(route),
+                caller.homes(route),
                 caller.teamName(),
                 names);
         RequestTimes times = times(exchange, route);
@@ -410,7 +410,7 @@
                 .setMethod(exchange.method())
                 .setUri(exchange.uri())
                 .setBody(ByteString.copyFrom(exchange.body()))
-                .addAllHomeRegions(routed.homeRegions().regions())
+                .addAllHomeRegions(routed.homes().regions())
                 .setTeam(routed.caller().teamName())
                 .setPriority(routed.priority());
         exchange.headers().forEach(header -> {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HarmTrials.java
@@ -173,7 +173,7 @@
         long nowNanos = clock.nowNanos();
         long expectedNanos = view.latency(call.route()).medianNanos();
         String shard = services.get(random.nextInt(services.size()));
-        PermittedLeaves pool = view.pool(shard).permitted(call.homeRegions());
+        PermittedLeaves pool = view.pool(shard).permitted(call.homes());
         Optional<Leaf> leaf = pool.choose(candidate -> true, expectedNanos, random, nowNanos);
         // The trial call is in addition to the calls of the query, so it is charged to the budget like a retry.
         if (leaf.isEmpty() || !pool.budget().tryWithdraw(nowNanos)) {
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/HolderPath.java
@@ -29,7 +29,7 @@
     private final StageCall query;
     private final FleetView view;
     private final StageLinks links;
-    private final HomeRegions homeRegions;
+    private final HomeRegions homes;
     private final CallHeaders names;
     private final MonotonicClock clock;
 
@@ -42,7 +42,7 @@
         this.query = query;
         this.view = view;
         this.links = links;
-        this.homeRegions = HomeRegions.of(query.getHomeRegionsList());
+        this.homes = HomeRegions.of(query.getHomeRegionsList());
         this.names = names;
         this.clock = clock;
     }
@@ -50,7 +50,7 @@
     @Override
     public LeafConnections.CallHandle send(Leaf leaf, LeafRequest request, long deadlineNanos, LeafCallback callback) {
         Optional<StageLinks.Link> holder =
-                links.firstUsable(view.holdersOf(leaf), leaf.id(), homeRegions, query.getPassedOverList());
+                links.firstUsable(view.holdersOf(leaf), leaf.id(), homes, query.getPassedOverList());
         if (holder.isEmpty()) {
             return view.connectionsTo(leaf).send(request, deadlineNanos, callback);
         }
@@ -81,7 +81,7 @@
             holder.onCallStarted();
             links.callStage(
                             holder,
-                            homeRegions,
+                            homes,
                             () -> message(deadlineNanos),
                             Duration.ofNanos(remainingNanos),
                             progress -> {})
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/QueryRuns.java
@@ -121,7 +121,7 @@
     private ImmutableList<PermittedLeaves> permittedPools(RoutedCall call, RouteTarget.Scatter target) {
         ImmutableList.Builder<PermittedLeaves> pools =
                 ImmutableList.builderWithExpectedSize(target.shards().size());
-        target.shards().forEach(shard -> pools.add(view.pool(shard).permitted(call.homeRegions())));
+        target.shards().forEach(shard -> pools.add(view.pool(shard).permitted(call.homes())));
         return pools.build();
     }
 
@@ -138,7 +138,7 @@
         boolean repeatable = call.route().kind() == RequestKind.IDEMPOTENT;
         RequestBounds bounds = bounds(call, hedgeDelayNanos(call.route()));
         ForwardedRequest forwarded =
-                new ForwardedRequest(view.pool(service).permitted(call.homeRegions()), repeatable, bounds, random);
+                new ForwardedRequest(view.pool(service).permitted(call.homes()), repeatable, bounds, random);
         LeafPath path = view.isHeld(service)
                 ? holderPath(query.get().toBuilder().setWholeAnswer(true).build())
                 : (leaf, request, deadlineNanos, callback) ->
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/RoutedCall.java
@@ -25,8 +25,8 @@
         long arrivedNanos,
         RequestTimes times) {
     /** Returns the regions that may serve the request. */
-    HomeRegions homeRegions() {
-        return caller.homeRegions(route);
+    HomeRegions homes() {
+        return caller.homes(route);
     }
 
     /** Returns the priority of the request; 0 is the highest. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageCaller.java
@@ -27,7 +27,7 @@
     private final ImmutableList<String> shardServices;
     private final RequestTimes times;
     private final StageLinks links;
-    private final HomeRegions homeRegions;
+    private final HomeRegions homes;
     private final MonotonicClock clock;
     private final GatewayMetrics metrics;
     private final Runnable onSurvival;
@@ -52,7 +52,7 @@
         this.shardServices = shardServices;
         this.times = times;
         this.links = links;
-        this.homeRegions = HomeRegions.of(call.getHomeRegionsList());
+        this.homes = HomeRegions.of(call.getHomeRegionsList());
         this.clock = clock;
         this.metrics = metrics;
         this.onSurvival = onSurvival;
@@ -86,7 +86,7 @@
         link.onCallStarted();
         links.callStage(
                         link,
-                        homeRegions,
+                        homes,
                         () -> message(stage, pendingCall),
                         wait,
                         progress -> onProgress(stage, progress.getStageProgress(), listener))
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageLinks.java
@@ -132,8 +132,7 @@
      *
      * @param skippedHosts the hosts that the calling host skipped; they count if this host is their backup
      */
-    Optional<Link> firstUsable(
-            List<String> hosts, String leafId, HomeRegions homeRegions, Collection<String> skippedHosts) {
+    Optional<Link> firstUsable(List<String> hosts, String leafId, HomeRegions homes, Collection<String> skippedHosts) {
         if (hosts.isEmpty()) {
             return Optional.empty();
         }
@@ -146,7 +145,7 @@
 
                     @Override
                     public boolean isUsable(String host) {
-                        return mayReceive(host, homeRegions)
+                        return mayReceive(host, homes)
                                 && link(host).mayBeCalled(nowNanos)
                                 && link(host).mayReach(leafId, nowNanos);
                     }
@@ -176,17 +175,17 @@
      * Sends a call to another host. All such calls go through this method, which is the last check that the host may
      * receive the body.
      *
-     * @param homeRegions the regions that may receive the body
+     * @param homes the regions that may receive the body
      * @param message creates the call once the link is connected
      * @param onProgress receives the progress that the host reports before its reply
      */
     Uni<Envelope> callStage(
             Link link,
-            HomeRegions homeRegions,
+            HomeRegions homes,
             Supplier<StageCall.Builder> message,
             Duration timeout,
             Consumer<Envelope> onProgress) {
-        if (!mayReceive(link.host, homeRegions)) {
+        if (!mayReceive(link.host, homes)) {
             return Uni.createFrom()
                     .failure(new PeerFailure(
                             PeerFailure.Kind.NOT_SENT, link.host + " is in no region that may serve the request"));
@@ -195,9 +194,9 @@
                 link.host, () -> Envelope.newBuilder().setStageCall(message.get()), timeout, onProgress);
     }
 
-    private boolean mayReceive(String host, HomeRegions homeRegions) {
-        return homeRegions.isUnrestricted()
-                || view.regionOf(host).filter(homeRegions::allows).isPresent();
+    private boolean mayReceive(String host, HomeRegions homes) {
+        return homes.isUnrestricted()
+                || view.regionOf(host).filter(homes::allows).isPresent();
     }
 
     /** Returns a number that is unique among the calls of this host. */
@@ -267,8 +266,8 @@
         }
 
         @Override
-        public Optional<String> holderOf(Leaf leaf, HomeRegions homeRegions) {
-            return firstUsable(view.holdersOf(leaf), leaf.id(), homeRegions, skippedHosts)
+        public Optional<String> holderOf(Leaf leaf, HomeRegions homes) {
+            return firstUsable(view.holdersOf(leaf), leaf.id(), homes, skippedHosts)
                     .map(Link::host);
         }
 
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/gateway/StageServer.java
@@ -89,13 +89,13 @@
             calls.end(sender, call.getCall());
             reply.accept(message);
         };
-        HomeRegions homeRegions = homeRegions(call);
+        HomeRegions homes = homes(call);
         LeafRequest request = LeafRequest.create(
                 call.getMethod(),
                 call.getUri(),
                 headers(call),
                 call.getBody().toByteArray(),
-                homeRegions,
+                homes,
                 call.getTeam(),
                 names);
         // Time limits count from the arrival of the call, so that no leaf gets more time than the caller has left.
@@ -106,7 +106,7 @@
             loop.execute(() -> {
                 if (!cancelled.get()) {
                     calls.end(sender, call.getCall());
-                    runQuery(sender, call, homeRegions, arrivedNanos, request, reply, lastReply);
+                    runQuery(sender, call, homes, arrivedNanos, request, reply, lastReply);
                 }
             });
         } else {
@@ -137,12 +137,12 @@
     private void runQuery(
             String sender,
             StageCall call,
-            HomeRegions homeRegions,
+            HomeRegions homes,
             long arrivedNanos,
             LeafRequest request,
             Consumer<Envelope.Builder> reply,
             Consumer<Envelope.Builder> lastReply) {
-        Optional<String> refusal = refusalReason(call, homeRegions, request, arrivedNanos);
+        Optional<String> refusal = refusalReason(call, homes, request, arrivedNanos);
         if (refusal.isPresent()) {
             reply.accept(Envelope.newBuilder()
                     .setStageResult(StageResult.newBuilder()
@@ -161,7 +161,7 @@
         ScatterRun run = runs.scatterForHost(
                 new RoutedCall(
                         // The route includes the home regions and the priority of the team.
-                        route(call, target, homeRegions, maxAttempts),
+                        route(call, target, homes, maxAttempts),
                         CallerIdentity.ANONYMOUS,
                         call.getConfigurationVersion(),
                         request,
@@ -170,7 +170,7 @@
                 target,
                 TimeUnit.MICROSECONDS.toNanos(call.getHedgeDelayMicros()),
                 !call.getPassedOn(),
-                runs.stageCaller(forwardedCall(call, homeRegions, maxAttempts), target.shards(), times, request),
+                runs.stageCaller(forwardedCall(call, homes, maxAttempts), target.shards(), times, request),
                 new ReplySink(reply, lastReply, call.getShardsList(), sender));
         run.onProgress(() -> reply.accept(Envelope.newBuilder()
                 .setStageProgress(StageProgress.newBuilder()
@@ -186,8 +186,7 @@
      * for progress is refused: the calling host has called other leaves by then, and running it as well would exceed
      * the attempts of the route.
      */
-    private Optional<String> refusalReason(
-            StageCall call, HomeRegions homeRegions, LeafRequest request, long arrivedNanos) {
+    private Optional<String> refusalReason(StageCall call, HomeRegions homes, LeafRequest request, long arrivedNanos) {
         if (refusingWork) {
             return Optional.of("this host is stopping");
         }
@@ -197,7 +196,7 @@
         if (view.harmFilter().permission(request::fingerprints) == Permission.QUARANTINED) {
             return Optional.of(RefusalReason.HARMFUL.name());
         }
-        if (homeRegions.allowsNone()) {
+        if (homes.allowsNone()) {
             return Optional.of("no region may serve the route by all that hosts know of it");
         }
         long waitedNanos = clock.nowNanos() - arrivedNanos;
@@ -209,12 +208,12 @@
      * Returns the regions that may serve a call: those that both the calling host and this host allow for its route and
      * its team, since the two may use different versions of the configuration.
      */
-    private HomeRegions homeRegions(StageCall call) {
+    private HomeRegions homes(StageCall call) {
         RoutingConfiguration known = view.configuration();
         HomeRegions ofRoute =
-                known.routeNamed(call.getRoute()).map(Route::homeRegions).orElse(HomeRegions.ANY);
+                known.routeNamed(call.getRoute()).map(Route::homes).orElse(HomeRegions.ANY);
         HomeRegions ofTeam =
-                known.teams().named(call.getTeam()).map(Team::homeRegions).orElse(HomeRegions.ANY);
+                known.teams().named(call.getTeam()).map(Team::homes).orElse(HomeRegions.ANY);
         return HomeRegions.of(call.getHomeRegionsList()).intersect(ofRoute).intersect(ofTeam);
     }
 
@@ -230,13 +229,13 @@
     /**
      * Returns the template of the calls that forward a call to other hosts; shards and time limits are added for each.
      */
-    private static StageCall forwardedCall(StageCall call, HomeRegions homeRegions, int maxAttempts) {
+    private static StageCall forwardedCall(StageCall call, HomeRegions homes, int maxAttempts) {
         return call.toBuilder()
                 .clearShards()
                 .clearServices()
                 .setMaxAttempts(maxAttempts)
                 .clearHomeRegions()
-                .addAllHomeRegions(homeRegions.regions())
+                .addAllHomeRegions(homes.regions())
                 .setPassedOn(true)
                 .build();
     }
@@ -256,11 +255,11 @@
      *
      * <p>The latencies of calls are recorded under the name of the route.
      */
-    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homeRegions, int maxAttempts) {
+    private Route route(StageCall call, RouteTarget.Scatter target, HomeRegions homes, int maxAttempts) {
         return view.configuration()
                 .routeNamed(call.getRoute())
                 .filter(known -> known.maxAttempts() == maxAttempts
-                        && known.homeRegions().equals(homeRegions)
+                        && known.homes().equals(homes)
                         && known.priority() == call.getPriority())
                 .orElseGet(() -> new Route(
                         call.getRoute(),
@@ -272,7 +271,7 @@
                         Math.max(0, call.getPriority()),
                         maxAttempts,
                         target,
-                        homeRegions));
+                        homes));
     }
 
     /** Returns how long after its arrival the answer to a call is due; earlier if this host lags. */
--- a/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
+++ b/bramblerack-daemon/src/main/java/org/bramblerack/daemon/leaf/LeafRequest.java
@@ -44,7 +44,7 @@
     private final boolean headRequest;
     private final byte[] commonHead;
     private final byte[] body;
-    private final HomeRegions homeRegions;
+    private final HomeRegions homes;
     private final Supplier<Fingerprints> fingerprintSupplier;
     private volatile @Nullable Fingerprints fingerprints;
 
@@ -54,21 +54,21 @@
             boolean headRequest,
             byte[] commonHead,
             byte[] body,
-            HomeRegions homeRegions,
+            HomeRegions homes,
             Supplier<Fingerprints> fingerprintSupplier) {
         this.headerNames = headerNames;
         this.requestId = requestId;
         this.headRequest = headRequest;
         this.commonHead = commonHead;
         this.body = body;
-        this.homeRegions = homeRegions;
+        this.homes = homes;
         this.fingerprintSupplier = fingerprintSupplier;
     }
 
     /**
      * Creates the request to leaves from a caller's request.
      *
-     * @param homeRegions the regions whose leaves may receive the request
+     * @param homes the regions whose leaves may receive the request
      * @param team the caller's team, or empty; replaces the team field that the caller sent
      */
     public static LeafRequest create(
@@ -76,7 +76,7 @@
             String uri,
             Iterable<Map.Entry<String, String>> headers,
             byte[] body,
-            HomeRegions homeRegions,
+            HomeRegions homes,
             String team,
             CallHeaders headerNames) {
         StringBuilder text = new StringBuilder(256);
@@ -115,7 +115,7 @@
                 method.equals("HEAD"),
                 text.toString().getBytes(StandardCharsets.ISO_8859_1),
                 body,
-                homeRegions,
+                homes,
                 () -> Fingerprints.of(method, host, uri, caller, body));
     }
 
@@ -142,7 +142,7 @@
 
     /** Returns true if the leaf is in a region that may receive the request. */
     boolean mayBeSentTo(Leaf leaf) {
-        return homeRegions.allows(leaf.location().region());
+        return homes.allows(leaf.location().region());
     }
 
     /** Returns true for a HEAD request, whose answers have no body. */
--- a/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
+++ b/bramblerack-daemon/src/test/java/org/bramblerack/daemon/leaf/LeafConnectionsTest.java
@@ -56,7 +56,7 @@
     private ServerSocket server;
     private Thread listener;
     private LeafConnections connections;
-    private volatile HomeRegions homeRegions = HomeRegions.ANY;
+    private volatile HomeRegions homes = HomeRegions.ANY;
     private volatile String answer = COMPLETE_ANSWER;
     private volatile AfterAnswer afterAnswer = AfterAnswer.STAY;
 
@@ -95,7 +95,7 @@
     /** Guards against a request leaving its home regions, whichever component chose the leaf. */
     @Test
     void aRequestIsNotSentToALeafOutsideItsHomes() throws Exception {
-        homeRegions = HomeRegions.of(ImmutableList.of("elsewhere"));
+        homes = HomeRegions.of(ImmutableList.of("elsewhere"));
         assertThat(send("r-1")).isEqualTo(LeafOutcome.NO_CONNECTION);
         assertThat(accepted.get()).isEqualTo(0);
     }
@@ -252,7 +252,7 @@
                 "/path?q=1",
                 new DefaultHttpHeaders().set("Host", "h").set("Request-Id", id).set("Connection", "keep-alive"),
                 new byte[0],
-                homeRegions,
+                homes,
                 "",
                 HEADER_NAMES);
     }
